--- a/cmd/stepseamctl/nodes.go
+++ b/cmd/stepseamctl/nodes.go
@@ -22,7 +22,7 @@
 func writeNode(w io.Writer, status nodestatus.Status) {
 	fmt.Fprintf(w, "node %s in %s\n\n", status.Node, status.Zone)
 	cells(w, "MEMBERS", "CORE/1000", "PARTITIONS", "REPLICAS KEPT", "VERSION", "REPLICAS")
-	cells(w, status.Members, status.Thousandths, len(status.Partitions), status.ReplicasKept, status.Version, status.Replicas)
+	cells(w, status.Members, status.Millicores, len(status.Partitions), status.ReplicasKept, status.Version, status.Replicas)
 	fmt.Fprintf(w, "\nwhat it knows of the store\n\n")
 	cells(w, "TOPIC", "FROM", "TIER", "POSITION", "KEYS", "AGE MS")
 	for _, topic := range status.Topics {
--- a/cmd/stepseamctl/nodes_test.go
+++ b/cmd/stepseamctl/nodes_test.go
@@ -14,7 +14,7 @@
 func TestNodesShowWhatTheyKnowAndFromWhom(t *testing.T) {
 	is := is.New(t)
 	status := nodestatus.Status{
-		Node: "n1", Zone: "z1", Members: 984, Thousandths: 192, Partitions: []int{3, 17}, ReplicasKept: 51, Version: 40, Replicas: 9990,
+		Node: "n1", Zone: "z1", Members: 984, Millicores: 192, Partitions: []int{3, 17}, ReplicasKept: 51, Version: 40, Replicas: 9990,
 		Topics: []distribution.TopicStatus{
 			{Topic: "configuration", Reads: true, Position: 7, Keys: 1, AgeMs: 210},
 			{Topic: "replicas", From: "10.0.0.3:8144", Tier: 2, Position: 123456, Keys: 9990, AgeMs: 733},
--- a/cmd/stepseamctl/tenants.go
+++ b/cmd/stepseamctl/tenants.go
@@ -24,10 +24,10 @@
 	cells(w, "TENANT", "RATE", "BURST", "ALLOCATOR", "PACE HERE", "REFUSED HERE", "LEFT")
 	for _, tenant := range status.Tenants {
 		left := "-"
-		if tenant.Left != nil {
-			left = fmt.Sprintf("%.1f", *tenant.Left)
+		if tenant.Remaining != nil {
+			left = fmt.Sprintf("%.1f", *tenant.Remaining)
 		}
-		cells(w, tenant.Name, tenant.RatePerSecond, tenant.Burst, tenant.Allocator, fmt.Sprintf("%.1f", tenant.Pace), tenant.Refused, left)
+		cells(w, tenant.Name, tenant.RatePerSecond, tenant.Burst, tenant.Allocator, fmt.Sprintf("%.1f", tenant.RequestRate), tenant.Refused, left)
 	}
 }
 
--- a/cmd/stepseamctl/tenants_test.go
+++ b/cmd/stepseamctl/tenants_test.go
@@ -14,7 +14,7 @@
 	is := is.New(t)
 	left := 12.25
 	status := limits.TenantsStatus{Node: "n1", Version: 7, ConfigurationAgeMs: 310, LeaseMs: 4750, Tenants: []limits.TenantStatus{
-		{Name: "acme", RatePerSecond: 40, Burst: 50, Allocator: "n1", Pace: 3.5, Refused: 2, Left: &left},
+		{Name: "acme", RatePerSecond: 40, Burst: 50, Allocator: "n1", RequestRate: 3.5, Refused: 2, Remaining: &left},
 		{Name: "other", RatePerSecond: 4, Allocator: "n2"},
 	}}
 	ctl := ctlOfStatus(t, "/v1/tenants", &status)
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -17,15 +17,15 @@
 	"stepseam.example/stepseam/internal/loads"
 )
 
-var prompt = Prompt{Parts: []Part{{ID: 1, Tokens: 12000}, {ID: 2, Tokens: 1000}}, Tokens: 13000}
+var prompt = Prompt{Segments: []Segment{{ID: 1, Tokens: 12000}, {ID: 2, Tokens: 1000}}, Tokens: 13000}
 
 const service = "s"
 
 func pick(t *Tracker, engine bool, now time.Duration, except ...string) string {
-	return pickFor(t, Need{Engine: engine, Prompt: prompt, Except: except}, now)
+	return pickFor(t, Requirements{Engine: engine, Prompt: prompt, Exclude: except}, now)
 }
 
-func pickFor(t *Tracker, need Need, now time.Duration) string {
+func pickFor(t *Tracker, need Requirements, now time.Duration) string {
 	slots := 6
 	if need.Engine {
 		slots = 12
@@ -40,7 +40,7 @@
 }
 
 // begin sends a request to instance.
-func begin(t *Tracker, instance string, prompt Prompt, now time.Duration) *Sending {
+func begin(t *Tracker, instance string, prompt Prompt, now time.Duration) *InFlightRequest {
 	return t.Begin(Target{Instance: instance, Service: service}, prompt, now)
 }
 
@@ -85,7 +85,7 @@
 // pickExposed chooses for a request that must not go to a second replica.
 func pickExposed(t *Tracker, now time.Duration) string {
 	replicas := []fleet.Replica{{Instance: "near", Zone: "z"}, {Instance: "far", Zone: "y"}}
-	choice, _ := Choose(t.Candidates(replicas, Need{Exposed: true}, now), Work{Rates: t.Rates(service)}, 0)
+	choice, _ := Choose(t.Candidates(replicas, Requirements{NotRetryable: true}, now), Work{Rates: t.Rates(service)}, 0)
 	return choice.Candidate.Instance
 }
 
@@ -107,13 +107,13 @@
 	is := is.New(t)
 	one, other := NewTracker("z"), NewTracker("z")
 	serve(one, "near", Prompt{}, true, 0)
-	told := one.Own(0)
-	is.Equal(told, map[loads.Key]loads.Load{loads.KeyOf("near"): {Failing: true}})
-	other.Heard(netip.MustParseAddrPort("10.0.0.2:1"), told, 1, 0)
+	told := one.OwnLoads(0)
+	is.Equal(told, map[loads.ReplicaKey]loads.Load{loads.HashReplica("near"): {Failing: true}})
+	other.SetPeerLoad(netip.MustParseAddrPort("10.0.0.2:1"), told, 1, 0)
 	is.Equal(pick(other, false, 0), "near")
 	is.Equal(pickExposed(other, 0), "far")
-	is.Equal(pickExposed(other, loads.Life+1), "near")
-	is.Equal(len(one.Own(time.Minute)), 0)
+	is.Equal(pickExposed(other, loads.ReportTTL+1), "near")
+	is.Equal(len(one.OwnLoads(time.Minute)), 0)
 }
 
 func TestSuspicionGrowsWithinBounds(t *testing.T) {
@@ -130,11 +130,11 @@
 	is := is.New(t)
 	tracker := NewTracker("z")
 	for id := range uint64(10 * partsPerReplica) {
-		begin(tracker, "a", Prompt{Parts: []Part{{ID: id, Tokens: 5}}}, 0)
+		begin(tracker, "a", Prompt{Segments: []Segment{{ID: id, Tokens: 5}}}, 0)
 	}
 	known := tracker.replicas["a"].prompts
 	is.True(len(known.recent)+len(known.older) <= partsPerReplica)
-	is.Equal(known.cached([]Part{{ID: 10*partsPerReplica - 1, Tokens: 5}}), 5)
+	is.Equal(known.cached([]Segment{{ID: 10*partsPerReplica - 1, Tokens: 5}}), 5)
 }
 
 // stream lets instance bring events.
@@ -143,7 +143,7 @@
 	t.Answered(sending, 0)
 	t.FirstEvent(sending, 0)
 	t.End(sending, false, 0)
-	t.Streamed(sending, slices.Repeat([]time.Duration{took / time.Duration(events-1)}, events-1), 0)
+	t.StreamEnded(sending, slices.Repeat([]time.Duration{took / time.Duration(events-1)}, events-1), 0)
 }
 
 func TestSlowReplicaIsLeftForAFasterOne(t *testing.T) {
@@ -173,31 +173,31 @@
 	is := is.New(t)
 	tracker := NewTracker("z")
 	first := begin(tracker, "near", Prompt{}, 0)
-	is.Equal(pickFor(tracker, Need{Engine: true}, patience), "near")
-	is.Equal(pickFor(tracker, Need{Engine: true}, patience+1), "far")
+	is.Equal(pickFor(tracker, Requirements{Engine: true}, patience), "near")
+	is.Equal(pickFor(tracker, Requirements{Engine: true}, patience+1), "far")
 	second := begin(tracker, "near", Prompt{}, patience)
 	tracker.Answered(first, patience+1) // one of the two
-	is.Equal(pickFor(tracker, Need{Engine: true}, 2*patience), "near")
-	is.Equal(pickFor(tracker, Need{Engine: true}, 2*patience+2), "far")
+	is.Equal(pickFor(tracker, Requirements{Engine: true}, 2*patience), "near")
+	is.Equal(pickFor(tracker, Requirements{Engine: true}, 2*patience+2), "far")
 	tracker.Answered(second, 2*patience+2)
-	is.Equal(pickFor(tracker, Need{Engine: true}, time.Hour), "near")
+	is.Equal(pickFor(tracker, Requirements{Engine: true}, time.Hour), "near")
 }
 
 func TestWhatOtherNodesHaveUnderWayCounts(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker("z")
 	other, third := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
-	tracker.Heard(other, map[loads.Key]loads.Load{loads.KeyOf("near"): {UnderWay: 2}}, 1, 0)
+	tracker.SetPeerLoad(other, map[loads.ReplicaKey]loads.Load{loads.HashReplica("near"): {InFlight: 2}}, 1, 0)
 	is.Equal(pick(tracker, false, 0), "far")
-	tracker.Heard(third, map[loads.Key]loads.Load{loads.KeyOf("far"): {UnderWay: 3}, loads.KeyOf("away"): {UnderWay: 3}}, 1, 0)
+	tracker.SetPeerLoad(third, map[loads.ReplicaKey]loads.Load{loads.HashReplica("far"): {InFlight: 3}, loads.HashReplica("away"): {InFlight: 3}}, 1, 0)
 	is.Equal(pick(tracker, false, 0), "near")
-	tracker.Heard(third, nil, 1, loads.Life+1) // and the other has fallen silent
-	is.Equal(tracker.heard.sums[loads.KeyOf("near")].underWay, 0)
+	tracker.SetPeerLoad(third, nil, 1, loads.ReportTTL+1) // and the other has fallen silent
+	is.Equal(tracker.heard.sums[loads.HashReplica("near")].underWay, 0)
 	begin(tracker, "near", Prompt{}, 0)
-	is.Equal(tracker.Own(0), map[loads.Key]loads.Load{loads.KeyOf("near"): {UnderWay: 1}})
-	tracker.Heard(third, map[loads.Key]loads.Load{loads.KeyOf("near"): {UnderWay: 2}}, 0.25, loads.Life+2)
+	is.Equal(tracker.OwnLoads(0), map[loads.ReplicaKey]loads.Load{loads.HashReplica("near"): {InFlight: 1}})
+	tracker.SetPeerLoad(third, map[loads.ReplicaKey]loads.Load{loads.HashReplica("near"): {InFlight: 2}}, 0.25, loads.ReportTTL+2)
 	replicas := []fleet.Replica{{Instance: "near"}}
-	is.Equal(tracker.Candidates(replicas, Need{}, loads.Life+2)[0].Elsewhere, 8) // of four times as many nodes
+	is.Equal(tracker.Candidates(replicas, Requirements{}, loads.ReportTTL+2)[0].InFlightElsewhere, 8) // of four times as many nodes
 }
 
 func TestUtilizationCountsAllNodesAndSlots(t *testing.T) {
@@ -210,7 +210,7 @@
 	begin(tracker, "gone", Prompt{}, 0)
 	is.Equal(tracker.Utilization(replicas, 0, 0), 0.1)
 	other := netip.MustParseAddrPort("10.0.0.1:1")
-	tracker.Heard(other, map[loads.Key]loads.Load{loads.KeyOf("b"): {UnderWay: 2}}, 0.5, time.Second)
+	tracker.SetPeerLoad(other, map[loads.ReplicaKey]loads.Load{loads.HashReplica("b"): {InFlight: 2}}, 0.5, time.Second)
 	is.Equal(tracker.Utilization(replicas, 0, time.Second), 0.5) // half of the nodes told of two
 	is.Equal(tracker.Utilization(replicas, 0, 10*time.Second), 0.1)
 	is.Equal(tracker.Utilization([]fleet.Replica{{Instance: "a"}}, 2, 10*time.Second), 0.5)
@@ -219,7 +219,7 @@
 func TestOpenConnectionIsUsedAmongEquals(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker("elsewhere") // all are as far
-	need := Need{Connected: func(replica fleet.Replica) bool { return replica.Instance == "away" }}
+	need := Requirements{Connected: func(replica fleet.Replica) bool { return replica.Instance == "away" }}
 	is.Equal(pickFor(tracker, need, 0), "away")
 	begin(tracker, "away", Prompt{}, 0)
 	is.Equal(pickFor(tracker, need, 0), "near") // what is under way there costs more
@@ -229,7 +229,7 @@
 	is := is.New(t)
 	tracker := NewTracker("z")
 	is.Equal(begin(tracker, "near", prompt, 0).Expected().UncachedTokens, 13000)
-	grown := Prompt{Parts: []Part{{ID: 1, Tokens: 12000}, {ID: 2, Tokens: 3000}, {ID: 3, Tokens: 500}}, Tokens: 15500}
+	grown := Prompt{Segments: []Segment{{ID: 1, Tokens: 12000}, {ID: 2, Tokens: 3000}, {ID: 3, Tokens: 500}}, Tokens: 15500}
 	is.Equal(begin(tracker, "near", grown, 0).Expected().UncachedTokens, 2500)
 }
 
@@ -237,29 +237,29 @@
 	is := is.New(t)
 	tracker := NewTracker("z")
 	later := prompt
-	later.Resident = Resident{Instance: "away", Tokens: 12500}
-	is.Equal(pickFor(tracker, Need{Engine: true, Prompt: later}, 0), "away")
+	later.CacheLocation = CacheLocation{Instance: "away", Tokens: 12500}
+	is.Equal(pickFor(tracker, Requirements{Engine: true, Prompt: later}, 0), "away")
 	sending := begin(tracker, "away", later, 0)
 	is.Equal(sending.Expected().UncachedTokens, 500)
 	for range 9 {
 		begin(tracker, "away", Prompt{Tokens: 13000}, 0) // none of which it holds
 	}
-	is.Equal(pickFor(tracker, Need{Engine: true, Prompt: later}, 0), "near")
+	is.Equal(pickFor(tracker, Requirements{Engine: true, Prompt: later}, 0), "near")
 }
 
 func TestWhatIsYetToBeReadCountsUntilItsFirstEvent(t *testing.T) {
 	is := is.New(t)
 	one, other := NewTracker("z"), NewTracker("z")
 	sending := begin(one, "near", prompt, 0)
-	told := one.Own(0)
-	is.Equal(told[loads.KeyOf("near")], loads.Load{UnderWay: 1, UnreadTokens: 13000})
-	other.Heard(netip.MustParseAddrPort("10.0.0.2:1"), told, 1, 0)
+	told := one.OwnLoads(0)
+	is.Equal(told[loads.HashReplica("near")], loads.Load{InFlight: 1, PendingTokens: 13000})
+	other.SetPeerLoad(netip.MustParseAddrPort("10.0.0.2:1"), told, 1, 0)
 	expected := begin(other, "near", prompt, 0).Expected()
 	is.True(expected.FirstMilliseconds > 0)
 	expected.FirstMilliseconds = 0
-	is.Equal(expected, Expected{UncachedTokens: 13000, TokensAhead: 13000, Others: 1})
+	is.Equal(expected, Expected{UncachedTokens: 13000, TokensAhead: 13000, OtherRequests: 1})
 	one.FirstEvent(sending, time.Second)
-	is.Equal(one.Own(0)[loads.KeyOf("near")].UnreadTokens, 0)
+	is.Equal(one.OwnLoads(0)[loads.HashReplica("near")].PendingTokens, 0)
 	one.End(sending, false, time.Second)
 	is.Equal(one.replicas["near"].unread, 0)
 }
@@ -283,7 +283,7 @@
 			tracker.FirstEvent(sending, took)
 			tracker.End(sending, false, took)
 			gap := time.Duration(size.perEvent * float64(time.Millisecond))
-			tracker.Streamed(sending, slices.Repeat([]time.Duration{gap}, 9), took)
+			tracker.StreamEnded(sending, slices.Repeat([]time.Duration{gap}, 9), took)
 		}
 		truth := tracker.Rates(service)
 		truth.MillisecondsPerToken, truth.EventMilliseconds = size.perToken, size.perEvent
@@ -292,8 +292,8 @@
 			var candidates []Candidate
 			for _, name := range []string{"a", "b", "c"} {
 				candidates = append(candidates, Candidate{
-					Instance: name, Engine: true, SameZone: name == "a", Slots: 16, UnderWay: random.IntN(10),
-					CachedTokens: random.IntN(5000), UnreadElsewhere: random.IntN(3000),
+					Instance: name, Engine: true, SameZone: name == "a", Slots: 16, InFlight: random.IntN(10),
+					CachedTokens: random.IntN(5000), PendingTokensElsewhere: random.IntN(3000),
 				})
 			}
 			work := Work{PromptTokens: 5000, Rates: tracker.Rates(service)}
@@ -311,7 +311,7 @@
 	tracker := NewTracker("z")
 	for range 50 {
 		sending := begin(tracker, "near", Prompt{}, 0)
-		tracker.Plain(sending, 300*time.Millisecond)
+		tracker.BodyReceived(sending, 300*time.Millisecond)
 		tracker.Answered(sending, 0)
 		tracker.End(sending, false, 0)
 	}
@@ -319,7 +319,7 @@
 	is.Equal(pick(tracker, false, 0), "far")
 	for range 1000 {
 		sending := begin(tracker, "far", Prompt{}, 0)
-		tracker.Plain(sending, 3*time.Millisecond)
+		tracker.BodyReceived(sending, 3*time.Millisecond)
 		tracker.Answered(sending, 0)
 		tracker.End(sending, false, 0)
 	}
@@ -349,18 +349,18 @@
 
 func TestKeepersWordReplacesWhatWasHeardLongAgo(t *testing.T) {
 	is := is.New(t)
-	believed := Candidate{Engine: true, UnderWay: 1, Elsewhere: 9, UnreadHere: 100, UnreadElsewhere: 9000, CachedTokens: 4000}
-	told := Known{Load: loads.Load{UnderWay: 2, UnreadTokens: 64, Failing: true}, CachedTokens: 500, Settled: true}
-	learned := believed.Learn(told, true)
+	believed := Candidate{Engine: true, InFlight: 1, InFlightElsewhere: 9, PendingTokens: 100, PendingTokensElsewhere: 9000, CachedTokens: 4000}
+	told := AggregatedState{Load: loads.Load{InFlight: 2, PendingTokens: 64, Failing: true}, CachedTokens: 500, Complete: true}
+	learned := believed.WithAggregatedState(told, true)
 	is.Equal(learned, Candidate{
-		Engine: true, UnderWay: 1, Elsewhere: 2, UnreadHere: 100, UnreadElsewhere: 64, CachedTokens: 500, Unproven: true,
+		Engine: true, InFlight: 1, InFlightElsewhere: 2, PendingTokens: 100, PendingTokensElsewhere: 64, CachedTokens: 500, FailedRecently: true,
 	})
 	// A keeper that may not have heard all nodes yet can only add to the load.
-	told.Settled = false
-	learned = believed.Learn(told, false)
+	told.Complete = false
+	learned = believed.WithAggregatedState(told, false)
 	is.Equal(learned, believed)
-	told.Load = loads.Load{UnderWay: 20}
-	is.Equal(believed.Learn(told, false).Elsewhere, 20)
+	told.Load = loads.Load{InFlight: 20}
+	is.Equal(believed.WithAggregatedState(told, false).InFlightElsewhere, 20)
 }
 
 func TestShortlistHoldsTheBestAndSomeOthers(t *testing.T) {
@@ -369,7 +369,7 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	candidates := make([]Candidate, 0, 60)
 	for i := range 60 {
-		candidates = append(candidates, Candidate{Instance: string(rune('A' + i)), Engine: true, SameZone: true, UnderWay: i})
+		candidates = append(candidates, Candidate{Instance: string(rune('A' + i)), Engine: true, SameZone: true, InFlight: i})
 	}
 	work := Work{Rates: NewTracker("z").Rates(service)}
 	drawn := map[string]bool{}
@@ -401,10 +401,10 @@
 			candidates := make([]Candidate, 0, 60)
 			for i := range 60 {
 				candidates = append(candidates, Candidate{
-					Instance: string(rune('A' + i)), Engine: true, SameZone: i%3 == 0, UnderWay: random.IntN(50),
+					Instance: string(rune('A' + i)), Engine: true, SameZone: i%3 == 0, InFlight: random.IntN(50),
 				})
 			}
-			for _, candidate := range Shortlist(candidates, Work{FirstPart: part, Rates: NewTracker("z").Rates(service)}, random.Float64) {
+			for _, candidate := range Shortlist(candidates, Work{FirstSegment: part, Rates: NewTracker("z").Rates(service)}, random.Float64) {
 				times[candidate.Instance]++
 			}
 		}
@@ -427,12 +427,12 @@
 func TestWhatAKeeperToldIsBelievedOfTheRequestSent(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker("z")
-	known := &Known{Load: loads.Load{UnderWay: 4, UnreadTokens: 640}, CachedTokens: 12000, Settled: true}
+	known := &AggregatedState{Load: loads.Load{InFlight: 4, PendingTokens: 640}, CachedTokens: 12000, Complete: true}
 	sending := tracker.Begin(Target{Instance: "near", Service: service, Known: known}, prompt, 0)
 	is.Equal(sending.Expected().UncachedTokens, 1000)
 	is.Equal(sending.Expected().TokensAhead, 640)
-	is.Equal(sending.Expected().Others, 4)
-	is.Equal(tracker.Load("near", 0), loads.Load{UnderWay: 1, UnreadTokens: 1000})
+	is.Equal(sending.Expected().OtherRequests, 4)
+	is.Equal(tracker.Load("near", 0), loads.Load{InFlight: 1, PendingTokens: 1000})
 	tracker.End(sending, false, 0)
 	is.Equal(tracker.Load("near", 0), loads.Load{})
 }
@@ -450,7 +450,7 @@
 		}
 		sending := tracker.Begin(Target{Instance: "i", Service: "s", Slots: 8, Cold: i%2 == 1}, Prompt{}, now)
 		now += took
-		tracker.Plain(sending, now)
+		tracker.BodyReceived(sending, now)
 		tracker.End(sending, false, now)
 	}
 	rates := tracker.Rates("s")
@@ -467,7 +467,7 @@
 	is := is.New(t)
 	work := Work{PromptTokens: 1000, Rates: estimate.Rates{MillisecondsPerToken: 0.01, Events: 5, EventMilliseconds: 20, EventMillisecondsPerRequest: 1}}
 	near := func(underWay int) Candidate {
-		return Candidate{Instance: "near", SameZone: true, Engine: true, Slots: 8, UnderWay: underWay}
+		return Candidate{Instance: "near", SameZone: true, Engine: true, Slots: 8, InFlight: underWay}
 	}
 	far := func(roundTrip float64) Candidate {
 		return Candidate{Instance: "far", OtherRegion: true, RoundTripMilliseconds: roundTrip, Engine: true, Slots: 8}
@@ -481,7 +481,7 @@
 		is.True(found)
 		is.Equal(choice.Candidate.Instance, c.want)
 	}
-	answering, beyond := Within([]Candidate{near(0), far(60)}, 8)
+	answering, beyond := SplitByRoundTrip([]Candidate{near(0), far(60)}, 8)
 	is.Equal(len(answering), 1)
 	is.Equal(beyond[0].Instance, "far")
 }
@@ -490,8 +490,8 @@
 	is := is.New(t)
 	tracker := NewTracker("a")
 	replicas := []fleet.Replica{{Instance: "1", Zone: "a"}, {Instance: "2", Zone: "c"}}
-	candidates := tracker.Candidates(replicas, Need{Way: func(zone string) distance.Way {
-		return distance.Way{Zone: zone, RoundTrip: 60 * time.Millisecond, OtherRegion: zone == "c"}
+	candidates := tracker.Candidates(replicas, Requirements{PathTo: func(zone string) distance.Path {
+		return distance.Path{Zone: zone, RoundTrip: 60 * time.Millisecond, OtherRegion: zone == "c"}
 	}}, 0)
 	is.Equal(candidates[1].RoundTripMilliseconds, 60.0)
 	is.True(candidates[1].OtherRegion)
@@ -505,15 +505,15 @@
 	far := Candidate{Instance: "far", OtherRegion: true, Slots: 8, CachedTokens: 1000}
 	names := func(candidates ...Candidate) string {
 		kept := ""
-		for _, candidate := range KeepRegion(append(candidates, far)) {
+		for _, candidate := range PreferOwnRegion(append(candidates, far)) {
 			kept += candidate.Instance + " "
 		}
 		return kept
 	}
-	is.Equal(names(Candidate{Instance: "free", Slots: 8, UnderWay: 3, Elsewhere: 4}), "free ")
+	is.Equal(names(Candidate{Instance: "free", Slots: 8, InFlight: 3, InFlightElsewhere: 4}), "free ")
 	is.Equal(names(Candidate{Instance: "untold"}), "untold ")
-	is.Equal(names(Candidate{Instance: "full", Slots: 8, UnderWay: 3, Elsewhere: 5}), "full far ")
+	is.Equal(names(Candidate{Instance: "full", Slots: 8, InFlight: 3, InFlightElsewhere: 5}), "full far ")
 	is.Equal(names(Candidate{Instance: "suspect", Slots: 8, Suspect: true}), "suspect far ")
-	is.Equal(names(Candidate{Instance: "full", Slots: 1, UnderWay: 1}, Candidate{Instance: "free", Slots: 8}), "full free ")
+	is.Equal(names(Candidate{Instance: "full", Slots: 1, InFlight: 1}, Candidate{Instance: "free", Slots: 8}), "full free ")
 	is.Equal(names(), "far ")
 }
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -10,18 +10,18 @@
 	"stepseam.example/stepseam/internal/fleet"
 )
 
-// Need is what a request needs of a replica.
-type Need struct {
+// Requirements is what a request needs of a replica.
+type Requirements struct {
 	// Engine tells that requests are batched and prompts cached.
 	Engine bool
 	Prompt Prompt
-	// Exposed tells that a failure of the replica fails the request, which must not
+	// NotRetryable tells that a failure of the replica fails the request, which must not
 	// go to another.
-	Exposed bool
-	// Except lists the lives of replicas that it has been to.
-	Except []string
-	// Way returns the way to a zone; nil takes all for zones of one region.
-	Way func(zone string) distance.Way
+	NotRetryable bool
+	// Exclude lists the lives of replicas that it has been to.
+	Exclude []string
+	// PathTo returns the way to a zone; nil takes all for zones of one region.
+	PathTo func(zone string) distance.Path
 	// Cold tells whether a replica is cold; nil counts all as warm.
 	Cold func(replica fleet.Replica) bool
 	// Connected tells whether a connection to a replica is open; nil counts all as
@@ -31,13 +31,13 @@
 
 // Candidates describes the replicas that a request may go to. now is a monotonic
 // reading.
-func (t *Tracker) Candidates(replicas []fleet.Replica, need Need, now time.Duration) []Candidate {
+func (t *Tracker) Candidates(replicas []fleet.Replica, need Requirements, now time.Duration) []Candidate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	candidates := make([]Candidate, 0, len(replicas))
 	ways := waysOf(need)
 	for _, replica := range replicas {
-		if !slices.Contains(need.Except, replica.Life()) {
+		if !slices.Contains(need.Exclude, replica.IncarnationID()) {
 			candidates = append(candidates, t.candidate(replica, need, ways(replica.Zone), now))
 		}
 	}
@@ -46,15 +46,15 @@
 }
 
 // waysOf returns need.Way that looks each zone up once.
-func waysOf(need Need) func(zone string) distance.Way {
-	if need.Way == nil {
-		return func(string) distance.Way { return distance.Way{RoundTrip: distance.PriorZone} }
+func waysOf(need Requirements) func(zone string) distance.Path {
+	if need.PathTo == nil {
+		return func(string) distance.Path { return distance.Path{RoundTrip: distance.DefaultZoneRoundTrip} }
 	}
-	known := map[string]distance.Way{}
-	return func(zone string) distance.Way {
+	known := map[string]distance.Path{}
+	return func(zone string) distance.Path {
 		way, found := known[zone]
 		if !found {
-			way = need.Way(zone)
+			way = need.PathTo(zone)
 			known[zone] = way
 		}
 		return way
@@ -62,25 +62,25 @@
 }
 
 // candidate describes one replica; its lag is its whole pace still. It needs the mutex.
-func (t *Tracker) candidate(replica fleet.Replica, need Need, way distance.Way, now time.Duration) Candidate {
-	life := replica.Life()
+func (t *Tracker) candidate(replica fleet.Replica, need Requirements, way distance.Path, now time.Duration) Candidate {
+	life := replica.IncarnationID()
 	elsewhere := t.heard.load(life, now)
 	described := Candidate{
 		Instance: life, SameZone: replica.Zone == t.zone, Engine: need.Engine, Slots: replica.Slots,
 		OtherRegion: way.OtherRegion, RoundTripMilliseconds: milliseconds(way.RoundTrip),
-		Doubtful:  replica.State == fleet.StateLapsed,
-		Elsewhere: elsewhere.UnderWay, UnreadElsewhere: elsewhere.UnreadTokens,
-		CachedTokens: t.cached(life, need.Prompt),
-		Unproven:     need.Exposed && elsewhere.Failing,
-		Unconnected:  need.Connected != nil && !need.Connected(replica),
-		Cold:         need.Cold != nil && need.Cold(replica),
+		Lapsed:            replica.State == fleet.StateLapsed,
+		InFlightElsewhere: elsewhere.InFlight, PendingTokensElsewhere: elsewhere.PendingTokens,
+		CachedTokens:   t.cached(life, need.Prompt),
+		FailedRecently: need.NotRetryable && elsewhere.Failing,
+		Unconnected:    need.Connected != nil && !need.Connected(replica),
+		Cold:           need.Cold != nil && need.Cold(replica),
 	}
 	if known, found := t.replicas[life]; found {
-		described.UnderWay = known.underWay
-		described.UnreadHere = known.unread
+		described.InFlight = known.underWay
+		described.PendingTokens = known.unread
 		described.Suspect = now < known.suspectUntil || known.waiting > 0 && now-known.waitingSince > patience
 		described.LagMilliseconds = known.pace
-		described.Unproven = described.Unproven || need.Exposed && known.unproven(now)
+		described.FailedRecently = described.FailedRecently || need.NotRetryable && known.unproven(now)
 		described.Ejected, described.Probe = known.soundness.standing(known.underWay, now)
 	}
 	return described
@@ -90,11 +90,11 @@
 // It needs the mutex.
 func (t *Tracker) cached(instance string, prompt Prompt) int {
 	cached := 0
-	if prompt.Resident.Instance == instance {
-		cached = min(prompt.Resident.Tokens, prompt.Tokens)
+	if prompt.CacheLocation.Instance == instance {
+		cached = min(prompt.CacheLocation.Tokens, prompt.Tokens)
 	}
 	if known, found := t.replicas[instance]; found {
-		cached = max(cached, known.prompts.cached(prompt.Parts))
+		cached = max(cached, known.prompts.cached(prompt.Segments))
 	}
 	return cached
 }
@@ -119,10 +119,10 @@
 		} else {
 			slots += usualSlots
 		}
-		if known, found := t.replicas[replica.Life()]; found {
+		if known, found := t.replicas[replica.IncarnationID()]; found {
 			underWay += known.underWay
 		}
-		underWay += t.heard.load(replica.Life(), now).UnderWay
+		underWay += t.heard.load(replica.IncarnationID(), now).InFlight
 	}
 	if slots == 0 {
 		return 0
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -53,27 +53,27 @@
 	RoundTripMilliseconds float64
 	// Engine tells that requests are batched and prompts cached.
 	Engine bool
-	// UnderWay is how many requests of this node run there, Elsewhere how many of
+	// InFlight is how many requests of this node run there, InFlightElsewhere how many of
 	// others, as they told lately.
-	UnderWay, Elsewhere int
+	InFlight, InFlightElsewhere int
 	// Slots is how many it runs at once; 0 if not known.
 	Slots int
 	// CachedTokens is how much of the prompt it has seen.
 	CachedTokens int
-	// UnreadHere and UnreadElsewhere are how many tokens it has yet to read of the
+	// PendingTokens and PendingTokensElsewhere are how many tokens it has yet to read of the
 	// prompts of this node's other requests and of other nodes' requests.
-	UnreadHere, UnreadElsewhere int
+	PendingTokens, PendingTokensElsewhere int
 	// Suspect tells that it failed lately, or leaves requests without an answer.
 	Suspect bool
-	// Unproven tells that a request that a failure would fail had better go elsewhere:
+	// FailedRecently tells that a request that a failure would fail had better go elsewhere:
 	// the replica failed lately, here or at other nodes, and has not served since.
-	Unproven bool
+	FailedRecently bool
 	// Ejected tells that it fails more than others of its service; Probe is the right to
 	// try it all the same.
 	Ejected bool
 	Probe   outlier.Probe
-	// Doubtful tells that it may have left.
-	Doubtful bool
+	// Lapsed tells that it may have left.
+	Lapsed bool
 	// Cold tells that it is slower than others of its service.
 	Cold bool
 	// Unconnected tells that a connection to it would have to be made.
@@ -87,9 +87,9 @@
 type Work struct {
 	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// FirstPart names the prompt's first part, which many programs may share; 0 if it has
+	// FirstSegment names the prompt's first part, which many programs may share; 0 if it has
 	// none.
-	FirstPart uint64
+	FirstSegment uint64
 	// Rates is how fast the replicas of the service work.
 	Rates estimate.Rates
 }
@@ -135,10 +135,10 @@
 	if candidate.Unconnected {
 		total += connectionCost
 	}
-	if candidate.Doubtful {
+	if candidate.Lapsed {
 		total += doubtfulCost
 	}
-	if candidate.Unproven {
+	if candidate.FailedRecently {
 		total += unprovenCost
 	}
 	if candidate.Ejected {
@@ -150,11 +150,11 @@
 	return total
 }
 
-// KeepRegion leaves out the candidates of other regions as long as a sound one of the own
+// PreferOwnRegion leaves out the candidates of other regions as long as a sound one of the own
 // region has a free slot. The costs below weigh one request, and a program's next turns go
 // where its prompt is kept: by them, programs that once went to another region would stay
 // there, at two ways between regions a turn.
-func KeepRegion(candidates []Candidate) []Candidate {
+func PreferOwnRegion(candidates []Candidate) []Candidate {
 	if !slices.ContainsFunc(candidates, Candidate.roomInRegion) {
 		return candidates
 	}
@@ -163,8 +163,8 @@
 
 // roomInRegion tells whether the candidate lies in the own region, is sound and has a slot.
 func (c Candidate) roomInRegion() bool {
-	free := c.Slots <= 0 || c.UnderWay+c.Elsewhere < c.Slots
-	return !c.OtherRegion && free && !c.Suspect && !c.Unproven && !c.Doubtful && !c.Ejected
+	free := c.Slots <= 0 || c.InFlight+c.InFlightElsewhere < c.Slots
+	return !c.OtherRegion && free && !c.Suspect && !c.FailedRecently && !c.Lapsed && !c.Ejected
 }
 
 // wayCost is what the way to another zone costs.
@@ -183,13 +183,13 @@
 // this one holds up those that run.
 func engineCost(candidate Candidate, work Work) float64 {
 	rates := work.Rates
-	others := float64(candidate.UnderWay + candidate.Elsewhere)
+	others := float64(candidate.InFlight + candidate.InFlightElsewhere)
 	slowness := 1.0
 	if rates.EventMilliseconds > 0 {
 		slowness += candidate.LagMilliseconds / rates.EventMilliseconds
 	}
 	uncached := float64(max(work.PromptTokens-candidate.CachedTokens, 0)) * rates.MillisecondsPerToken
-	unread := float64(candidate.UnreadHere+candidate.UnreadElsewhere) * rates.MillisecondsPerToken
+	unread := float64(candidate.PendingTokens+candidate.PendingTokensElsewhere) * rates.MillisecondsPerToken
 	sharing := rates.Events * rates.EventMillisecondsPerRequest
 	own := slowness*(uncached+unread+sharing*others) + candidate.LagMilliseconds*rates.Events
 	neighbours := neighbourShare * others * (uncached + sharing)
@@ -208,7 +208,7 @@
 
 // workerCost is the delay where requests take a slot each.
 func workerCost(candidate Candidate, rates estimate.Rates) float64 {
-	underWay := float64(candidate.UnderWay + candidate.Elsewhere)
+	underWay := float64(candidate.InFlight + candidate.InFlightElsewhere)
 	share := underWay * rates.ServiceMilliseconds / float64(max(candidate.Slots, 1))
 	return share + queueing(candidate, rates.ServiceMilliseconds)
 }
@@ -219,7 +219,7 @@
 	if candidate.Slots <= 0 {
 		return 0
 	}
-	ahead := max(candidate.UnderWay+candidate.Elsewhere+1-candidate.Slots, 0)
+	ahead := max(candidate.InFlight+candidate.InFlightElsewhere+1-candidate.Slots, 0)
 	return float64(ahead) * milliseconds / float64(candidate.Slots)
 }
 
--- a/internal/balance/gather.go
+++ b/internal/balance/gather.go
@@ -27,42 +27,42 @@
 	gatherElsewhere = 1
 )
 
-// Gathering says which replicas of a service may be of use to a request.
-type Gathering struct {
+// SampleOptions says which replicas of a service may be of use to a request.
+type SampleOptions struct {
 	Service string
 	// Zones are those that the request may go to, the nearest first.
 	Zones []string
-	// Resident is the life of the replica that is told to hold the beginning of the prompt.
-	Resident string
-	// FirstPart names the prompt's first part; 0 if it has none.
-	FirstPart uint64
+	// CacheLocation is the life of the replica that is told to hold the beginning of the prompt.
+	CacheLocation string
+	// FirstSegment names the prompt's first part; 0 if it has none.
+	FirstSegment uint64
 	// Node is a number of this node's own, the same over time.
 	Node uint64
-	// Fits tells whether a replica may get the request.
-	Fits func(replica *fleet.Replica) bool
+	// Eligible tells whether a replica may get the request.
+	Eligible func(replica *fleet.Replica) bool
 	// Random returns numbers in [0,1).
 	Random func() float64
 }
 
-// Gather returns the replicas to choose from, each once. It finds one if any fits.
-func Gather(directory *fleet.Directory, need Gathering, now time.Duration) []fleet.Replica {
+// SampleReplicas returns the replicas to choose from, each once. It finds one if any fits.
+func SampleReplicas(directory *fleet.Directory, need SampleOptions, now time.Duration) []fleet.Replica {
 	if len(need.Zones) == 0 {
 		return nil
 	}
 	found := make([]fleet.Replica, 0, gatherAffine+gatherDrawn+gatherElsewhere+1)
-	if resident, known := directory.Life(need.Resident, now); known && need.allows(&resident) {
+	if resident, known := directory.ByIncarnation(need.CacheLocation, now); known && need.allows(&resident) {
 		found = append(found, resident)
 	}
 	nearest, others := need.Zones[0], need.Zones[1:]
-	if need.FirstPart != 0 {
-		found = directory.After(found, need.Service, nearest, spread(need.FirstPart), gatherAffine, need.Fits, now)
+	if need.FirstSegment != 0 {
+		found = directory.After(found, need.Service, nearest, spread(need.FirstSegment), gatherAffine, need.Eligible, now)
 	} else {
-		found = directory.After(found, need.Service, nearest, spread(need.Node), gatherOwn, need.Fits, now)
+		found = directory.After(found, need.Service, nearest, spread(need.Node), gatherOwn, need.Eligible, now)
 	}
-	found = directory.Draw(found, need.Service, nearest, need.Random(), gatherDrawn, need.Fits, now)
+	found = directory.Draw(found, need.Service, nearest, need.Random(), gatherDrawn, need.Eligible, now)
 	if len(others) > 0 {
 		other := others[int(need.Random()*float64(len(others)))]
-		found = directory.Draw(found, need.Service, other, need.Random(), gatherElsewhere, need.Fits, now)
+		found = directory.Draw(found, need.Service, other, need.Random(), gatherElsewhere, need.Eligible, now)
 	}
 	if len(found) == 0 {
 		return directory.First(need.Service, need.allows, now)
@@ -71,8 +71,8 @@
 }
 
 // allows tells whether a replica fits and lies in one of the zones.
-func (g *Gathering) allows(replica *fleet.Replica) bool {
-	return replica.Service == g.Service && slices.Contains(g.Zones, replica.Zone) && g.Fits(replica)
+func (g *SampleOptions) allows(replica *fleet.Replica) bool {
+	return replica.Service == g.Service && slices.Contains(g.Zones, replica.Zone) && g.Eligible(replica)
 }
 
 // spread turns a number into a place on the ring of replicas.
--- a/internal/balance/gather_test.go
+++ b/internal/balance/gather_test.go
@@ -30,8 +30,8 @@
 
 func anyFits(*fleet.Replica) bool { return true }
 
-func need(random func() float64) Gathering {
-	return Gathering{Service: "s", Zones: gatherZones, FirstPart: 77, Node: 5, Fits: anyFits, Random: random}
+func need(random func() float64) SampleOptions {
+	return SampleOptions{Service: "s", Zones: gatherZones, FirstSegment: 77, Node: 5, Eligible: anyFits, Random: random}
 }
 
 func namesOf(replicas []fleet.Replica) []string {
@@ -47,9 +47,9 @@
 	d := manyReplicas(900)
 	random := rand.New(rand.NewPCG(1, 2))
 	asked := need(random.Float64)
-	asked.Resident = "i-501"
+	asked.CacheLocation = "i-501"
 	for range 200 {
-		found := namesOf(Gather(d, asked, 0))
+		found := namesOf(SampleReplicas(d, asked, 0))
 		is.True(len(found) >= gatherAffine+1 && len(found) <= gatherAffine+gatherDrawn+gatherElsewhere+1)
 		is.True(slices.Contains(found, "i-501"))
 		slices.Sort(found)
@@ -64,21 +64,21 @@
 	d := manyReplicas(900)
 	one, other := need(rand.New(rand.NewPCG(1, 2)).Float64), need(rand.New(rand.NewPCG(3, 4)).Float64)
 	other.Node = 6
-	first := namesOf(Gather(d, one, 0))[:gatherAffine]
-	is.Equal(namesOf(Gather(d, other, 0))[:gatherAffine], first)
+	first := namesOf(SampleReplicas(d, one, 0))[:gatherAffine]
+	is.Equal(namesOf(SampleReplicas(d, other, 0))[:gatherAffine], first)
 	d.Apply([]fleet.Change{{Instance: first[0], Unreadable: true}}, 0)
-	is.Equal(namesOf(Gather(d, one, 0))[:gatherAffine-1], first[1:])
+	is.Equal(namesOf(SampleReplicas(d, one, 0))[:gatherAffine-1], first[1:])
 }
 
 func TestRequestsWithoutAPromptUseFewReplicasAgain(t *testing.T) {
 	is := is.New(t)
 	d := manyReplicas(900)
 	asked := need(rand.New(rand.NewPCG(1, 2)).Float64)
-	asked.FirstPart = 0
-	own := namesOf(Gather(d, asked, 0))[:gatherOwn]
-	is.Equal(namesOf(Gather(d, asked, 0))[:gatherOwn], own)
+	asked.FirstSegment = 0
+	own := namesOf(SampleReplicas(d, asked, 0))[:gatherOwn]
+	is.Equal(namesOf(SampleReplicas(d, asked, 0))[:gatherOwn], own)
 	asked.Node++
-	is.True(!slices.Equal(namesOf(Gather(d, asked, 0))[:gatherOwn], own))
+	is.True(!slices.Equal(namesOf(SampleReplicas(d, asked, 0))[:gatherOwn], own))
 }
 
 // TestTheOnlyReplicaThatFitsIsFound: in whatever zone it lies.
@@ -86,12 +86,12 @@
 	is := is.New(t)
 	d := manyReplicas(5000)
 	asked := need(rand.New(rand.NewPCG(1, 2)).Float64)
-	asked.Fits = func(replica *fleet.Replica) bool { return replica.Instance == "i-4321" }
-	is.Equal(namesOf(Gather(d, asked, 0)), []string{"i-4321"})
+	asked.Eligible = func(replica *fleet.Replica) bool { return replica.Instance == "i-4321" }
+	is.Equal(namesOf(SampleReplicas(d, asked, 0)), []string{"i-4321"})
 	asked.Zones = []string{"z0", "z2"} // it lies in neither
-	is.Equal(len(Gather(d, asked, 0)), 0)
+	is.Equal(len(SampleReplicas(d, asked, 0)), 0)
 	asked.Zones = nil
-	is.Equal(len(Gather(d, asked, 0)), 0)
+	is.Equal(len(SampleReplicas(d, asked, 0)), 0)
 }
 
 // engines is a model of replicas that batch requests and keep prompts, of which all is known
@@ -121,7 +121,7 @@
 	e.running[replica.Instance] = slices.DeleteFunc(e.running[replica.Instance], func(until time.Duration) bool { return until <= now })
 	described := Candidate{
 		Instance: replica.Instance, Engine: true, Slots: replica.Slots, SameZone: replica.Zone == gatherZones[0],
-		Elsewhere: len(e.running[replica.Instance]), RoundTripMilliseconds: 1,
+		InFlightElsewhere: len(e.running[replica.Instance]), RoundTripMilliseconds: 1,
 	}
 	if e.holds[replica.Instance][part] {
 		described.CachedTokens = modelShared
@@ -142,7 +142,7 @@
 		for _, replica := range choose(part, now) {
 			candidates = append(candidates, e.candidate(replica, part, now))
 		}
-		work := Work{PromptTokens: modelTokens, FirstPart: part, Rates: e.rates}
+		work := Work{PromptTokens: modelTokens, FirstSegment: part, Rates: e.rates}
 		chosen, _ := Choose(candidates, work, random.Float64())
 		took := e.begin(chosen.Candidate, part, now)
 		if i >= warm {
@@ -185,8 +185,8 @@
 		random := rand.New(rand.NewPCG(9, 10))
 		have, haveAnew := gathered.run(perSecond, func(part uint64, now time.Duration) []fleet.Replica {
 			asked := need(random.Float64)
-			asked.FirstPart = part
-			return Gather(gathered.directory, asked, now)
+			asked.FirstSegment = part
+			return SampleReplicas(gathered.directory, asked, now)
 		})
 		t.Logf("%v a second: scan %.1f ms, %d read anew; gather %.1f ms, %d read anew", perSecond, best, bestAnew, have, haveAnew)
 		is.New(t).True(have <= best*worse)
@@ -201,10 +201,10 @@
 			tracker := NewTracker("z0")
 			random := rand.New(rand.NewPCG(1, 2))
 			asked := need(random.Float64)
-			work := Work{PromptTokens: modelTokens, FirstPart: 77}
+			work := Work{PromptTokens: modelTokens, FirstSegment: 77}
 			b.ReportAllocs()
 			for b.Loop() {
-				candidates := tracker.Candidates(Gather(d, asked, 0), Need{Engine: true}, 0)
+				candidates := tracker.Candidates(SampleReplicas(d, asked, 0), Requirements{Engine: true}, 0)
 				Choose(candidates, work, 0.5)
 			}
 		})
--- a/internal/balance/heard_test.go
+++ b/internal/balance/heard_test.go
@@ -21,10 +21,10 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(rapid.IntRange(0, 5).Draw(t, "node"))}), 1)
-			counts := map[loads.Key]loads.Load{}
+			counts := map[loads.ReplicaKey]loads.Load{}
 			for range rapid.IntRange(0, 3).Draw(t, "replicas") {
-				key := loads.KeyOf(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "replica")))
-				counts[key] = loads.Load{UnderWay: rapid.IntRange(0, 9).Draw(t, "under way"), Failing: rapid.Bool().Draw(t, "failing")}
+				key := loads.HashReplica(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "replica")))
+				counts[key] = loads.Load{InFlight: rapid.IntRange(0, 9).Draw(t, "under way"), Failing: rapid.Bool().Draw(t, "failing")}
 			}
 			h.take(from, counts, 1, now)
 			newest[from] = otherNode{at: now, counts: counts}
@@ -32,8 +32,8 @@
 				name := fmt.Sprint(i)
 				want := loads.Load{}
 				for _, told := range newest {
-					if now-told.at <= loads.Life {
-						want = want.Plus(told.counts[loads.KeyOf(name)])
+					if now-told.at <= loads.ReportTTL {
+						want = want.Add(told.counts[loads.HashReplica(name)])
 					}
 				}
 				if have := h.load(name, now); have != want {
--- a/internal/balance/known.go
+++ b/internal/balance/known.go
@@ -7,29 +7,29 @@
 	"stepseam.example/stepseam/internal/outlier"
 )
 
-// Known is what a replica's keeper tells of it.
-type Known struct {
+// AggregatedState is what a replica's keeper tells of it.
+type AggregatedState struct {
 	// Load is what all other nodes have there.
 	Load loads.Load
 	// CachedTokens is how much of the request's prompt it holds.
 	CachedTokens int
-	// Settled tells that the keeper has heard of all nodes.
-	Settled bool
+	// Complete tells that the keeper has heard of all nodes.
+	Complete bool
 	// Ejected and Probe are as in Candidate, see Tracker.Told.
 	Ejected bool
 	Probe   outlier.Probe
 }
 
-// Learn returns the candidate with what its keeper tells in place of what this node
+// WithAggregatedState returns the candidate with what its keeper tells in place of what this node
 // has heard. exposed is as in Need.
-func (c Candidate) Learn(known Known, exposed bool) Candidate {
-	c.Unproven = c.Unproven || exposed && known.Load.Failing
-	if !known.Settled {
-		c.Elsewhere = max(c.Elsewhere, known.Load.UnderWay)
-		c.UnreadElsewhere = max(c.UnreadElsewhere, known.Load.UnreadTokens)
+func (c Candidate) WithAggregatedState(known AggregatedState, exposed bool) Candidate {
+	c.FailedRecently = c.FailedRecently || exposed && known.Load.Failing
+	if !known.Complete {
+		c.InFlightElsewhere = max(c.InFlightElsewhere, known.Load.InFlight)
+		c.PendingTokensElsewhere = max(c.PendingTokensElsewhere, known.Load.PendingTokens)
 		return c
 	}
-	c.Elsewhere, c.UnreadElsewhere = known.Load.UnderWay, known.Load.UnreadTokens
+	c.InFlightElsewhere, c.PendingTokensElsewhere = known.Load.InFlight, known.Load.PendingTokens
 	if c.Engine {
 		c.CachedTokens = known.CachedTokens
 	}
@@ -49,5 +49,5 @@
 
 // load needs the tracker's mutex.
 func (r *record) load(now time.Duration) loads.Load {
-	return loads.Load{UnderWay: r.underWay, UnreadTokens: r.unread, Failing: now < r.suspectUntil}
+	return loads.Load{InFlight: r.underWay, PendingTokens: r.unread, Failing: now < r.suspectUntil}
 }
--- a/internal/balance/prompt.go
+++ b/internal/balance/prompt.go
@@ -4,8 +4,8 @@
 // reached, the older half is forgotten.
 const partsPerReplica = 4096
 
-// Part is one piece of a prompt.
-type Part struct {
+// Segment is one piece of a prompt.
+type Segment struct {
 	// ID is the same wherever the same tokens stand. The last part of a program's
 	// prompt keeps its ID while it grows from turn to turn.
 	ID uint64
@@ -15,15 +15,15 @@
 
 // Prompt is what a replica has to read for a request.
 type Prompt struct {
-	Parts []Part
+	Segments []Segment
 	// Tokens is its whole length.
 	Tokens int
-	// Resident is where the program's turn before ran, as the ledger tells.
-	Resident Resident
+	// CacheLocation is where the program's turn before ran, as the ledger tells.
+	CacheLocation CacheLocation
 }
 
-// Resident is a replica that holds the beginning of a prompt in its memory.
-type Resident struct {
+// CacheLocation is a replica that holds the beginning of a prompt in its memory.
+type CacheLocation struct {
 	Instance string
 	// Tokens is how much of the prompt it holds.
 	Tokens int
@@ -35,7 +35,7 @@
 }
 
 // cached counts the tokens from the first part on that were seen without a gap.
-func (m *promptMemory) cached(parts []Part) int {
+func (m *promptMemory) cached(parts []Segment) int {
 	total := 0
 	for _, part := range parts {
 		seen := int(max(m.recent[part.ID], m.older[part.ID]))
@@ -48,7 +48,7 @@
 }
 
 // remember notes that the replica gets the parts.
-func (m *promptMemory) remember(parts []Part) {
+func (m *promptMemory) remember(parts []Segment) {
 	if m.recent == nil || len(m.recent)+len(parts) > partsPerReplica/2 {
 		m.older, m.recent = m.recent, map[uint64]int32{}
 	}
--- a/internal/balance/shortlist.go
+++ b/internal/balance/shortlist.go
@@ -19,9 +19,9 @@
 	shortlistRandom = 1
 )
 
-// Within splits candidates into those whose keepers can answer within a time in
+// SplitByRoundTrip splits candidates into those whose keepers can answer within a time in
 // milliseconds, as far as the way there goes, and those that are farther.
-func Within(candidates []Candidate, milliseconds float64) (near, far []Candidate) {
+func SplitByRoundTrip(candidates []Candidate, milliseconds float64) (near, far []Candidate) {
 	for _, candidate := range candidates {
 		if candidate.RoundTripMilliseconds < milliseconds {
 			near = append(near, candidate)
@@ -51,9 +51,9 @@
 	for range shortlistBest {
 		take(cheapest(rest, work, offset))
 	}
-	if work.FirstPart != 0 {
+	if work.FirstSegment != 0 {
 		for range shortlistAffine {
-			take(preferred(rest, work.FirstPart))
+			take(preferred(rest, work.FirstSegment))
 		}
 	}
 	for len(shortlist) < most {
--- a/internal/balance/soundness.go
+++ b/internal/balance/soundness.go
@@ -16,7 +16,7 @@
 // soundness is what this node knows of a replica's soundness. The tracker's mutex guards it.
 type soundness struct {
 	// own is what this node's requests tell.
-	own outlier.Record
+	own outlier.Detector
 	// toldEjected is what the keeper told last, at toldAt.
 	toldEjected bool
 	toldAt      time.Duration
@@ -31,37 +31,37 @@
 	return s.own.Ejected(), s.own.Probe(underWay, now)
 }
 
-// Judge counts what became of a request at its replica, and tells what that has changed at
+// RecordOutcome counts what became of a request at its replica, and tells what that has changed at
 // this node alone. A request counts as a failure once.
-func (t *Tracker) Judge(sending *Sending, outcome outlier.Outcome, now time.Duration) (judged outlier.Judgement, counted bool) {
+func (t *Tracker) RecordOutcome(sending *InFlightRequest, outcome outlier.Outcome, now time.Duration) (judged outlier.Transition, counted bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if outcome.Failed() && sending.blamed {
-		return outlier.Judgement{}, false
+		return outlier.Transition{}, false
 	}
 	sending.blamed = sending.blamed || outcome.Failed()
 	known, usual := &t.record(sending.target.Instance).soundness, t.usualOf(sending.target.Service)
-	share := usual.Share()
+	share := usual.FailureRate()
 	if !sending.target.Probe {
 		usual.Add(outcome)
 	}
-	return known.own.Judge(outcome, share, now), true
+	return known.own.Observe(outcome, share, now), true
 }
 
 // usualOf needs the mutex.
-func (t *Tracker) usualOf(service string) *outlier.Usual {
+func (t *Tracker) usualOf(service string) *outlier.Baseline {
 	known, found := t.usual[service]
 	if !found {
-		known = &outlier.Usual{}
+		known = &outlier.Baseline{}
 		t.usual[service] = known
 	}
 	return known
 }
 
-// Told takes what the keeper of a replica tells of it and returns whether it is left alone,
+// ApplyAggregatedState takes what the keeper of a replica tells of it and returns whether it is left alone,
 // and the right to probe it. Where the replica has returned for all nodes, it has for this
 // one.
-func (t *Tracker) Told(instance string, known Known, now time.Duration) (ejected bool, probe outlier.Probe) {
+func (t *Tracker) ApplyAggregatedState(instance string, known AggregatedState, now time.Duration) (ejected bool, probe outlier.Probe) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	before, found := t.replicas[instance]
@@ -76,23 +76,23 @@
 		told.toldEjected, told.toldAt = true, now
 		return true, known.Probe
 	}
-	if known.Settled && told.toldEjected {
-		told.own.Restore()
+	if known.Complete && told.toldEjected {
+		told.own.Reset()
 		told.toldEjected = false
 	}
 	return told.standing(before.underWay, now)
 }
 
-// Patience is how long a request may be without an event of a stream, or a whole plain
+// ResponseTimeout is how long a request may be without an event of a stream, or a whole plain
 // answer, until that counts as a failure of the replica; false where the service's usual
 // times are not known or others' requests go before. engine tells that it is a stream.
-func (t *Tracker) Patience(sending *Sending, engine bool) (time.Duration, bool) {
+func (t *Tracker) ResponseTimeout(sending *InFlightRequest, engine bool) (time.Duration, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	service := t.service(sending.target.Service)
-	usual, learned := sending.expected.FirstMilliseconds, service.KnowsFirst()
+	usual, learned := sending.expected.FirstMilliseconds, service.HasFirstEventRates()
 	if !engine {
-		usual, learned = service.Rates().ServiceMilliseconds, service.KnowsPlain()
+		usual, learned = service.Rates().ServiceMilliseconds, service.HasPlainRates()
 	}
 	if !learned || sending.queued() || sending.target.Cold {
 		return 0, false
@@ -101,16 +101,16 @@
 	return max(patience, time.Duration(usualTimes*usual*float64(time.Millisecond))), true
 }
 
-// KeepSound leaves out the ejected candidates, unless too many of all are ejected. learned
+// FilterEjected leaves out the ejected candidates, unless too many of all are ejected. learned
 // are those of all whose keepers were asked. probe is one that the request is to try in spite
 // of its ejection; exposed is as in Need.
-func KeepSound(learned, all []Candidate, exposed bool) (sound []Candidate, probe *Candidate) {
+func FilterEjected(learned, all []Candidate, exposed bool) (sound []Candidate, probe *Candidate) {
 	ejected := lo.CountBy(learned, Candidate.ejected)
 	if ejected == 0 {
 		return learned, nil
 	}
 	rest := notAmong(all, learned)
-	if outlier.TooMany(ejected+lo.CountBy(rest, Candidate.ejected), len(learned)+len(rest)) {
+	if outlier.ExceedsEjectionLimit(ejected+lo.CountBy(rest, Candidate.ejected), len(learned)+len(rest)) {
 		return learned, nil
 	}
 	for i := range learned {
--- a/internal/balance/soundness_test.go
+++ b/internal/balance/soundness_test.go
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			sound, probe := KeepSound(c.learned, c.all, c.exposed)
+			sound, probe := FilterEjected(c.learned, c.all, c.exposed)
 			if c.probe != "" {
 				is.Equal(probe.Instance, c.probe)
 				return
@@ -64,11 +64,11 @@
 	is := is.New(t)
 	tracker := NewTracker("near")
 	sending := tracker.Begin(Target{Instance: "i", Service: "s"}, Prompt{}, 0)
-	_, counted := tracker.Judge(sending, outlier.Silent, 0)
+	_, counted := tracker.RecordOutcome(sending, outlier.NoResponse, 0)
 	is.True(counted)
-	_, counted = tracker.Judge(sending, outlier.Torn, 0)
+	_, counted = tracker.RecordOutcome(sending, outlier.BrokenResponse, 0)
 	is.True(!counted)
-	_, counted = tracker.Judge(sending, outlier.Served, 0)
+	_, counted = tracker.RecordOutcome(sending, outlier.Success, 0)
 	is.True(counted)
 }
 
@@ -77,18 +77,18 @@
 	is := is.New(t)
 	tracker := NewTracker("near")
 	for range 3 {
-		_, _ = tracker.Judge(tracker.Begin(Target{Instance: "i", Service: "s"}, Prompt{}, 0), outlier.Errors, 0)
+		_, _ = tracker.RecordOutcome(tracker.Begin(Target{Instance: "i", Service: "s"}, Prompt{}, 0), outlier.ErrorResponse, 0)
 	}
-	ejected, _ := tracker.Told("i", Known{Settled: true}, 0)
+	ejected, _ := tracker.ApplyAggregatedState("i", AggregatedState{Complete: true}, 0)
 	is.True(ejected) // this node's own way to it may be what fails
-	ejected, probe := tracker.Told("i", Known{Settled: true, Ejected: true, Probe: outlier.SafeProbe}, 0)
+	ejected, probe := tracker.ApplyAggregatedState("i", AggregatedState{Complete: true, Ejected: true, Probe: outlier.SafeProbe}, 0)
 	is.True(ejected)
 	is.Equal(probe, outlier.SafeProbe)
-	ejected, _ = tracker.Told("i", Known{Settled: true}, 0)
+	ejected, _ = tracker.ApplyAggregatedState("i", AggregatedState{Complete: true}, 0)
 	is.True(!ejected)
-	ejected, _ = tracker.Told("other", Known{Settled: true}, 0)
+	ejected, _ = tracker.ApplyAggregatedState("other", AggregatedState{Complete: true}, 0)
 	is.True(!ejected)
-	_, _ = tracker.Told("other", Known{Ejected: true}, 0)
+	_, _ = tracker.ApplyAggregatedState("other", AggregatedState{Ejected: true}, 0)
 	is.True(tracker.replicas["other"].soundness.toldEjected)
 	still, _ := tracker.replicas["other"].soundness.standing(0, toldLife)
 	is.True(still)
@@ -101,12 +101,12 @@
 	is := is.New(t)
 	tracker := NewTracker("near")
 	sending := tracker.Begin(Target{Instance: "i", Service: "s"}, Prompt{}, 0)
-	_, known := tracker.Patience(sending, false)
+	_, known := tracker.ResponseTimeout(sending, false)
 	is.True(!known)
 	for range 50 {
-		tracker.Plain(tracker.Begin(Target{Instance: "i", Service: "s"}, Prompt{}, 0), time.Second)
+		tracker.BodyReceived(tracker.Begin(Target{Instance: "i", Service: "s"}, Prompt{}, 0), time.Second)
 	}
-	allowed, known := tracker.Patience(sending, false)
+	allowed, known := tracker.ResponseTimeout(sending, false)
 	is.True(known)
 	is.True(allowed > 2*time.Second)
 }
@@ -119,12 +119,12 @@
 			all = append(all, Candidate{Instance: fmt.Sprint(i), Ejected: rapid.Bool().Draw(t, "ejected")})
 		}
 		asked := rapid.IntRange(1, len(all)).Draw(t, "asked")
-		sound, probe := KeepSound(all[:asked], all, rapid.Bool().Draw(t, "exposed"))
+		sound, probe := FilterEjected(all[:asked], all, rapid.Bool().Draw(t, "exposed"))
 		if len(sound) == 0 || probe != nil {
 			t.Fatalf("%d candidates left, probe %v", len(sound), probe)
 		}
 		ejected := lo.CountBy(all, Candidate.ejected)
-		if leftOut := lo.CountBy(sound, Candidate.ejected) < lo.CountBy(all[:asked], Candidate.ejected); leftOut && outlier.TooMany(ejected, len(all)) {
+		if leftOut := lo.CountBy(sound, Candidate.ejected) < lo.CountBy(all[:asked], Candidate.ejected); leftOut && outlier.ExceedsEjectionLimit(ejected, len(all)) {
 			t.Fatalf("%d of %d are left out", ejected, len(all))
 		}
 	})
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -37,7 +37,7 @@
 	replicas map[string]*record
 	services map[string]*estimate.Service
 	// usual holds the services' usual shares of failures.
-	usual map[string]*outlier.Usual
+	usual map[string]*outlier.Baseline
 	heard heard
 }
 
@@ -70,7 +70,7 @@
 	// Slots is how many requests it runs at once; 0 if not known.
 	Slots int
 	// Known is what its keeper has told for the choice, or nil.
-	Known *Known
+	Known *AggregatedState
 	// Probe tells that the request tries an ejected replica.
 	Probe bool
 	// Cold tells that the replica counts as cold, so that its times say nothing of the
@@ -78,9 +78,9 @@
 	Cold bool
 }
 
-// Sending is a request at a replica. Its fields but unread and blamed are set by Begin; the
+// InFlightRequest is a request at a replica. Its fields but unread and blamed are set by Begin; the
 // tracker's mutex guards these.
-type Sending struct {
+type InFlightRequest struct {
 	target   Target
 	began    time.Duration
 	expected Expected
@@ -94,39 +94,39 @@
 type Expected struct {
 	// UncachedTokens are to be read for the request, TokensAhead before it.
 	UncachedTokens, TokensAhead int
-	// Others is how many requests are under way there.
-	Others int
+	// OtherRequests is how many requests are under way there.
+	OtherRequests int
 	// FirstMilliseconds is the time to the first event of a stream.
 	FirstMilliseconds float64
 }
 
 // Expected returns what was believed of the replica.
-func (s *Sending) Expected() Expected { return s.expected }
+func (s *InFlightRequest) Expected() Expected { return s.expected }
 
 // Cold tells whether the replica counted as cold when the request went there.
-func (s *Sending) Cold() bool { return s.target.Cold }
+func (s *InFlightRequest) Cold() bool { return s.target.Cold }
 
 // toRead is how many tokens the replica was to read until the first event.
 func (e Expected) toRead() int { return e.UncachedTokens + e.TokensAhead }
 
 // NewTracker returns a tracker of a node in zone.
 func NewTracker(zone string) *Tracker {
-	return &Tracker{zone: zone, replicas: map[string]*record{}, services: map[string]*estimate.Service{}, usual: map[string]*outlier.Usual{}, heard: newHeard()}
+	return &Tracker{zone: zone, replicas: map[string]*record{}, services: map[string]*estimate.Service{}, usual: map[string]*outlier.Baseline{}, heard: newHeard()}
 }
 
 // Begin notes that a request goes to a replica. End must be called with what it
 // returns.
-func (t *Tracker) Begin(target Target, prompt Prompt, now time.Duration) *Sending {
+func (t *Tracker) Begin(target Target, prompt Prompt, now time.Duration) *InFlightRequest {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.record(target.Instance)
 	elsewhere, cached := t.heard.load(target.Instance, now), t.cached(target.Instance, prompt)
-	if told := target.Known; told != nil && told.Settled {
+	if told := target.Known; told != nil && told.Complete {
 		elsewhere, cached = told.Load, told.CachedTokens
 	}
 	expected := Expected{
 		UncachedTokens: max(prompt.Tokens-cached, 0),
-		TokensAhead:    known.unread + elsewhere.UnreadTokens, Others: known.underWay + elsewhere.UnderWay,
+		TokensAhead:    known.unread + elsewhere.PendingTokens, OtherRequests: known.underWay + elsewhere.InFlight,
 	}
 	rates := t.service(target.Service).Rates()
 	expected.FirstMilliseconds = rates.FirstMilliseconds + rates.MillisecondsPerToken*float64(expected.toRead())
@@ -137,14 +137,14 @@
 	}
 	known.waiting++
 	if target.Probe {
-		known.soundness.own.Grant(now)
+		known.soundness.own.StartProbe(now)
 	}
-	known.prompts.remember(prompt.Parts)
-	return &Sending{target: target, began: now, expected: expected, unread: expected.UncachedTokens}
+	known.prompts.remember(prompt.Segments)
+	return &InFlightRequest{target: target, began: now, expected: expected, unread: expected.UncachedTokens}
 }
 
 // Answered notes that a request has got the head of an answer, or none will come.
-func (t *Tracker) Answered(sending *Sending, now time.Duration) {
+func (t *Tracker) Answered(sending *InFlightRequest, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.record(sending.target.Instance)
@@ -153,7 +153,7 @@
 }
 
 // FirstEvent notes that the replica has read a request's prompt.
-func (t *Tracker) FirstEvent(sending *Sending, now time.Duration) {
+func (t *Tracker) FirstEvent(sending *InFlightRequest, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.record(sending.target.Instance).read(sending)
@@ -167,8 +167,8 @@
 	}
 }
 
-// Plain notes that a plain request has got its whole answer.
-func (t *Tracker) Plain(sending *Sending, now time.Duration) {
+// BodyReceived notes that a plain request has got its whole answer.
+func (t *Tracker) BodyReceived(sending *InFlightRequest, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	took, service := milliseconds(now-sending.began), t.service(sending.target.Service)
@@ -183,12 +183,14 @@
 
 // queued tells whether the request waited for a slot, so that its time says little of
 // the replica's speed.
-func (s *Sending) queued() bool { return s.target.Slots > 0 && s.expected.Others >= s.target.Slots }
+func (s *InFlightRequest) queued() bool {
+	return s.target.Slots > 0 && s.expected.OtherRequests >= s.target.Slots
+}
 
-// Streamed notes how long the pauses between the events of a stream were. The shorter
+// StreamEnded notes how long the pauses between the events of a stream were. The shorter
 // ones tell how fast the replica writes for as many requests as run there; in the
 // longer ones it reads prompts of others besides.
-func (t *Tracker) Streamed(sending *Sending, gaps []time.Duration, now time.Duration) {
+func (t *Tracker) StreamEnded(sending *InFlightRequest, gaps []time.Duration, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	service := t.service(sending.target.Service)
@@ -197,7 +199,7 @@
 		return
 	}
 	known := t.record(sending.target.Instance)
-	beside := (sending.expected.Others + known.underWay + t.heard.load(sending.target.Instance, now).UnderWay) / 2
+	beside := (sending.expected.OtherRequests + known.underWay + t.heard.load(sending.target.Instance, now).InFlight) / 2
 	slices.Sort(gaps)
 	service.Pace(&known.stream, beside, milliseconds(gaps[len(gaps)/undisturbedPart]))
 	pace := milliseconds(lo.Sum(gaps)) / float64(len(gaps))
@@ -209,7 +211,7 @@
 
 // End notes that a request has left its replica. failed tells that the replica, or
 // the way to it, is at fault.
-func (t *Tracker) End(sending *Sending, failed bool, now time.Duration) {
+func (t *Tracker) End(sending *InFlightRequest, failed bool, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.record(sending.target.Instance)
@@ -224,7 +226,7 @@
 }
 
 // read takes off what a request has still had to read.
-func (r *record) read(sending *Sending) {
+func (r *record) read(sending *InFlightRequest) {
 	r.unread -= sending.unread
 	sending.unread = 0
 }
--- a/internal/coldstart/gate.go
+++ b/internal/coldstart/gate.go
@@ -12,13 +12,13 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// Gate tells which replicas are cold and lets this node send to them as much as is its
+// Limiter tells which replicas are cold and lets this node send to them as much as is its
 // part of their bound. It is safe for concurrent use.
 //
 // Invariant: in any period of its share a node sends at most each requests to a cold
 // replica, and only while it has been one of the replica's senders by all that it knew of
 // the members in the last second.
-type Gate struct {
+type Limiter struct {
 	// mutex guards all below.
 	mutex    sync.Mutex
 	roster   *roster
@@ -42,48 +42,48 @@
 	goneAt time.Duration
 }
 
-// NewGate returns a gate of a node that knows no replicas yet.
-func NewGate(self identity.NodeName) *Gate {
-	return &Gate{roster: newRoster(self), replicas: map[string]*record{}}
+// NewLimiter returns a gate of a node that knows no replicas yet.
+func NewLimiter(self identity.NodeName) *Limiter {
+	return &Limiter{roster: newRoster(self), replicas: map[string]*record{}}
 }
 
-// Expect names the seeds of the site to a node that starts now. It is called before the
+// SetSeeds names the seeds of the site to a node that starts now. It is called before the
 // first view is set.
-func (g *Gate) Expect(seeds []netip.AddrPort, now time.Duration) {
+func (g *Limiter) SetSeeds(seeds []netip.AddrPort, now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.roster.starting = newStarting(seeds, now)
 }
 
 // SetView takes the members.
-func (g *Gate) SetView(view membership.View, now time.Duration) {
+func (g *Limiter) SetView(view membership.View, now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.roster.setView(view, now)
 }
 
-// Heard takes a replica's entry. An entry that is not newer than the last one, such as a
+// UpdateReplica takes a replica's entry. An entry that is not newer than the last one, such as a
 // peer's late word, changes nothing. It tells whether the replica has turned cold by it.
-func (g *Gate) Heard(replica fleet.Replica, now time.Duration) (turned bool) {
+func (g *Limiter) UpdateReplica(replica fleet.Replica, now time.Duration) (turned bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	known, found := g.replicas[replica.Life()]
+	known, found := g.replicas[replica.IncarnationID()]
 	if !found {
 		known = &record{service: replica.Service, zone: replica.Zone}
-		g.replicas[replica.Life()] = known
+		g.replicas[replica.IncarnationID()] = known
 	} else if replica.Sequence <= known.sequence {
 		return false
 	}
 	before := known.cold(now)
 	known.sequence, known.goneAt = replica.Sequence, 0
-	known.coldUntil = now + replica.ColdLeft
+	known.coldUntil = now + replica.ColdRemaining
 	return !before && known.cold(now)
 }
 
-// Presume takes the replicas of a zone for cold as long as a start lasts, whatever their
+// PresumeZoneCold takes the replicas of a zone for cold as long as a start lasts, whatever their
 // entries say: the operators have taken the zone back, and its replicas may have turned
 // cold so lately that their entries don't tell yet.
-func (g *Gate) Presume(zone string, lasts func(service string) time.Duration, now time.Duration) {
+func (g *Limiter) PresumeZoneCold(zone string, lasts func(service string) time.Duration, now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, known := range g.replicas {
@@ -97,8 +97,8 @@
 // back, and what was sent there counts.
 const rememberGone = time.Minute
 
-// Gone notes that a replica's entry is gone.
-func (g *Gate) Gone(instance string, now time.Duration) {
+// RemoveReplica notes that a replica's entry is gone.
+func (g *Limiter) RemoveReplica(instance string, now time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for other, known := range g.replicas {
@@ -112,7 +112,7 @@
 }
 
 // Cold tells whether a replica of a service with this bound counts as cold.
-func (g *Gate) Cold(instance string, bound Bound, now time.Duration) bool {
+func (g *Limiter) Cold(instance string, bound RateLimit, now time.Duration) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	known, found := g.replicas[instance]
@@ -122,15 +122,15 @@
 func (r *record) cold(now time.Duration) bool { return now < max(r.coldUntil, r.presumedUntil) }
 
 // MaySend tells whether this node could send a request to a replica now.
-func (g *Gate) MaySend(instance string, bound Bound, now time.Duration) bool {
+func (g *Limiter) MaySend(instance string, bound RateLimit, now time.Duration) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.room(instance, bound, now)
 }
 
-// Take spends the right to send one request to a replica now; false if there is none.
+// Acquire spends the right to send one request to a replica now; false if there is none.
 // What is sent to replicas that are warm counts too, since they may prove to be cold.
-func (g *Gate) Take(instance string, bound Bound, now time.Duration) bool {
+func (g *Limiter) Acquire(instance string, bound RateLimit, now time.Duration) bool {
 	if bound.PerSecond <= 0 {
 		return true
 	}
@@ -147,7 +147,7 @@
 }
 
 // room needs the mutex. A replica of which no entry was heard is not known to be cold.
-func (g *Gate) room(instance string, bound Bound, now time.Duration) bool {
+func (g *Limiter) room(instance string, bound RateLimit, now time.Duration) bool {
 	known, found := g.replicas[instance]
 	if !found || bound.PerSecond <= 0 || !known.cold(now) {
 		return true
@@ -167,7 +167,7 @@
 }
 
 // note remembers a sending, and of those before it as many as the bound could ever count.
-func (r *record) note(now time.Duration, bound Bound) {
+func (r *record) note(now time.Duration, bound RateLimit) {
 	most := max(int(bound.PerSecond), 1)
 	if len(r.sends) >= most {
 		r.sends = append(r.sends[:0], r.sends[len(r.sends)-most+1:]...)
@@ -194,7 +194,7 @@
 }
 
 // Status returns the cold replicas by instance. bounds returns a service's bound.
-func (g *Gate) Status(bounds func(service string) Bound, now time.Duration) []Status {
+func (g *Limiter) Status(bounds func(service string) RateLimit, now time.Duration) []Status {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var found []Status
@@ -216,7 +216,7 @@
 
 // Counts returns how many replicas of bounded services are cold, and how often a request
 // was withheld from one.
-func (g *Gate) Counts(bounds func(service string) Bound, now time.Duration) (cold int, withheld uint64) {
+func (g *Limiter) Counts(bounds func(service string) RateLimit, now time.Duration) (cold int, withheld uint64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, known := range g.replicas {
--- a/internal/coldstart/gate_test.go
+++ b/internal/coldstart/gate_test.go
@@ -49,13 +49,13 @@
 }
 
 func entry(sequence uint64, left time.Duration) fleet.Replica {
-	return fleet.Replica{Instance: "i", Service: "s", Zone: "z", Sequence: sequence, ColdLeft: left}
+	return fleet.Replica{Instance: "i", Service: "s", Zone: "z", Sequence: sequence, ColdRemaining: left}
 }
 
 // taken is how many requests a gate lets through at once.
-func taken(gate *Gate, bound Bound, now time.Duration) int {
+func taken(gate *Limiter, bound RateLimit, now time.Duration) int {
 	count := 0
-	for gate.Take("i", bound, now) {
+	for gate.Acquire("i", bound, now) {
 		if count++; count > 1000 {
 			break
 		}
@@ -75,48 +75,48 @@
 
 func TestReplicaIsColdByItsEntryAndFilledAsFastAsItBears(t *testing.T) {
 	is := is.New(t)
-	bound := Bound{PerSecond: 6, Lasts: lasts}
-	gate := NewGate("n0")
-	gate.Heard(entry(1, 0), 0)
+	bound := RateLimit{PerSecond: 6, ColdDuration: lasts}
+	gate := NewLimiter("n0")
+	gate.UpdateReplica(entry(1, 0), 0)
 	is.Equal(taken(gate, bound, 0), 1001) // warm
-	gate.Heard(entry(2, lasts), 10*time.Second)
+	gate.UpdateReplica(entry(2, lasts), 10*time.Second)
 	is.True(gate.Cold("i", bound, 10*time.Second))
 	is.Equal(taken(gate, bound, 10*time.Second), 6)
 	is.True(!gate.MaySend("i", bound, 10900*time.Millisecond))
 	is.True(!gate.MaySend("i", bound, 11*time.Second)) // the ways of two requests may differ
 	is.Equal(taken(gate, bound, 10*time.Second+sendPeriod), 6)
-	gate.Heard(entry(1, 0), 11*time.Second) // a late word
+	gate.UpdateReplica(entry(1, 0), 11*time.Second) // a late word
 	is.True(gate.Cold("i", bound, 11*time.Second))
-	gate.Heard(entry(3, 0), 12*time.Second) // it shows that it is warm
+	gate.UpdateReplica(entry(3, 0), 12*time.Second) // it shows that it is warm
 	is.True(!gate.Cold("i", bound, 12*time.Second))
-	is.True(!gate.Cold("i", Bound{}, 10*time.Second))
-	is.Equal(taken(gate, Bound{}, 0), 1001)
+	is.True(!gate.Cold("i", RateLimit{}, 10*time.Second))
+	is.Equal(taken(gate, RateLimit{}, 0), 1001)
 }
 
 // TestWarmSendingsCountOnceTheReplicaProvesCold: what went there in the last second does.
 func TestWarmSendingsCountOnceTheReplicaProvesCold(t *testing.T) {
 	is := is.New(t)
-	bound := Bound{PerSecond: 6, Lasts: lasts}
-	gate := NewGate("n0")
-	gate.Heard(entry(1, 0), 0)
+	bound := RateLimit{PerSecond: 6, ColdDuration: lasts}
+	gate := NewLimiter("n0")
+	gate.UpdateReplica(entry(1, 0), 0)
 	for range 5 {
-		is.True(gate.Take("i", bound, 10*time.Second))
+		is.True(gate.Acquire("i", bound, 10*time.Second))
 	}
-	gate.Heard(entry(2, lasts), 10500*time.Millisecond)
+	gate.UpdateReplica(entry(2, lasts), 10500*time.Millisecond)
 	is.Equal(taken(gate, bound, 10500*time.Millisecond), 1)
 }
 
 func TestZoneTakenBackIsPresumedColdWhateverEntriesSay(t *testing.T) {
 	is := is.New(t)
-	bound := Bound{PerSecond: 2, Lasts: lasts}
-	gate := NewGate("n0")
-	gate.Heard(entry(1, 0), 0)
-	gate.Presume("other", func(string) time.Duration { return lasts }, time.Second)
+	bound := RateLimit{PerSecond: 2, ColdDuration: lasts}
+	gate := NewLimiter("n0")
+	gate.UpdateReplica(entry(1, 0), 0)
+	gate.PresumeZoneCold("other", func(string) time.Duration { return lasts }, time.Second)
 	is.True(!gate.Cold("i", bound, time.Second))
-	gate.Presume("z", func(string) time.Duration { return lasts }, time.Second)
-	gate.Heard(entry(2, 0), 2*time.Second) // may have been written before
+	gate.PresumeZoneCold("z", func(string) time.Duration { return lasts }, time.Second)
+	gate.UpdateReplica(entry(2, 0), 2*time.Second) // may have been written before
 	is.True(gate.Cold("i", bound, 2*time.Second))
-	status := gate.Status(func(string) Bound { return bound }, 2*time.Second)
+	status := gate.Status(func(string) RateLimit { return bound }, 2*time.Second)
 	is.Equal(status, []Status{{Instance: "i", Service: "s", Zone: "z", LeftMs: 2000, Sender: true, Each: 2, PeriodMs: sendPeriod.Milliseconds()}})
 	is.True(!gate.Cold("i", bound, 4*time.Second))
 }
@@ -124,10 +124,10 @@
 // TestStarterSendsNothingYet: a node that has just started does not know what others send.
 func TestStarterSendsNothingYet(t *testing.T) {
 	is := is.New(t)
-	bound := Bound{PerSecond: 8, Lasts: lasts}
-	gate := NewGate("n0")
+	bound := RateLimit{PerSecond: 8, ColdDuration: lasts}
+	gate := NewLimiter("n0")
 	gate.SetView(viewOf(0), 0)
-	gate.Heard(entry(1, lasts), 0)
+	gate.UpdateReplica(entry(1, lasts), 0)
 	is.Equal(taken(gate, bound, 100*time.Millisecond), 0)
 	gate.SetView(viewOf(0, 1, 2, 3), 200*time.Millisecond)
 	is.Equal(taken(gate, bound, 900*time.Millisecond), 0)
@@ -138,12 +138,12 @@
 // sends a second later at the soonest, and only its part while the dead one may live.
 func TestNewSenderWaitsForWhatTheOneBeforeMayHaveSent(t *testing.T) {
 	is := is.New(t)
-	bound := Bound{PerSecond: 2, Lasts: time.Hour}
-	gates := make([]*Gate, 4)
+	bound := RateLimit{PerSecond: 2, ColdDuration: time.Hour}
+	gates := make([]*Limiter, 4)
 	for i := range gates {
-		gates[i] = NewGate(nodeName(i))
+		gates[i] = NewLimiter(nodeName(i))
 		gates[i].SetView(viewOf(numbers(4)...), 0)
-		gates[i].Heard(entry(1, time.Hour), 0)
+		gates[i].UpdateReplica(entry(1, time.Hour), 0)
 	}
 	var senders, others []int
 	for i, gate := range gates {
@@ -178,37 +178,37 @@
 // and send, until they are heard of or a minute has passed.
 func TestStarterCountsTheSeedsItHasNotHeardOf(t *testing.T) {
 	is := is.New(t)
-	bound := Bound{PerSecond: 12, Lasts: time.Hour}
-	gate := NewGate("n0")
-	gate.Expect(seedsOf(3), 0)
-	gate.Heard(entry(1, time.Hour), 0)
+	bound := RateLimit{PerSecond: 12, ColdDuration: time.Hour}
+	gate := NewLimiter("n0")
+	gate.SetSeeds(seedsOf(3), 0)
+	gate.UpdateReplica(entry(1, time.Hour), 0)
 	gate.SetView(viewOf(0), 3*time.Second)
 	is.Equal(taken(gate, bound, 5*time.Second), 4) // one of three seeds: 4 of 12
 	gate.SetView(viewOf(0, 1), 6*time.Second)
 	is.Equal(taken(gate, bound, 8*time.Second), 4) // two of three seeds: 8 of 12, for two nodes
 	gate.SetView(viewOf(0, 1, 2), 9*time.Second)
 	is.Equal(taken(gate, bound, 11*time.Second), 4)
-	apart := NewGate("n7")
-	apart.Expect(seedsOf(3), 0)
-	apart.Heard(entry(1, time.Hour), 0)
+	apart := NewLimiter("n7")
+	apart.SetSeeds(seedsOf(3), 0)
+	apart.UpdateReplica(entry(1, time.Hour), 0)
 	apart.SetView(viewOf(6, 7, 8), 0)
 	is.Equal(taken(apart, bound, 2*time.Second), 0) // no seed: all of the site may be elsewhere
-	alone := NewGate("n0")
-	alone.Expect(seedsOf(2), 0)
-	alone.Heard(entry(1, time.Hour), 0)
+	alone := NewLimiter("n0")
+	alone.SetSeeds(seedsOf(2), 0)
+	alone.UpdateReplica(entry(1, time.Hour), 0)
 	alone.SetView(viewOf(0), 0)
 	is.Equal(taken(alone, bound, missedFor-1), 6)
 	is.Equal(taken(alone, bound, missedFor+sendPeriod), 12) // the other one is gone for good
 }
 
 func BenchmarkTakeFromAColdReplica(b *testing.B) {
-	bound := Bound{PerSecond: 25, Lasts: lasts}
-	gate := NewGate("n0")
+	bound := RateLimit{PerSecond: 25, ColdDuration: lasts}
+	gate := NewLimiter("n0")
 	gate.SetView(viewOf(numbers(300)...), 0)
-	gate.Heard(entry(1, time.Hour), 0)
+	gate.UpdateReplica(entry(1, time.Hour), 0)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		gate.Take("i", bound, 2*time.Second+time.Duration(i)*time.Millisecond)
+		gate.Acquire("i", bound, 2*time.Second+time.Duration(i)*time.Millisecond)
 	}
 }
 
@@ -216,12 +216,12 @@
 // long on its way as ways differ, and what is sent after it no time at all.
 func TestBoundHoldsAtTheReplicaWhereWaysDiffer(t *testing.T) {
 	is := is.New(t)
-	gate := NewGate("n")
-	gate.Heard(entry(1, time.Hour), 0)
-	bound := Bound{PerSecond: 9, Lasts: time.Hour}
+	gate := NewLimiter("n")
+	gate.UpdateReplica(entry(1, time.Hour), 0)
+	bound := RateLimit{PerSecond: 9, ColdDuration: time.Hour}
 	var arrivals []time.Duration
 	for now := 10 * time.Second; now < 14*time.Second; now += time.Millisecond {
-		if gate.Take(entry(1, 0).Instance, bound, now) {
+		if gate.Acquire(entry(1, 0).Instance, bound, now) {
 			way := time.Duration(len(arrivals)%2) * (unevenWay - time.Millisecond)
 			if len(arrivals) < 9 {
 				way = unevenWay - time.Millisecond
--- a/internal/coldstart/model_test.go
+++ b/internal/coldstart/model_test.go
@@ -26,7 +26,7 @@
 
 // modelNode is one node and what it will hear.
 type modelNode struct {
-	gate        *Gate
+	gate        *Limiter
 	started     time.Duration
 	dead        bool
 	frozenUntil time.Duration
@@ -39,7 +39,7 @@
 
 type model struct {
 	random *rand.Rand
-	bound  Bound
+	bound  RateLimit
 	nodes  []*modelNode
 	now    time.Duration
 	// speed is how fast the gates' clocks run; 1 is right.
@@ -50,7 +50,7 @@
 }
 
 func newModel(random *rand.Rand, count int, perSecond float64, speed int) *model {
-	m := &model{random: random, bound: Bound{PerSecond: perSecond, Lasts: time.Hour}, speed: speed}
+	m := &model{random: random, bound: RateLimit{PerSecond: perSecond, ColdDuration: time.Hour}, speed: speed}
 	for range count {
 		m.nodes = append(m.nodes, &modelNode{})
 	}
@@ -65,10 +65,10 @@
 // start begins a node's life, which knows itself alone at first.
 func (m *model) start(number int) {
 	node := m.nodes[number]
-	node.gate, node.dead, node.started, node.told = NewGate(nodeName(number)), false, m.now, []int{number}
-	node.gate.Expect(seedsOf(min(modelSeeds, len(m.nodes))), m.clock())
+	node.gate, node.dead, node.started, node.told = NewLimiter(nodeName(number)), false, m.now, []int{number}
+	node.gate.SetSeeds(seedsOf(min(modelSeeds, len(m.nodes))), m.clock())
 	node.gate.SetView(viewOf(number), m.clock())
-	node.gate.Heard(entry(1, time.Hour), m.clock())
+	node.gate.UpdateReplica(entry(1, time.Hour), m.clock())
 	node.next = m.now + modelStep*time.Duration(1+m.random.IntN(20))
 }
 
@@ -95,7 +95,7 @@
 			node.gate.SetView(viewOf(node.told...), m.clock())
 			node.next = m.now + time.Duration(m.random.Int64N(int64(heardWithin)))
 		}
-		for node.gate.Take("i", m.bound, m.clock()) {
+		for node.gate.Acquire("i", m.bound, m.clock()) {
 			m.arrivals = append(m.arrivals, m.now)
 		}
 	}
--- a/internal/coldstart/share.go
+++ b/internal/coldstart/share.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Bound is what a service's cold replicas bear.
-type Bound struct {
+// RateLimit is what a service's cold replicas bear.
+type RateLimit struct {
 	// PerSecond is how many requests a second one of them takes of all nodes; 0 sets no
 	// bound.
 	PerSecond float64
-	// Lasts is how long a replica stays cold after its start.
-	Lasts time.Duration
+	// ColdDuration is how long a replica stays cold after its start.
+	ColdDuration time.Duration
 }
 
 // window is the span in which a replica's bound counts what reaches it.
--- a/internal/controller/backends/benchmark_test.go
+++ b/internal/controller/backends/benchmark_test.go
@@ -107,7 +107,7 @@
 		board, controller := largeFleet()
 		controller.Reconcile(board.Machines.Load())
 		for i := range 8192 {
-			controller.CacheMap().Believe(time.Now(), fmt.Sprintf("engine-%d", i%600), identity.ProgramID(fmt.Sprintf("program-%08d", i)), "main", 4000)
+			controller.CacheMap().Record(time.Now(), fmt.Sprintf("engine-%d", i%600), identity.ProgramID(fmt.Sprintf("program-%08d", i)), "main", 4000)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/controller/backends/cachemap.go
+++ b/internal/controller/backends/cachemap.go
@@ -9,8 +9,8 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Holding is one prefix that an engine is believed to hold.
-type Holding struct {
+// CachedPrefix is one prefix that an engine is believed to hold.
+type CachedPrefix struct {
 	Backend string
 	Tokens  int
 }
@@ -61,8 +61,8 @@
 	}
 }
 
-// Believe notes that a call of our own left tokens at the engine.
-func (m *CacheMap) Believe(now time.Time, engine string, program identity.ProgramID, branch identity.BranchID, tokens int) {
+// Record notes that a call of our own left tokens at the engine.
+func (m *CacheMap) Record(now time.Time, engine string, program identity.ProgramID, branch identity.BranchID, tokens int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	key := holdingKey{backend: engine, branchKey: branchKey{program: program, branch: branch}}
@@ -148,8 +148,8 @@
 	}
 }
 
-// Knows tells whether anything is believed of an engine, so that its events matter.
-func (m *CacheMap) Knows(engine string) bool {
+// HasEntries tells whether anything is believed of an engine, so that its events matter.
+func (m *CacheMap) HasEntries(engine string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.engines[engine] > 0
@@ -169,14 +169,14 @@
 
 // Holders returns the engines that are believed to hold the branch's prefix, in
 // no particular order.
-func (m *CacheMap) Holders(program identity.ProgramID, branch identity.BranchID) []Holding {
+func (m *CacheMap) Holders(program identity.ProgramID, branch identity.BranchID) []CachedPrefix {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	var holdings []Holding
+	var holdings []CachedPrefix
 	key := branchKey{program: program, branch: branch}
 	for engine := range m.branches[key] {
 		element := m.entries[holdingKey{backend: engine, branchKey: key}]
-		holdings = append(holdings, Holding{Backend: engine, Tokens: element.Value.(*holding).tokens})
+		holdings = append(holdings, CachedPrefix{Backend: engine, Tokens: element.Value.(*holding).tokens})
 	}
 	return holdings
 }
--- a/internal/controller/backends/confirm.go
+++ b/internal/controller/backends/confirm.go
@@ -56,5 +56,5 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known, found := c.watched[c.byAddress[address]]
-	return found && known.leaving.at(time.Now(), c.config.LeavingHold)
+	return found && known.leaving.at(time.Now(), c.config.LeavingTTL)
 }
--- a/internal/controller/backends/controller.go
+++ b/internal/controller/backends/controller.go
@@ -77,9 +77,9 @@
 	ShareRate  float64
 	// Concurrency bounds the polls under way.
 	Concurrency int
-	// LeavingHold is how long a back end's own word that it leaves stands; it must
+	// LeavingTTL is how long a back end's own word that it leaves stands; it must
 	// be longer than the machine list lags.
-	LeavingHold time.Duration
+	LeavingTTL time.Duration
 	// CachePrefixes bounds the cache map.
 	CachePrefixes int
 	// Random draws from 0 to 1 for jitter and is safe for concurrent use; nil
@@ -140,7 +140,7 @@
 	defaults.Set(&config.PerService, defaultPerService)
 	defaults.Set(&config.ShareRate, defaultShareRate)
 	defaults.Set(&config.Concurrency, defaultConcurrency)
-	defaults.Set(&config.LeavingHold, defaultLeavingHold)
+	defaults.Set(&config.LeavingTTL, defaultLeavingHold)
 	defaults.Set(&config.CachePrefixes, defaultCachePrefixes)
 	if config.Random == nil {
 		config.Random = func() float64 { return 0.5 }
@@ -261,7 +261,7 @@
 		shown.Name = name
 		shown.Role, shown.Address = known.machine.Role, known.machine.Address
 		shown.Zone, shown.Service = known.machine.Zone, known.machine.Service
-		shown.Leaving = known.leaving.at(now, c.config.LeavingHold)
+		shown.Leaving = known.leaving.at(now, c.config.LeavingTTL)
 		shown.Health = known.health.at(now)
 		shown.PrefillRate, shown.DecodeRate = known.prefill.value, known.decode.value
 		shown.Latency = time.Duration(known.latency.value * float64(time.Second))
@@ -294,7 +294,7 @@
 	c.choosePace(now)
 	for _, known := range c.watched {
 		shown, found := c.config.Board.Backends.Load(known.machine.Name)
-		stale := !found || shown.Leaving != known.leaving.at(now, c.config.LeavingHold) || shown.Health != known.health.at(now)
+		stale := !found || shown.Leaving != known.leaving.at(now, c.config.LeavingTTL) || shown.Health != known.health.at(now)
 		if stale {
 			c.publish(now, known)
 		}
--- a/internal/controller/backends/observe.go
+++ b/internal/controller/backends/observe.go
@@ -90,7 +90,7 @@
 		return
 	}
 	call := result.Stream.Call
-	c.cache.Believe(now, known.machine.Name, call.Program, call.Branch, usage.PromptTokens+usage.CompletionTokens)
+	c.cache.Record(now, known.machine.Name, call.Program, call.Branch, usage.PromptTokens+usage.CompletionTokens)
 	if uncached := usage.PromptTokens - usage.CachedTokens; uncached >= prefillTokens && result.FirstToken > 0 {
 		known.prefill.add(float64(uncached) / result.FirstToken.Seconds())
 	}
--- a/internal/controller/backends/poll.go
+++ b/internal/controller/backends/poll.go
@@ -39,7 +39,7 @@
 		known.polling = true
 		due = append(due, target{
 			name: name, machine: known.machine, nextEvent: known.nextEvent,
-			events: known.machine.Role == siteservices.RoleEngine && c.cache.Knows(name),
+			events: known.machine.Role == siteservices.RoleEngine && c.cache.HasEntries(name),
 		})
 	}
 	c.mutex.Unlock()
--- a/internal/controller/backends/pure_test.go
+++ b/internal/controller/backends/pure_test.go
@@ -165,7 +165,7 @@
 				now = now.Add(500 * time.Millisecond)
 				p := prefix(t)
 				e := engine(t)
-				m.Believe(now, e, p.Program, p.Branch, p.Tokens)
+				m.Record(now, e, p.Program, p.Branch, p.Tokens)
 				if got := m.Tokens(e, p.Program, p.Branch); got != p.Tokens {
 					t.Fatalf("believed %d, got %d", p.Tokens, got)
 				}
@@ -175,7 +175,7 @@
 			"forget": func(t *rapid.T) {
 				e := engine(t)
 				m.Forget(e)
-				if m.Knows(e) {
+				if m.HasEntries(e) {
 					t.Fatalf("%s is known still", e)
 				}
 			},
@@ -190,7 +190,7 @@
 		for _, branch := range []identity.BranchID{"main", "side"} {
 			for _, held := range m.Holders(program, branch) {
 				counted++
-				if held.Tokens <= 0 || held.Tokens != m.Tokens(held.Backend, program, branch) || !m.Knows(held.Backend) {
+				if held.Tokens <= 0 || held.Tokens != m.Tokens(held.Backend, program, branch) || !m.HasEntries(held.Backend) {
 					t.Fatalf("holders say %+v", held)
 				}
 			}
@@ -204,7 +204,7 @@
 func TestEventsCorrectOnlySettledBeliefs(t *testing.T) {
 	is := is.New(t)
 	m := NewCacheMap(10, time.Second)
-	m.Believe(start, "a", "p", "main", 100)
+	m.Record(start, "a", "p", "main", 100)
 	evicted := []backend.CacheEvent{{Kind: backend.CacheEvicted, Prefix: backend.HeldPrefix{Program: "p", Branch: "main", Tokens: 40}}}
 	m.Apply(start.Add(500*time.Millisecond), "a", evicted)
 	is.Equal(m.Tokens("a", "p", "main"), 100) // may be of before the call
--- a/internal/controller/members/members_test.go
+++ b/internal/controller/members/members_test.go
@@ -84,7 +84,7 @@
 		is.Equal(len(view.Members), 4)
 		is.Equal(view.Self, s.nodes[0].identity.Reference())
 		is.Equal(view.Members[2].TableVersion, uint64(7))
-		is.Equal(view.Members[3].Figure, uint32(13))
+		is.Equal(view.Members[3].Load, uint32(13))
 		s.nodes[1].board.Draining.Store(true)
 		time.Sleep(2 * time.Second)
 		for _, node := range s.nodes {
--- a/internal/controller/models/controller.go
+++ b/internal/controller/models/controller.go
@@ -71,9 +71,9 @@
 	// Directory gives the clients that orders go through.
 	Directory backend.Directory
 	Weights   siteservices.WeightStore
-	// Held returns the epoch in which this node owns shard now, or an error.
-	Held   func(shard identity.ShardID) (identity.Epoch, error)
-	Demand *Demand
+	// OwnedEpoch returns the epoch in which this node owns shard now, or an error.
+	OwnedEpoch func(shard identity.ShardID) (identity.Epoch, error)
+	Demand     *Demand
 	// Parameters bound the plans; the zero value takes the defaults.
 	Parameters modelplacement.Parameters
 	Logger     *slog.Logger
@@ -190,7 +190,7 @@
 	engines := c.observe(now, published)
 	for _, service := range slices.Sorted(maps.Keys(services)) {
 		c.sample(now, service, services[service], engines[service])
-		epoch, err := c.config.Held(Shard(service, c.config.ShardCount))
+		epoch, err := c.config.OwnedEpoch(Shard(service, c.config.ShardCount))
 		acting := err == nil && services[service].asks() && !c.config.Board.Draining.Load()
 		c.setActing(service, epoch, acting)
 		if acting {
--- a/internal/controller/models/observe.go
+++ b/internal/controller/models/observe.go
@@ -190,10 +190,10 @@
 		refused[subject] = until.After(now)
 	}
 	described := modelplacement.Engine{
-		Name: name, Zone: e.zone, Usable: e.usable(now), Counted: e.counted(now),
+		Name: name, Zone: e.zone, Schedulable: e.usable(now), Available: e.counted(now),
 		Models:   versions(report.Models, report.ModelVersions, e.assumedModels),
 		Adapters: versions(report.Adapters, report.AdapterVersions, e.assumedAdapters),
-		Loading:  loading, Load: report.Running + report.Waiting, QuietFor: now.Sub(e.busyAt), Refused: refused,
+		Loading:  loading, Load: report.Running + report.Waiting, IdleFor: now.Sub(e.busyAt), Refused: refused,
 	}
 	if report.CacheCapacityTokens > 0 {
 		described.CacheUsed = float64(report.CacheUsedTokens) / float64(report.CacheCapacityTokens)
--- a/internal/controller/models/order.go
+++ b/internal/controller/models/order.go
@@ -83,7 +83,7 @@
 		order := backend.Order{Kind: backend.OrderFence, Fence: c.nextFence(epoch)}
 		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		if held, err := c.config.Held(Shard(service, c.config.ShardCount)); err != nil || held != epoch {
+		if held, err := c.config.OwnedEpoch(Shard(service, c.config.ShardCount)); err != nil || held != epoch {
 			return
 		}
 		err := engine.Order(ctx, order)
@@ -186,7 +186,7 @@
 	if !known {
 		return backend.ErrNotDelivered
 	}
-	held, err := c.config.Held(Shard(service, c.config.ShardCount))
+	held, err := c.config.OwnedEpoch(Shard(service, c.config.ShardCount))
 	if err != nil {
 		return errors.Join(errNotHeld, err)
 	}
--- a/internal/controller/models/site_test.go
+++ b/internal/controller/models/site_test.go
@@ -75,7 +75,7 @@
 		for index := range 2 {
 			n := &node{site: s, index: index, board: blackboard.NewBoard()}
 			n.controller = models.New(models.Config{
-				ShardCount: 4, Board: n.board, Directory: n, Weights: s.weights, Held: n.held, Demand: s.demand, Hooks: hooks,
+				ShardCount: 4, Board: n.board, Directory: n, Weights: s.weights, OwnedEpoch: n.held, Demand: s.demand, Hooks: hooks,
 			})
 			s.nodes = append(s.nodes, n)
 			s.group.Go(func() { n.controller.Run(ctx) })
--- a/internal/controller/tables/controller.go
+++ b/internal/controller/tables/controller.go
@@ -98,7 +98,7 @@
 
 	// mutex guards all below, and every write of Board.Table.
 	mutex  sync.Mutex
-	ledger *table.Ledger
+	ledger *table.VersionLog
 	// reachedEnd is true once a read of the stream came to its end.
 	reachedEnd bool
 	// peersAsked is true once a round among peers was answered after logPatience.
@@ -115,7 +115,7 @@
 		config:   config.withDefaults(),
 		started:  time.Now(),
 		advanced: make(chan struct{}, 1),
-		ledger:   table.NewLedger(),
+		ledger:   table.NewVersionLog(),
 		ahead:    map[identity.NodeName]bool{},
 	}
 }
@@ -170,7 +170,7 @@
 
 // takeOver replaces the ledger by one of a peer, or of a summary that this node
 // read, if that one has folded more.
-func (c *Controller) takeOver(handed *table.Ledger, from identity.NodeName) {
+func (c *Controller) takeOver(handed *table.VersionLog, from identity.NodeName) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.ahead, from)
--- a/internal/controller/tables/exchange.go
+++ b/internal/controller/tables/exchange.go
@@ -43,7 +43,7 @@
 }
 
 // handOver answers a pull. Ledger is nil unless the answering node has folded more.
-type handOver struct{ Ledger *table.Ledger }
+type handOver struct{ Ledger *table.VersionLog }
 
 // Kind implements peer.Message.
 func (*handOver) Kind() peer.Kind { return kindHandOver }
@@ -61,7 +61,7 @@
 	if !d.Bool() {
 		return
 	}
-	ledger, err := table.DecodeLedger(d)
+	ledger, err := table.DecodeVersionLog(d)
 	if err != nil {
 		d.Fail(err)
 		return
--- a/internal/controller/tables/follow.go
+++ b/internal/controller/tables/follow.go
@@ -13,9 +13,9 @@
 // ErrGap tells that the log no longer has records that this node must fold.
 var ErrGap = errors.New("tables: the table stream has a gap")
 
-// ErrStreamShrank tells that the log holds less than this node has read from
+// ErrStreamTruncated tells that the log holds less than this node has read from
 // it: it lost what it had acknowledged.
-var ErrStreamShrank = errors.New("tables: the table stream is shorter than what was read from it")
+var ErrStreamTruncated = errors.New("tables: the table stream is shorter than what was read from it")
 
 // follow reads the stream by long polls until ctx ends.
 func (c *Controller) follow(ctx context.Context) error {
@@ -92,7 +92,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if result.End < asked {
-		return false, fmt.Errorf("%w: it ends at %d, read up to %d", ErrStreamShrank, result.End, asked)
+		return false, fmt.Errorf("%w: it ends at %d, read up to %d", ErrStreamTruncated, result.End, asked)
 	}
 	if len(result.Records) > 0 && result.From > c.ledger.Next() {
 		return false, fmt.Errorf("%w: from %d to %d", ErrGap, c.ledger.Next(), result.From)
@@ -101,7 +101,7 @@
 		if result.From+siteservices.Offset(index) < c.ledger.Next() {
 			continue
 		}
-		if err = c.ledger.Fold(raw); err != nil {
+		if err = c.ledger.Apply(raw); err != nil {
 			break // what was folded before still counts
 		}
 	}
--- a/internal/controller/tables/publish.go
+++ b/internal/controller/tables/publish.go
@@ -20,8 +20,8 @@
 // ErrIDReused tells that the publication's id stands for another table.
 var ErrIDReused = errors.New("tables: the publication's id was used for another table")
 
-// LostError tells that another version was accepted on the base before.
-type LostError struct {
+// ConflictError tells that another version was accepted on the base before.
+type ConflictError struct {
 	Base table.Version
 	// Winner is the publication that was accepted. Its author is empty if it is
 	// too long ago to be remembered.
@@ -29,7 +29,7 @@
 }
 
 // Error names the winner.
-func (e *LostError) Error() string {
+func (e *ConflictError) Error() string {
 	return fmt.Sprintf("tables: lost: version %d by %s was accepted on base %d", e.Winner.Version, e.Winner.Author, e.Base)
 }
 
@@ -41,20 +41,20 @@
 	return fmt.Sprintf("tables: base %d was never accepted, the current version is %d", e.Base, e.Current)
 }
 
-// UnknownError tells that the publication may or may not come into force.
+// OutcomeUnknownError tells that the publication may or may not come into force.
 // Publishing it again with the same ID is safe and finds out.
-type UnknownError struct {
+type OutcomeUnknownError struct {
 	ID    string
 	Cause error
 }
 
 // Error names the id.
-func (e *UnknownError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("tables: outcome of publication %s unknown: %v", e.ID, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
 // Publication is a table that an operator wants in force.
 type Publication struct {
@@ -178,19 +178,19 @@
 // baseTaken is the outcome of a publication that the ledger does not hold while
 // its base is old: it can never be accepted any more. Only where the winner on
 // the base is forgotten could the winner have been this very publication.
-func (a *attempt) baseTaken(ledger *table.Ledger) (table.Entry, bool, error) {
-	if _, remembered := ledger.Winner(a.publication.Base); !remembered && a.publication.Repeated {
-		return table.Entry{}, true, &UnknownError{ID: a.publication.ID, Cause: errors.New("it is too long ago")}
+func (a *attempt) baseTaken(ledger *table.VersionLog) (table.Entry, bool, error) {
+	if _, remembered := ledger.AcceptedOn(a.publication.Base); !remembered && a.publication.Repeated {
+		return table.Entry{}, true, &OutcomeUnknownError{ID: a.publication.ID, Cause: errors.New("it is too long ago")}
 	}
 	return table.Entry{}, true, a.lostTo(ledger)
 }
 
-func (a *attempt) lostTo(ledger *table.Ledger) error {
-	winner, remembered := ledger.Winner(a.publication.Base)
+func (a *attempt) lostTo(ledger *table.VersionLog) error {
+	winner, remembered := ledger.AcceptedOn(a.publication.Base)
 	if !remembered {
 		winner = table.Entry{Version: a.publication.Base + 1, Base: a.publication.Base, Status: table.Accepted}
 	}
-	return &LostError{Base: a.publication.Base, Winner: winner}
+	return &ConflictError{Base: a.publication.Base, Winner: winner}
 }
 
 // giveUp is the outcome when time is up.
@@ -199,13 +199,13 @@
 		return entry, outcome
 	}
 	if a.possiblyAppended {
-		return table.Entry{}, &UnknownError{ID: a.publication.ID, Cause: cause}
+		return table.Entry{}, &OutcomeUnknownError{ID: a.publication.ID, Cause: cause}
 	}
 	return table.Entry{}, fmt.Errorf("%w: %w", ErrNotPublished, cause)
 }
 
-// ErrForgotten tells that a version is not among those that are remembered.
-var ErrForgotten = errors.New("tables: version not remembered")
+// ErrVersionNotRetained tells that a version is not among those that are remembered.
+var ErrVersionNotRetained = errors.New("tables: version not remembered")
 
 // Version returns an accepted version as its author wrote it. The newest one is
 // at hand; older ones are read from the log again.
@@ -224,7 +224,7 @@
 			return c.readRecord(ctx, entry.Offset)
 		}
 	}
-	return table.Record{}, fmt.Errorf("%w: %d", ErrForgotten, wanted)
+	return table.Record{}, fmt.Errorf("%w: %d", ErrVersionNotRetained, wanted)
 }
 
 func (c *Controller) readRecord(ctx context.Context, offset siteservices.Offset) (table.Record, error) {
--- a/internal/controller/tables/site_test.go
+++ b/internal/controller/tables/site_test.go
@@ -317,10 +317,10 @@
 }
 
 // truth folds the log itself.
-func (s *site) truth() *table.Ledger {
-	ledger := table.NewLedger()
+func (s *site) truth() *table.VersionLog {
+	ledger := table.NewVersionLog()
 	for _, raw := range s.log.Records(table.Stream) {
-		if err := ledger.Fold(raw); err != nil {
+		if err := ledger.Apply(raw); err != nil {
 			s.violate("log: %v", err)
 		}
 	}
@@ -375,14 +375,14 @@
 	}
 	for _, told := range s.reports {
 		inForce, won := accepted(told.publication.Note)
-		var lost *tables.LostError
-		var unknown *tables.UnknownError
+		var lost *tables.ConflictError
+		var unknown *tables.OutcomeUnknownError
 		var base *tables.BaseError
 		switch {
 		case told.err == nil && (!won || inForce.Version != told.entry.Version):
 			s.violate("%s told accepted as version %d, the log has %v", told.publication.Note, told.entry.Version, byNote[told.publication.Note])
 		case errors.As(told.err, &lost):
-			winner, _ := truth.Winner(told.publication.Base)
+			winner, _ := truth.AcceptedOn(told.publication.Base)
 			if won || winner.ID != lost.Winner.ID {
 				s.violate("%s told lost to %s, the log has %s", told.publication.Note, lost.Winner.ID, winner.ID)
 			}
--- a/internal/controller/tables/summary.go
+++ b/internal/controller/tables/summary.go
@@ -14,7 +14,7 @@
 	summaryCheck = 5 * time.Second
 	// summaryWindow is how far back from its end a starting node searches the
 	// stream for a summary. Twice the interval leaves nodes time to write one.
-	summaryWindow = 2 * table.SummaryInterval
+	summaryWindow = 2 * table.SnapshotInterval
 )
 
 // summarize appends a summary to the stream when one is due. Each look lets one
@@ -40,10 +40,10 @@
 func (c *Controller) dueSummary() ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.reachedEnd || !c.ledger.SummaryDue() {
+	if !c.reachedEnd || !c.ledger.SnapshotDue() {
 		return nil, false
 	}
-	return c.ledger.Summary(), true
+	return c.ledger.Snapshot(), true
 }
 
 func (c *Controller) appendSummary(ctx context.Context, record []byte) error {
@@ -67,7 +67,7 @@
 	if first.End <= summaryWindow {
 		return nil
 	}
-	var found *table.Ledger
+	var found *table.VersionLog
 	for from := first.End - summaryWindow; from < first.End; {
 		result, err := c.config.Log.Read(ctx, table.Stream, from, readLimit, 0)
 		if err != nil {
@@ -77,7 +77,7 @@
 			break
 		}
 		for index, raw := range result.Records {
-			if ledger, err := table.FromSummary(result.From+siteservices.Offset(index), raw); err == nil {
+			if ledger, err := table.DecodeSnapshot(result.From+siteservices.Offset(index), raw); err == nil {
 				found = ledger
 			}
 		}
--- a/internal/controller/tables/tables_test.go
+++ b/internal/controller/tables/tables_test.go
@@ -208,7 +208,7 @@
 	caught(t, func(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
 		record := table.Record{ID: p.ID, Base: p.Base, Author: p.Author, Note: p.Note, CSV: p.CSV}
 		if _, err := n.log.Append(ctx, table.Stream, [][]byte{record.Encode()}); err != nil {
-			return table.Entry{}, &tables.UnknownError{ID: p.ID, Cause: err}
+			return table.Entry{}, &tables.OutcomeUnknownError{ID: p.ID, Cause: err}
 		}
 		return table.Entry{Version: p.Base + 1, Status: table.Accepted}, nil
 	}, right)
@@ -328,7 +328,7 @@
 			s.checkInForce(5 * time.Second)
 			s.checkReports()
 			for _, told := range s.reports[1:] {
-				var lost *tables.LostError
+				var lost *tables.ConflictError
 				switch {
 				case told.err == nil:
 					winners++
@@ -403,7 +403,7 @@
 		var invalid *table.InvalidError
 		_, err := publish(tables.Publication{Base: 1, CSV: []byte("kind,name\nwheel,x\n")})
 		is.True(errors.As(err, &invalid))
-		var lost *tables.LostError
+		var lost *tables.ConflictError
 		_, err = publish(tables.Publication{Base: 0, CSV: sheetOf(3)})
 		is.True(errors.As(err, &lost))
 		is.Equal(lost.Winner.Author, "author-1")
@@ -434,7 +434,7 @@
 		s.log.SetFaults(logservice.Faults{AppendDelay: time.Second})
 		wanted := tables.Publication{ID: "mine", Base: 1, CSV: sheetOf(3)}
 		_, err := s.node("n1").controller.Publish(s.ctx, wanted)
-		var unknown *tables.UnknownError
+		var unknown *tables.OutcomeUnknownError
 		is.True(errors.As(err, &unknown))
 		s.log.SetFaults(logservice.Faults{})
 		wanted.Repeated = true
--- a/internal/distance/distance.go
+++ b/internal/distance/distance.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// PriorZone and priorRegion are the round trips to another zone of the own region and
+	// DefaultZoneRoundTrip and priorRegion are the round trips to another zone of the own region and
 	// to another region until one has been measured.
-	PriorZone   = 1500 * time.Microsecond
-	priorRegion = 40 * time.Millisecond
+	DefaultZoneRoundTrip = 1500 * time.Microsecond
+	priorRegion          = 40 * time.Millisecond
 	// generation is how long the least round trip is looked for. The estimate is the least
 	// of the last two generations: a machine that is slow to answer makes a round trip
 	// longer and never shorter, and a way that has grown longer counts after both.
@@ -22,8 +22,8 @@
 	fresh = 3 * time.Second
 )
 
-// Way is how a zone is reached.
-type Way struct {
+// Path is how a zone is reached.
+type Path struct {
 	Zone string `json:"zone"`
 	// RoundTrip is the time there and back.
 	RoundTrip time.Duration `json:"round_trip"`
@@ -87,16 +87,16 @@
 	return min(r.current, r.previous)
 }
 
-// To returns the way to a zone.
-func (m *Map) To(zone string) Way {
+// PathTo returns the way to a zone.
+func (m *Map) PathTo(zone string) Path {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.to(zone)
 }
 
 // to needs the mutex.
-func (m *Map) to(zone string) Way {
-	way := Way{Zone: zone, OtherRegion: m.otherRegion(zone)}
+func (m *Map) to(zone string) Path {
+	way := Path{Zone: zone, OtherRegion: m.otherRegion(zone)}
 	if known, found := m.measured[zone]; found {
 		way.RoundTrip, way.Measured = known.estimate(), true
 		return way
@@ -106,7 +106,7 @@
 	case way.OtherRegion:
 		way.RoundTrip = priorRegion
 	default:
-		way.RoundTrip = PriorZone
+		way.RoundTrip = DefaultZoneRoundTrip
 	}
 	return way
 }
@@ -117,22 +117,22 @@
 	return own != "" && there != "" && own != there
 }
 
-// Stale tells whether the way to another zone is to be measured now.
-func (m *Map) Stale(zone string, now time.Duration) bool {
+// NeedsMeasurement tells whether the way to another zone is to be measured now.
+func (m *Map) NeedsMeasurement(zone string, now time.Duration) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	known, found := m.measured[zone]
 	return zone != m.zone && (!found || now-known.last >= fresh)
 }
 
-// Ways returns the ways to the given zones by name.
-func (m *Map) Ways(zones []string) []Way {
+// Paths returns the ways to the given zones by name.
+func (m *Map) Paths(zones []string) []Path {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	ways := make([]Way, 0, len(zones))
+	ways := make([]Path, 0, len(zones))
 	for _, zone := range zones {
 		ways = append(ways, m.to(zone))
 	}
-	slices.SortFunc(ways, func(a, b Way) int { return cmp.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(ways, func(a, b Path) int { return cmp.Compare(a.Zone, b.Zone) })
 	return ways
 }
--- a/internal/distance/distance_test.go
+++ b/internal/distance/distance_test.go
@@ -14,12 +14,12 @@
 func TestSettingsTableIsThePrior(t *testing.T) {
 	is := is.New(t)
 	m := newMap()
-	is.Equal(m.To("a"), Way{Zone: "a"})
-	is.Equal(m.To("b"), Way{Zone: "b", RoundTrip: PriorZone})
-	is.Equal(m.To("c"), Way{Zone: "c", RoundTrip: priorRegion, OtherRegion: true})
-	is.Equal(m.To("unlisted"), Way{Zone: "unlisted", RoundTrip: PriorZone})
-	is.True(m.Stale("c", 0))
-	is.True(!m.Stale("a", 0))
+	is.Equal(m.PathTo("a"), Path{Zone: "a"})
+	is.Equal(m.PathTo("b"), Path{Zone: "b", RoundTrip: DefaultZoneRoundTrip})
+	is.Equal(m.PathTo("c"), Path{Zone: "c", RoundTrip: priorRegion, OtherRegion: true})
+	is.Equal(m.PathTo("unlisted"), Path{Zone: "unlisted", RoundTrip: DefaultZoneRoundTrip})
+	is.True(m.NeedsMeasurement("c", 0))
+	is.True(!m.NeedsMeasurement("a", 0))
 }
 
 func TestSlowMachinesDoNotMakeAZoneFarther(t *testing.T) {
@@ -32,9 +32,9 @@
 		}
 		m.Observe("c", roundTrip, time.Duration(i)*time.Second)
 	}
-	is.Equal(m.To("c"), Way{Zone: "c", RoundTrip: 60 * time.Millisecond, OtherRegion: true, Measured: true})
-	is.True(!m.Stale("c", 40*time.Second))
-	is.True(m.Stale("c", 42*time.Second))
+	is.Equal(m.PathTo("c"), Path{Zone: "c", RoundTrip: 60 * time.Millisecond, OtherRegion: true, Measured: true})
+	is.True(!m.NeedsMeasurement("c", 40*time.Second))
+	is.True(m.NeedsMeasurement("c", 42*time.Second))
 }
 
 func TestWayThatGrowsLongerCountsAfterTwoGenerations(t *testing.T) {
@@ -44,11 +44,11 @@
 	for at := time.Second; at < 3*generation; at += time.Second {
 		m.Observe("b", 20*time.Millisecond, at)
 	}
-	is.Equal(m.To("b").RoundTrip, 20*time.Millisecond)
+	is.Equal(m.PathTo("b").RoundTrip, 20*time.Millisecond)
 	m.Observe("b", 2*time.Millisecond, 3*generation) // a shorter one counts at once
-	is.Equal(m.To("b").RoundTrip, 2*time.Millisecond)
+	is.Equal(m.PathTo("b").RoundTrip, 2*time.Millisecond)
 	m.Observe("b", 0, 3*generation)
-	is.Equal(m.To("b").RoundTrip, 2*time.Millisecond)
-	is.Equal(len(m.Ways([]string{"c", "a"})), 2)
-	is.Equal(m.Ways([]string{"c", "a"})[0].Zone, "a")
+	is.Equal(m.PathTo("b").RoundTrip, 2*time.Millisecond)
+	is.Equal(len(m.Paths([]string{"c", "a"})), 2)
+	is.Equal(m.Paths([]string{"c", "a"})[0].Zone, "a")
 }
--- a/internal/distribution/duty.go
+++ b/internal/distribution/duty.go
@@ -33,11 +33,11 @@
 	volunteerPause = 200 * time.Millisecond
 )
 
-// Situation is what a node knows that decides whether it reads the store.
-type Situation struct {
+// ReadConditions is what a node knows that decides whether it reads the store.
+type ReadConditions struct {
 	// Now is a monotonic reading that counts from the node's start.
-	Now   time.Duration
-	Place Place
+	Now  time.Duration
+	Role Role
 	// Members is how many nodes are known, this one among them.
 	Members int
 	// Alone tells that there is nobody to hear from: no member, no seed.
@@ -48,13 +48,13 @@
 	// Known tells that the topic is known; it is Age old.
 	Known bool
 	Age   time.Duration
-	// Draw is a random number in [0,1).
-	Draw float64
+	// Random is a random number in [0,1).
+	Random float64
 }
 
-// Duty decides whether a node reads a topic from the store. It is not safe for concurrent
+// ReadDecider decides whether a node reads a topic from the store. It is not safe for concurrent
 // use.
-type Duty struct {
+type ReadDecider struct {
 	// since is from when on the node has been among the readers by its plan without a
 	// pause, and membersThen how many members it knew.
 	since       time.Duration
@@ -68,8 +68,8 @@
 	drawn time.Duration
 }
 
-// Reads decides.
-func (d *Duty) Reads(s Situation) bool {
+// ShouldRead decides.
+func (d *ReadDecider) ShouldRead(s ReadConditions) bool {
 	d.noteAmong(s)
 	switch {
 	case s.Alone, s.Seed && s.Now < youngTime:
@@ -78,24 +78,24 @@
 		return true
 	case !s.Known:
 		return d.readsUnknown(s)
-	case s.Place.Reads && (d.taken || s.Now-d.since >= settleTime):
+	case s.Role.Reads && (d.taken || s.Now-d.since >= settleTime):
 		d.taken = true
 		return true
-	case s.Age > orphanAge*time.Duration(max(s.Place.Tier, 1)):
-		return d.volunteers(s, s.Place.Tier == 1)
+	case s.Age > orphanAge*time.Duration(max(s.Role.Tier, 1)):
+		return d.volunteers(s, s.Role.Tier == 1)
 	}
 	return false
 }
 
 // volunteers decides whether a node that nobody tells anything fresh reads for a while:
 // one that must does, of the others as many in volunteerPause as the store bears.
-func (d *Duty) volunteers(s Situation, must bool) bool {
+func (d *ReadDecider) volunteers(s ReadConditions, must bool) bool {
 	if !must {
 		if s.Now-d.drawn < volunteerPause {
 			return false
 		}
 		d.drawn = s.Now
-		if s.Draw*float64(s.Members) >= volunteers {
+		if s.Random*float64(s.Members) >= volunteers {
 			return false
 		}
 	}
@@ -103,16 +103,16 @@
 	return true
 }
 
-func (d *Duty) noteAmong(s Situation) {
+func (d *ReadDecider) noteAmong(s ReadConditions) {
 	grown := s.Members*100 > d.membersThen*(100+growthPercent)
-	if s.Place.Reads && d.among && (d.taken || !grown) {
+	if s.Role.Reads && d.among && (d.taken || !grown) {
 		return
 	}
-	d.among, d.since, d.membersThen, d.taken = s.Place.Reads, s.Now, s.Members, false
+	d.among, d.since, d.membersThen, d.taken = s.Role.Reads, s.Now, s.Members, false
 }
 
 // readsUnknown decides for a node that knows nothing of the topic yet.
-func (d *Duty) readsUnknown(s Situation) bool {
+func (d *ReadDecider) readsUnknown(s ReadConditions) bool {
 	patience := awayPatience
 	if s.SeedsLive {
 		patience = seedPatience
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -46,9 +46,9 @@
 type follower struct {
 	service *Service
 	number  uint8
-	feed    Feed
+	feed    Subscription
 	gate    *gate
-	duty    Duty
+	duty    ReadDecider
 
 	// source is the node that is asked now, parentTried when the first parent was tried
 	// last.
@@ -76,17 +76,17 @@
 	confirmed time.Time
 }
 
-func newFollower(service *Service, number uint8, feed Feed) *follower {
+func newFollower(service *Service, number uint8, feed Subscription) *follower {
 	return &follower{service: service, number: number, feed: feed, gate: newGate(), avoided: map[netip.AddrPort]time.Time{}}
 }
 
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		situation := f.service.situation(f.feed.Topic)
-		reads := f.duty.Reads(situation)
+		reads := f.duty.ShouldRead(situation)
 		if f.gate.set(reads) {
 			f.service.config.Logger.Info("topic read from the store", "topic", f.feed.Topic.name, "reads", reads,
-				"tier", situation.Place.Tier, "members", situation.Members, "known", situation.Known, "age_ms", situation.Age.Milliseconds())
+				"tier", situation.Role.Tier, "members", situation.Members, "known", situation.Known, "age_ms", situation.Age.Milliseconds())
 		}
 		switch {
 		case !reads:
@@ -100,7 +100,7 @@
 }
 
 // hear asks one node.
-func (f *follower) hear(ctx context.Context, situation Situation) {
+func (f *follower) hear(ctx context.Context, situation ReadConditions) {
 	source, found := f.pick(situation)
 	if !found {
 		_ = wait.For(ctx, emptyPause) // the caller looks at ctx
@@ -119,9 +119,9 @@
 
 // pick returns the node to ask: the one that was asked before as long as it tells enough,
 // else the first that is not avoided.
-func (f *follower) pick(situation Situation) (netip.AddrPort, bool) {
+func (f *follower) pick(situation ReadConditions) (netip.AddrPort, bool) {
 	now := time.Now()
-	parents := situation.Place.Parents
+	parents := situation.Role.Parents
 	settled := situation.Known == f.knew && now.Sub(f.parentTried) < parentPause
 	if f.usable(f.source, now) && (settled || len(parents) > 0 && parents[0] == f.source) {
 		return f.source, true
@@ -143,13 +143,13 @@
 
 // candidates returns whom to ask, the best first: nodes that are known to know the topic
 // where this one does not, its parents, a neighbour, and the seeds.
-func (f *follower) candidates(situation Situation) []netip.AddrPort {
+func (f *follower) candidates(situation ReadConditions) []netip.AddrPort {
 	var candidates []netip.AddrPort
 	if !situation.Known {
 		candidates = append(candidates, f.hints...)
 		candidates = append(candidates, f.service.config.Seeds...)
 	}
-	candidates = append(candidates, situation.Place.Parents...)
+	candidates = append(candidates, situation.Role.Parents...)
 	if situation.Known {
 		candidates = append(candidates, f.hints...)
 	}
@@ -263,7 +263,7 @@
 func (f *follower) takeChanges(source netip.AddrPort, question *ask, told *tell, confirmed time.Time) {
 	f.pages = nil
 	if told.Position > question.Position || len(told.Items) > 0 {
-		f.feed.Change(told.Items, told.Position)
+		f.feed.Apply(told.Items, told.Position)
 	}
 	f.confirm(source, confirmed)
 	if age, known := f.feed.Topic.Age(time.Now()); !known || age > staleAge {
--- a/internal/distribution/plan.go
+++ b/internal/distribution/plan.go
@@ -36,8 +36,8 @@
 	return min(max(p.ReadEntries/entries, leastReaders), nodes)
 }
 
-// Place is a node's place in the distribution.
-type Place struct {
+// Role is a node's place in the distribution.
+type Role struct {
 	// Reads tells that it reads the store.
 	Reads bool
 	// All tells that all nodes do.
@@ -79,7 +79,7 @@
 		}
 		plan.order = append(plan.order, ranked{
 			name: member.Node.Name, zone: member.Node.Zone, address: member.Node.PeerAddress,
-			capacity: member.Figure, score: membership.Score(rankKey, member.Node.Name),
+			capacity: member.Load, score: membership.Score(rankKey, member.Node.Name),
 		})
 	}
 	slices.SortFunc(plan.order, compareRanked)
@@ -100,14 +100,14 @@
 // Size returns how many nodes are placed.
 func (p *Plan) Size() int { return len(p.order) }
 
-// Place returns this node's place among a number of readers.
-func (p *Plan) Place(readers int) Place {
+// Role returns this node's place among a number of readers.
+func (p *Plan) Role(readers int) Role {
 	readers = min(readers, len(p.order))
 	self, found := p.find()
 	if !found {
-		return Place{}
+		return Role{}
 	}
-	place := Place{All: readers == len(p.order)}
+	place := Role{All: readers == len(p.order)}
 	for i, reader := range p.order[:readers] {
 		if reader.name == p.self {
 			place.Reads = true
--- a/internal/distribution/plan_test.go
+++ b/internal/distribution/plan_test.go
@@ -19,7 +19,7 @@
 	if i/5%5 == 0 {
 		capacity = 800
 	}
-	return membership.Member{Status: membership.Alive, Figure: capacity, Node: identity.Node{
+	return membership.Member{Status: membership.Alive, Load: capacity, Node: identity.Node{
 		Name: identity.NodeName(fmt.Sprintf("n%04d", i)), Zone: identity.Zone(fmt.Sprintf("z%d", i%5)), PeerAddress: address(i),
 	}}
 }
@@ -44,7 +44,7 @@
 	is.Equal(policy.Readers(984, 10_000), leastReaders)
 	is.Equal(policy.Readers(1000, 1000), 20)
 	is.Equal(policy.Readers(1, 1_000_000), 1)
-	place := NewPlan("n0003", members(10)).Place(10)
+	place := NewPlan("n0003", members(10)).Role(10)
 	is.True(place.Reads && place.All)
 	is.Equal(place.Tier, 0)
 }
@@ -57,7 +57,7 @@
 	asked := map[netip.AddrPort]int{}
 	readers := map[identity.Zone]int{}
 	for _, one := range all {
-		place := NewPlan(one.Node.Name, all).Place(3)
+		place := NewPlan(one.Node.Name, all).Role(3)
 		if place.Reads {
 			readers[one.Node.Zone]++
 			continue
@@ -69,7 +69,7 @@
 	for i, one := range all {
 		is.True(asked[address(i)] <= 2*fanOut)
 		if asked[address(i)] > 0 {
-			is.Equal(one.Figure, uint32(800))
+			is.Equal(one.Load, uint32(800))
 		}
 	}
 }
@@ -98,7 +98,7 @@
 // comes after it in rank, if there is one.
 func laterParent(known []membership.Member, readers int) (membership.Member, bool) {
 	own := known[0]
-	place := NewPlan(own.Node.Name, known).Place(readers)
+	place := NewPlan(own.Node.Name, known).Role(readers)
 	if place.Reads {
 		return membership.Member{}, false
 	}
@@ -112,5 +112,5 @@
 }
 
 func rankedOf(one membership.Member) ranked {
-	return ranked{name: one.Node.Name, capacity: one.Figure, score: membership.Score(rankKey, one.Node.Name)}
+	return ranked{name: one.Node.Name, capacity: one.Load, score: membership.Score(rankKey, one.Node.Name)}
 }
--- a/internal/distribution/service.go
+++ b/internal/distribution/service.go
@@ -39,13 +39,13 @@
 	mostHolders = 8
 )
 
-// Feed joins a topic with those who use it.
-type Feed struct {
+// Subscription joins a topic with those who use it.
+type Subscription struct {
 	Topic *Topic
 	// Replace takes the whole topic at a position as another node knows it, Change what has
 	// changed up to a position. Both have the topic take it.
 	Replace func(items []logstore.Item, position logstore.Offset)
-	Change  func(items []logstore.Item, position logstore.Offset)
+	Apply   func(items []logstore.Item, position logstore.Offset)
 	// Confirm is told of a time at which the store held nothing newer.
 	Confirm func(at time.Time)
 }
@@ -60,10 +60,10 @@
 	// LinkBytesPerSecond is what the node's link carries.
 	LinkBytesPerSecond float64
 	Policy             Policy
-	// Feeds are the topics, in the same order on all nodes.
-	Feeds      []Feed
-	Logger     *slog.Logger
-	Registerer prometheus.Registerer
+	// Subscriptions are the topics, in the same order on all nodes.
+	Subscriptions []Subscription
+	Logger        *slog.Logger
+	Registerer    prometheus.Registerer
 }
 
 // Service hears of topics from other nodes and tells them. It is safe for concurrent use.
@@ -80,7 +80,7 @@
 	mutex   sync.Mutex
 	plan    *Plan
 	readers int
-	place   Place
+	place   Role
 	// others are the other living members, seedsLive tells that a seed is among them.
 	others    []netip.AddrPort
 	seedsLive bool
@@ -92,9 +92,9 @@
 func New(config Config) *Service {
 	made := &Service{
 		config: config, began: time.Now(), plan: NewPlan(config.Self, nil),
-		budget: newBudget(config.LinkBytesPerSecond * linkPart), held: make([]atomic.Int32, len(config.Feeds)),
+		budget: newBudget(config.LinkBytesPerSecond * linkPart), held: make([]atomic.Int32, len(config.Subscriptions)),
 	}
-	for number, feed := range config.Feeds {
+	for number, feed := range config.Subscriptions {
 		made.followers = append(made.followers, newFollower(made, uint8(number), feed))
 	}
 	made.metrics = newMetrics(made, config.Registerer)
@@ -116,9 +116,9 @@
 	loops.Wait()
 }
 
-// Await returns once this node is to read a topic from the store, or an error when ctx
+// AwaitReader returns once this node is to read a topic from the store, or an error when ctx
 // ends.
-func (s *Service) Await(ctx context.Context, topic int) error {
+func (s *Service) AwaitReader(ctx context.Context, topic int) error {
 	return s.followers[topic].gate.await(ctx)
 }
 
@@ -142,38 +142,38 @@
 	s.plan, s.others, s.seedsLive, s.readers = plan, others, seedsLive, 0
 }
 
-// Distributes tells whether other nodes hear from this one, so that it has to know early.
-func (s *Service) Distributes() bool {
+// ServesPeers tells whether other nodes hear from this one, so that it has to know early.
+func (s *Service) ServesPeers() bool {
 	place := s.placed()
 	return place.Reads && !place.All
 }
 
 // placed returns this node's place by the newest members and entries.
-func (s *Service) placed() Place {
+func (s *Service) placed() Role {
 	entries := 0
-	for _, feed := range s.config.Feeds {
+	for _, feed := range s.config.Subscriptions {
 		entries += feed.Topic.Size()
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if readers := s.config.Policy.Readers(s.plan.Size(), max(entries, 1)); readers != s.readers {
-		s.readers, s.place = readers, s.plan.Place(readers)
+		s.readers, s.place = readers, s.plan.Role(readers)
 	}
 	return s.place
 }
 
 // situation describes what decides whether this node reads a topic.
-func (s *Service) situation(topic *Topic) Situation {
+func (s *Service) situation(topic *Topic) ReadConditions {
 	place := s.placed()
 	age, _ := topic.Age(time.Now())
 	_, known := topic.Position()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return Situation{
-		Now: time.Since(s.began), Place: place, Members: max(s.plan.Size(), 1),
+	return ReadConditions{
+		Now: time.Since(s.began), Role: place, Members: max(s.plan.Size(), 1),
 		Alone: len(s.config.Seeds) == 0 && len(s.others) == 0,
 		Seed:  slices.Contains(s.config.Seeds, s.config.Own), SeedsLive: s.seedsLive,
-		Known: known, Age: age, Draw: rand.Float64(),
+		Known: known, Age: age, Random: rand.Float64(),
 	}
 }
 
@@ -218,10 +218,10 @@
 	if !ok {
 		return nil, fmt.Errorf("distribution: unexpected %T", request)
 	}
-	if int(asked.Topic) >= len(s.config.Feeds) {
+	if int(asked.Topic) >= len(s.config.Subscriptions) {
 		return &tell{State: stateUnknown}, nil
 	}
-	topic := s.config.Feeds[asked.Topic].Topic
+	topic := s.config.Subscriptions[asked.Topic].Topic
 	began := time.Now()
 	var told *tell
 	switch held := &s.held[asked.Topic]; {
--- a/internal/distribution/site_test.go
+++ b/internal/distribution/site_test.go
@@ -150,7 +150,7 @@
 	n.service = New(Config{
 		Self: member(n.number).Node.Name, Own: address(n.number), Seeds: n.site.seeds, Peers: n.site,
 		LinkBytesPerSecond: 30e6 / 8, Policy: n.site.policy, Logger: slog.New(slog.DiscardHandler),
-		Feeds: []Feed{{Topic: topic, Replace: topic.Replace, Change: topic.Apply, Confirm: topic.Confirm}},
+		Subscriptions: []Subscription{{Topic: topic, Replace: topic.Replace, Apply: topic.Apply, Confirm: topic.Confirm}},
 	})
 	n.registry = peer.NewRegistry()
 	n.service.Register(n.registry)
@@ -178,9 +178,9 @@
 		Pause: func() time.Duration { return 250 * time.Millisecond }, Wait: func() time.Duration { return 250 * time.Millisecond },
 		OnSnapshot:  topic.Replace,
 		OnChanges:   func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { topic.Apply(items, next) },
-		OnRegained:  func() {},
+		OnRecovered: func() {},
 		OnConfirmed: topic.Confirm, Logger: slog.New(slog.DiscardHandler),
-		Await:    func(ctx context.Context) error { return service.Await(ctx, 0) },
+		Await:    func(ctx context.Context) error { return service.AwaitReader(ctx, 0) },
 		Position: topic.Position,
 	})
 	go service.Run(ctx)
--- a/internal/emulator/store/store.go
+++ b/internal/emulator/store/store.go
@@ -184,12 +184,12 @@
 		return fault, fmt.Errorf("%w: busy", logstore.ErrUnavailable)
 	case fault.Silent:
 		<-ctx.Done()
-		return fault, fmt.Errorf("%w: %w", logstore.ErrAnswerLost, ctx.Err())
+		return fault, fmt.Errorf("%w: %w", logstore.ErrOutcomeUnknown, ctx.Err())
 	case fault.Delay > 0:
 		time.Sleep(fault.Delay)
 	}
 	if ctx.Err() != nil {
-		return fault, fmt.Errorf("%w: %w", logstore.ErrAnswerLost, ctx.Err())
+		return fault, fmt.Errorf("%w: %w", logstore.ErrOutcomeUnknown, ctx.Err())
 	}
 	return fault, nil
 }
@@ -207,7 +207,7 @@
 			_, _ = s.append(request)
 		}
 		<-ctx.Done()
-		return logstore.AppendResult{}, fmt.Errorf("%w: %w", logstore.ErrAnswerLost, ctx.Err())
+		return logstore.AppendResult{}, fmt.Errorf("%w: %w", logstore.ErrOutcomeUnknown, ctx.Err())
 	}
 	return s.append(request)
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -18,14 +18,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		scale := math.Pow(10, rapid.Float64Range(-3, 3).Draw(t, "scale"))
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		var line Line
+		var line LinearFit
 		base, slope := 20*scale, 0.03*scale
 		for range withinObservations {
 			x := 5000 * random.Float64()
 			line.Observe(x, base+slope*x)
 		}
 		_, found := line.Fit()
-		if math.Abs(found-slope) > 0.1*slope || math.Abs(line.At(2500)-base-2500*slope) > 0.1*(base+2500*slope) {
+		if math.Abs(found-slope) > 0.1*slope || math.Abs(line.Predict(2500)-base-2500*slope) > 0.1*(base+2500*slope) {
 			t.Fatalf("scale %v: slope %v for %v", scale, found, slope)
 		}
 	})
@@ -33,7 +33,7 @@
 
 func TestLineIsKnownFromTheFirstObservation(t *testing.T) {
 	is := is.New(t)
-	var line Line
+	var line LinearFit
 	is.True(!line.Known())
 	line.Observe(1000, 50)
 	_, slope := line.Fit()
@@ -44,7 +44,7 @@
 	for _, factor := range []float64{3, 1.0 / 3} {
 		is := is.New(t)
 		random := rand.New(rand.NewPCG(1, 2))
-		var line Line
+		var line LinearFit
 		observe := func(count int, slope float64) {
 			for range count {
 				x := 4000 * random.Float64()
@@ -63,7 +63,7 @@
 func TestEstimatesStayUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		odd := rapid.SliceOfN(rapid.Float64(), 0, 50)
-		var line Line
+		var line LinearFit
 		var mean Mean
 		var grows Slope
 		var group Group
@@ -74,7 +74,7 @@
 			grows.Observe(&group, xs[i], ys[i])
 		}
 		base, slope := line.Fit()
-		for _, value := range []float64{base, slope, line.At(1e6), mean.Or(1), grows.Value()} {
+		for _, value := range []float64{base, slope, line.Predict(1e6), mean.Or(1), grows.Value()} {
 			if !usable(value) {
 				t.Fatalf("%v after %v and %v", value, xs, ys)
 			}
@@ -84,7 +84,7 @@
 			line.Observe(x, 5+0.1*x)
 			mean.Observe(7)
 		}
-		if got := line.At(500); math.Abs(got-55) > 6 {
+		if got := line.Predict(500); math.Abs(got-55) > 6 {
 			t.Fatalf("stuck at %v", got)
 		}
 		if got := mean.Or(0); math.Abs(got-7) > 1 {
@@ -96,7 +96,7 @@
 func TestUnseenDelaysMoveTheLineLittle(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
-	var line Line
+	var line LinearFit
 	for range 1000 {
 		x := 4000 * random.Float64()
 		delay := 0.0
--- a/internal/estimate/line.go
+++ b/internal/estimate/line.go
@@ -24,21 +24,21 @@
 	largest = 1e7
 )
 
-// Line is a fit of y = base + slope*x that forgets, for x and y of at least 0.
+// LinearFit is a fit of y = base + slope*x that forgets, for x and y of at least 0.
 // Invariant: neither base nor slope is negative or not a number.
-type Line struct {
+type LinearFit struct {
 	weight, x, y, xx, xy float64
 }
 
 // Observe takes one observation. One that is negative or not a number is left out.
-func (l *Line) Observe(x, y float64) {
+func (l *LinearFit) Observe(x, y float64) {
 	if !usable(x) || !usable(y) {
 		return
 	}
 	x, y = min(x, largest), min(y, largest)
 	weight := 1.0
 	if l.weight > 0 {
-		expected := l.At(x)
+		expected := l.Predict(x)
 		if y > expected {
 			weight = delayedWeight
 		}
@@ -55,10 +55,10 @@
 }
 
 // Known tells whether anything has been observed.
-func (l *Line) Known() bool { return l.weight > 0 }
+func (l *LinearFit) Known() bool { return l.weight > 0 }
 
 // Fit returns the line; it is zero while nothing has been observed.
-func (l *Line) Fit() (base, slope float64) {
+func (l *LinearFit) Fit() (base, slope float64) {
 	if l.weight == 0 {
 		return 0, 0
 	}
@@ -78,8 +78,8 @@
 	return base, slope
 }
 
-// At returns what the line says of x.
-func (l *Line) At(x float64) float64 {
+// Predict returns what the line says of x.
+func (l *LinearFit) Predict(x float64) float64 {
 	base, slope := l.Fit()
 	return base + slope*x
 }
--- a/internal/estimate/service.go
+++ b/internal/estimate/service.go
@@ -31,7 +31,7 @@
 // Service learns the rates of one service.
 type Service struct {
 	// reading is the time to the first event by tokens that were to be read.
-	reading Line
+	reading LinearFit
 	// pace is the time between events and others the requests under way beside;
 	// sharing is how the former grows with the latter.
 	pace, others Mean
@@ -58,12 +58,12 @@
 // Events takes how many events a whole stream had.
 func (s *Service) Events(count int) { s.events.Observe(float64(count)) }
 
-// KnowsFirst and KnowsPlain tell whether the rates for streams and for plain requests have
+// HasFirstEventRates and KnowsPlain tell whether the rates for streams and for plain requests have
 // been learned.
-func (s *Service) KnowsFirst() bool { return s.reading.Known() }
+func (s *Service) HasFirstEventRates() bool { return s.reading.Known() }
 
-// KnowsPlain is as KnowsFirst.
-func (s *Service) KnowsPlain() bool { return s.plain.Known() }
+// HasPlainRates is as KnowsFirst.
+func (s *Service) HasPlainRates() bool { return s.plain.Known() }
 
 // Plain takes how long a plain request took in milliseconds.
 func (s *Service) Plain(milliseconds float64) { s.plain.Observe(milliseconds) }
--- a/internal/evacuation/zones.go
+++ b/internal/evacuation/zones.go
@@ -24,13 +24,13 @@
 	// Since is when the zone was evacuated, as far as is known here: the time at which
 	// the first of the nodes that told each other heard of it.
 	Since time.Duration
-	// LastSend is how long after Since this node still sent a request there; 0 if it
+	// LastSendDelay is how long after Since this node still sent a request there; 0 if it
 	// did not.
-	LastSend time.Duration
+	LastSendDelay time.Duration
 }
 
-// Told is what one node tells another.
-type Told struct {
+// Snapshot is what one node tells another.
+type Snapshot struct {
 	// Position is the offset in the operators' topic up to which Zones is known; 0 if
 	// nothing is known.
 	Position uint64
@@ -71,11 +71,11 @@
 	return evacuated
 }
 
-// Any tells whether any zone is evacuated.
-func (z *Zones) Any() bool { return len(z.inForce.Load().since) > 0 }
+// AnyEvacuated tells whether any zone is evacuated.
+func (z *Zones) AnyEvacuated() bool { return len(z.inForce.Load().since) > 0 }
 
-// MaySend tells whether a request may go to a zone now, and notes that it does.
-func (z *Zones) MaySend(zone string, now time.Duration) bool {
+// TrySend tells whether a request may go to a zone now, and notes that it does.
+func (z *Zones) TrySend(zone string, now time.Duration) bool {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	if z.Evacuated(zone) {
@@ -135,9 +135,9 @@
 	return z.put(&state{position: position, since: since})
 }
 
-// Adopt takes what another node has told, if it is newer. asked is when that node was
+// Merge takes what another node has told, if it is newer. asked is when that node was
 // asked.
-func (z *Zones) Adopt(told Told, asked time.Duration) []Event {
+func (z *Zones) Merge(told Snapshot, asked time.Duration) []Event {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	before := z.inForce.Load()
@@ -166,7 +166,7 @@
 	for zone, since := range next.since {
 		if _, known := before.since[zone]; !known {
 			events = append(events, Event{
-				Change: Change{Zone: zone, Evacuated: true}, Since: since, LastSend: max(z.sends[zone]-since, 0),
+				Change: Change{Zone: zone, Evacuated: true}, Since: since, LastSendDelay: max(z.sends[zone]-since, 0),
 			})
 		}
 	}
@@ -179,10 +179,10 @@
 	return events
 }
 
-// Tell returns what this node knows, for others.
-func (z *Zones) Tell(now time.Duration) Told {
+// Snapshot returns what this node knows, for others.
+func (z *Zones) Snapshot(now time.Duration) Snapshot {
 	inForce := z.inForce.Load()
-	told := Told{Position: inForce.position, Zones: make(map[string]time.Duration, len(inForce.since))}
+	told := Snapshot{Position: inForce.position, Zones: make(map[string]time.Duration, len(inForce.since))}
 	for zone, since := range inForce.since {
 		told.Zones[zone] = now - since
 	}
--- a/internal/evacuation/zones_test.go
+++ b/internal/evacuation/zones_test.go
@@ -16,15 +16,15 @@
 func TestZoneIsLeftAloneUntilItIsTakenBack(t *testing.T) {
 	is := is.New(t)
 	z := NewZones()
-	is.True(z.MaySend("a", time.Second))
+	is.True(z.TrySend("a", time.Second))
 	events := z.Apply(1, []Change{evacuated("a"), evacuated("b")}, 2*time.Second)
 	is.Equal(events, []Event{{Change: evacuated("a"), Since: 2 * time.Second}, {Change: evacuated("b"), Since: 2 * time.Second}})
-	is.True(!z.MaySend("a", 3*time.Second))
-	is.True(z.MaySend("c", 3*time.Second))
+	is.True(!z.TrySend("a", 3*time.Second))
+	is.True(z.TrySend("c", 3*time.Second))
 	is.Equal(len(z.Apply(2, []Change{evacuated("a")}, 3*time.Second)), 0) // asked for once more
 	events = z.Apply(3, []Change{takenBack("a")}, 4*time.Second)
 	is.Equal(events, []Event{{Change: takenBack("a"), Since: 2 * time.Second}})
-	is.True(z.MaySend("a", 4*time.Second))
+	is.True(z.TrySend("a", 4*time.Second))
 	is.True(z.Evacuated("b"))
 }
 
@@ -45,7 +45,7 @@
 	z := NewZones()
 	z.Apply(1, []Change{evacuated("a")}, 0)
 	z.Apply(2, []Change{takenBack("a")}, 0)
-	z.Adopt(Told{Position: 1, Zones: map[string]time.Duration{"a": time.Second}}, 0)
+	z.Merge(Snapshot{Position: 1, Zones: map[string]time.Duration{"a": time.Second}}, 0)
 	z.Apply(1, []Change{evacuated("a")}, 0)
 	z.Replace(1, []string{"a"}, nil, 0)
 	is.True(!z.Evacuated("a"))
@@ -57,10 +57,10 @@
 	is := is.New(t)
 	near, far := NewZones(), NewZones()
 	near.Apply(1, []Change{evacuated("a")}, 10*time.Second)
-	is.True(far.MaySend("a", 10400*time.Millisecond))
-	events := far.Adopt(near.Tell(10500*time.Millisecond), 10500*time.Millisecond)
-	is.Equal(events, []Event{{Change: evacuated("a"), Since: 10 * time.Second, LastSend: 400 * time.Millisecond}})
-	is.True(!far.MaySend("a", 10600*time.Millisecond))
+	is.True(far.TrySend("a", 10400*time.Millisecond))
+	events := far.Merge(near.Snapshot(10500*time.Millisecond), 10500*time.Millisecond)
+	is.Equal(events, []Event{{Change: evacuated("a"), Since: 10 * time.Second, LastSendDelay: 400 * time.Millisecond}})
+	is.True(!far.TrySend("a", 10600*time.Millisecond))
 }
 
 // TestNodesAgreeWithTheTopicHoweverTheyHear plays the topic to two nodes in any mix of
@@ -73,7 +73,7 @@
 		nodes := []*Zones{NewZones(), NewZones()}
 		read := []uint64{0, 0}
 		check := func(z *Zones) {
-			told := z.Tell(0)
+			told := z.Snapshot(0)
 			want := sets[told.Position]
 			for _, zone := range zones {
 				if z.Evacuated(zone) != want[zone] {
@@ -105,7 +105,7 @@
 				nodes[one].Replace(until, there, nil, 0)
 				read[one] = until
 			case 4:
-				nodes[one].Adopt(nodes[1-one].Tell(0), 0)
+				nodes[one].Merge(nodes[1-one].Snapshot(0), 0)
 			}
 			check(nodes[one])
 		}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -73,9 +73,9 @@
 // Target is the replica that a request goes to.
 type Target struct {
 	Instance string
-	// Born tells the lives of an instance apart: what is open to an earlier one is dead.
-	Born    int64
-	Address netip.AddrPort
+	// StartedAtMs tells the lives of an instance apart: what is open to an earlier one is dead.
+	StartedAtMs int64
+	Address     netip.AddrPort
 }
 
 // Request is sent as it is; Header must hold no field that concerns a connection.
--- a/internal/fleet/codec.go
+++ b/internal/fleet/codec.go
@@ -28,7 +28,7 @@
 func Encode(replica *Replica) []byte {
 	encoded := make([]byte, 0, 64)
 	encoded = append(encoded, codecVersion)
-	encoded = binary.AppendUvarint(encoded, uint64(replica.Born))
+	encoded = binary.AppendUvarint(encoded, uint64(replica.StartedAtMs))
 	encoded = appendText(encoded, replica.Service)
 	address, _ := replica.Address.MarshalBinary() // cannot fail: AddrPort always has a binary form
 	encoded = appendText(encoded, string(address))
@@ -40,7 +40,7 @@
 	}
 	encoded = binary.AppendUvarint(encoded, uint64(state))
 	encoded = binary.AppendUvarint(encoded, replica.Sequence)
-	return binary.AppendUvarint(encoded, uint64(replica.ColdLeft))
+	return binary.AppendUvarint(encoded, uint64(replica.ColdRemaining))
 }
 
 func appendText(encoded []byte, text string) []byte {
@@ -54,14 +54,14 @@
 	}
 	reader := codecReader{rest: encoded[1:]}
 	replica := Replica{Instance: instance}
-	replica.Born = int64(reader.number())
+	replica.StartedAtMs = int64(reader.number())
 	replica.Service = reader.text()
 	address := reader.text()
 	replica.Zone = reader.text()
 	replica.Slots = int(reader.number())
 	state := reader.number()
 	replica.Sequence = reader.number()
-	replica.ColdLeft = time.Duration(reader.number())
+	replica.ColdRemaining = time.Duration(reader.number())
 	switch {
 	case reader.short:
 		return Replica{}, errCodecShort
--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -57,8 +57,8 @@
 	return &Directory{replicas: map[string]*entry{}, services: map[string]*service{}, lapsed: map[string]*entry{}}
 }
 
-// Unsettled tells that the store was away until now.
-func (d *Directory) Unsettled(now time.Duration) {
+// StoreRecovered tells that the store was away until now.
+func (d *Directory) StoreRecovered(now time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.unsettledUntil = now + unsettledLife
@@ -78,7 +78,7 @@
 	for instance, known := range d.replicas {
 		if !named[instance] {
 			d.lapse(known, now)
-			changes = append(changes, Change{Instance: instance, Former: known.life})
+			changes = append(changes, Change{Instance: instance, PreviousIncarnation: known.life})
 		}
 	}
 	for i := range all {
@@ -114,7 +114,7 @@
 	if !found {
 		return false
 	}
-	change.Former = known.life
+	change.PreviousIncarnation = known.life
 	if change.Unreadable {
 		d.drop(known)
 	} else {
@@ -128,13 +128,13 @@
 func (d *Directory) put(change *Change, now time.Duration) bool {
 	replica := *change.Replica
 	known, found := d.replicas[replica.Instance]
-	if found && replica.Born < known.replica.Born && now-known.heard < quietLife {
+	if found && replica.StartedAtMs < known.replica.StartedAtMs && now-known.heard < quietLife {
 		return false // a late word of an earlier life
 	}
 	if found && !differs(&known.replica, &replica) {
-		change.Minor = replica.ColdLeft > 0 || known.replica.ColdLeft > 0
-		known.replica.Sequence, known.replica.ColdLeft, known.heard = replica.Sequence, replica.ColdLeft, now
-		return change.Minor
+		change.ColdOnly = replica.ColdRemaining > 0 || known.replica.ColdRemaining > 0
+		known.replica.Sequence, known.replica.ColdRemaining, known.heard = replica.Sequence, replica.ColdRemaining, now
+		return change.ColdOnly
 	}
 	if found {
 		d.unlist(known)
@@ -145,7 +145,7 @@
 	}
 	made := newEntry(replica, now)
 	if found && known.life != made.life {
-		change.Former = known.life
+		change.PreviousIncarnation = known.life
 	}
 	d.replicas[replica.Instance] = made
 	if replica.State == StateReady {
@@ -157,7 +157,7 @@
 // differs tells whether more of a replica is new than what each of its writes changes.
 func differs(known, replica *Replica) bool {
 	before := *known
-	before.Sequence, before.ColdLeft, before.life = replica.Sequence, replica.ColdLeft, replica.life
+	before.Sequence, before.ColdRemaining, before.life = replica.Sequence, replica.ColdRemaining, replica.life
 	return before != *replica
 }
 
@@ -263,10 +263,10 @@
 func (d *Directory) Remove(instance string, born int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if known, found := d.replicas[instance]; found && known.replica.Born == born {
+	if known, found := d.replicas[instance]; found && known.replica.StartedAtMs == born {
 		d.drop(known)
 	}
-	if gone, found := d.lapsed[instance]; found && gone.replica.Born == born {
+	if gone, found := d.lapsed[instance]; found && gone.replica.StartedAtMs == born {
 		d.unlist(gone)
 		delete(d.lapsed, instance)
 	}
--- a/internal/fleet/directory_test.go
+++ b/internal/fleet/directory_test.go
@@ -51,7 +51,7 @@
 
 	d.Apply([]Change{{Instance: "a", Replica: &ready}}, 0)
 	is.Equal(d.Usable("s", 0), []Replica{ready}) // back, and listed once
-	d.Unsettled(0)
+	d.StoreRecovered(0)
 	d.Replace(nil, time.Second)
 	is.Equal(len(d.Usable("s", unsettledLife-1)), 1) // it could not write
 	is.Equal(len(d.Usable("s", unsettledLife)), 0)
@@ -69,7 +69,7 @@
 	d := NewDirectory()
 	d.Replace([]Replica{replicaIn("a", StateReady, 1)}, 0)
 	const back, heardBack, gone, drain = 0, 450 * time.Millisecond, 1000 * time.Millisecond, 2 * time.Second
-	d.Unsettled(back + heardBack)
+	d.StoreRecovered(back + heardBack)
 	d.Apply([]Change{{Instance: "a"}}, gone+200*time.Millisecond)
 	is.Equal(len(d.Usable("s", gone+time.Second)), 1)
 	is.Equal(len(d.Usable("s", gone+drain)), 0)
--- a/internal/fleet/group.go
+++ b/internal/fleet/group.go
@@ -29,8 +29,8 @@
 }
 
 func newEntry(replica Replica, now time.Duration) *entry {
-	life := replica.Life()
-	if replica.Born != 0 {
+	life := replica.IncarnationID()
+	if replica.StartedAtMs != 0 {
 		replica.life = life
 	}
 	return &entry{replica: replica, life: life, hash: xxhash.Sum64String(replica.Instance), heard: now}
--- a/internal/fleet/lives_test.go
+++ b/internal/fleet/lives_test.go
@@ -10,7 +10,7 @@
 
 func bornAt(born int64, sequence uint64) Replica {
 	replica := replicaIn("a", StateReady, sequence)
-	replica.Born = born
+	replica.StartedAtMs = born
 	return replica
 }
 
@@ -27,13 +27,13 @@
 	is.Equal(len(apply(d, first, 0)), 1)
 	changes := apply(d, second, time.Second)
 	is.Equal(len(changes), 1)
-	is.Equal(changes[0].Former, first.Life())
-	is.True(first.Life() != second.Life())
-	is.Equal(d.Usable("s", time.Second)[0].Life(), second.Life())
+	is.Equal(changes[0].PreviousIncarnation, first.IncarnationID())
+	is.True(first.IncarnationID() != second.IncarnationID())
+	is.Equal(d.Usable("s", time.Second)[0].IncarnationID(), second.IncarnationID())
 	is.Equal(d.Size(), 1)
-	_, found := d.Life(first.Life(), time.Second)
+	_, found := d.ByIncarnation(first.IncarnationID(), time.Second)
 	is.True(!found)
-	found2, found := d.Life(second.Life(), time.Second)
+	found2, found := d.ByIncarnation(second.IncarnationID(), time.Second)
 	is.True(found)
 	is.Equal(found2.Instance, "a")
 }
@@ -47,7 +47,7 @@
 	late.State = StateDraining
 	is.Equal(len(apply(d, late, time.Second)), 0)
 	is.Equal(len(d.Usable("s", time.Second)), 1)
-	is.Equal(d.Usable("s", time.Second)[0].Born, int64(2000))
+	is.Equal(d.Usable("s", time.Second)[0].StartedAtMs, int64(2000))
 }
 
 // TestEarlierBirthCountsOnceTheLaterLifeIsSilent: the clock of the replica's machine went
@@ -59,7 +59,7 @@
 	again := bornAt(1500, 1)
 	is.Equal(len(apply(d, again, quietLife-1)), 0)
 	is.Equal(len(apply(d, again, quietLife)), 1)
-	is.Equal(d.Usable("s", quietLife)[0].Born, int64(1500))
+	is.Equal(d.Usable("s", quietLife)[0].StartedAtMs, int64(1500))
 	// Where the entry went in between, it counts at once.
 	d.Apply([]Change{{Instance: "a"}}, quietLife)
 	is.Equal(len(apply(d, bornAt(1200, 1), quietLife)), 1)
@@ -73,7 +73,7 @@
 	d.Replace([]Replica{replicaIn("a", StateReady, 1), replicaIn("b", StateReady, 1)}, 0)
 	changes := d.Apply([]Change{{Instance: "a", Unreadable: true}, {Instance: "never", Unreadable: true}}, 0)
 	is.Equal(len(changes), 1)
-	is.Equal(changes[0].Former, "a")
+	is.Equal(changes[0].PreviousIncarnation, "a")
 	is.Equal(len(d.Usable("s", 0)), 1)
 	is.Equal(d.Usable("s", 0)[0].Instance, "b")
 	apply(d, replicaIn("a", StateReady, 3), 0)
@@ -85,7 +85,7 @@
 	d := NewDirectory()
 	odd := replicaIn("a@1", StateReady, 1)
 	apply(d, odd, 0)
-	_, found := d.Life("a@1", 0)
+	_, found := d.ByIncarnation("a@1", 0)
 	is.True(found)
 }
 
@@ -93,12 +93,12 @@
 	is := is.New(t)
 	d := NewDirectory()
 	cold := replicaIn("a", StateReady, 1)
-	cold.ColdLeft = time.Second
+	cold.ColdRemaining = time.Second
 	apply(d, cold, 0)
-	cold.Sequence, cold.ColdLeft = 2, time.Second/2
+	cold.Sequence, cold.ColdRemaining = 2, time.Second/2
 	changes := apply(d, cold, 0)
-	is.True(len(changes) == 1 && changes[0].Minor)
-	cold.Sequence, cold.ColdLeft = 3, 0
+	is.True(len(changes) == 1 && changes[0].ColdOnly)
+	cold.Sequence, cold.ColdRemaining = 3, 0
 	is.Equal(len(apply(d, cold, 0)), 1) // it has turned warm
 	cold.Sequence = 4
 	is.Equal(len(apply(d, cold, 0)), 0)
@@ -107,7 +107,7 @@
 func TestEncodedReplicasSurvive(t *testing.T) {
 	is := is.New(t)
 	replica := bornAt(1234, 9)
-	replica.Zone, replica.Slots, replica.ColdLeft = "z", 6, time.Second
+	replica.Zone, replica.Slots, replica.ColdRemaining = "z", 6, time.Second
 	replica.Address = netip.MustParseAddrPort("10.0.0.1:80")
 	read, err := Decode("a", Encode(&replica))
 	is.NoErr(err)
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -79,7 +79,7 @@
 				d.Apply([]Change{{Instance: instance}}, now)
 				model.apply(instance, nil, now)
 			case 4:
-				d.Unsettled(now)
+				d.StoreRecovered(now)
 				model.unsettle = now + unsettledLife
 			case 5:
 				d.Remove(instance, 0)
--- a/internal/fleet/replica.go
+++ b/internal/fleet/replica.go
@@ -23,44 +23,44 @@
 	// Instance is the name that it keeps its entry under. A replica may start again
 	// under the same one.
 	Instance string
-	// Born is when this life started by the replica's own clock, in Unix milliseconds; 0
+	// StartedAtMs is when this life started by the replica's own clock, in Unix milliseconds; 0
 	// where replicas don't tell, whose instances are new with each start.
-	Born    int64
-	Service string
-	Address netip.AddrPort
-	Zone    string
-	Slots   int
-	State   State
+	StartedAtMs int64
+	Service     string
+	Address     netip.AddrPort
+	Zone        string
+	Slots       int
+	State       State
 	// Sequence rises with each write of one life.
 	Sequence uint64
-	// ColdLeft is for how long it stayed slow from when it wrote the entry on; 0 if it
+	// ColdRemaining is for how long it stayed slow from when it wrote the entry on; 0 if it
 	// was warm.
-	ColdLeft time.Duration
+	ColdRemaining time.Duration
 	// life is what Life returns, where the directory has computed it.
 	life string
 }
 
-// Life names this life of the replica: whatever is known of an earlier one, such as the
+// IncarnationID names this life of the replica: whatever is known of an earlier one, such as the
 // prompts that it held, is kept under another name.
-func (r *Replica) Life() string {
-	if r.Born == 0 {
+func (r *Replica) IncarnationID() string {
+	if r.StartedAtMs == 0 {
 		return r.Instance
 	}
 	if r.life != "" {
 		return r.life
 	}
-	return r.Instance + "@" + strconv.FormatInt(r.Born, 36)
+	return r.Instance + "@" + strconv.FormatInt(r.StartedAtMs, 36)
 }
 
 // Change is a new entry of a replica, or its removal where Replica is nil.
 type Change struct {
 	Instance string
 	Replica  *Replica
-	// Former is the life that ends with the change; empty if none does.
-	Former string
+	// PreviousIncarnation is the life that ends with the change; empty if none does.
+	PreviousIncarnation string
 	// Unreadable tells that the entry names no replica to use, so that the one that was
 	// known under it is dropped at once. Replica is nil then.
 	Unreadable bool
-	// Minor tells that nothing is new but for how long the replica stays cold.
-	Minor bool
+	// ColdOnly tells that nothing is new but for how long the replica stays cold.
+	ColdOnly bool
 }
--- a/internal/fleet/search.go
+++ b/internal/fleet/search.go
@@ -74,8 +74,8 @@
 	return listed
 }
 
-// Life returns the replica whose present life has a name, if it may take work.
-func (d *Directory) Life(life string, now time.Duration) (Replica, bool) {
+// ByIncarnation returns the replica whose present life has a name, if it may take work.
+func (d *Directory) ByIncarnation(life string, now time.Duration) (Replica, bool) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
 	for _, instance := range [2]string{life, instanceOf(life)} {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -41,9 +41,9 @@
 	// the offset up to which the partition is known then. They are called one at a time.
 	OnSnapshot func(items []logstore.Item, next logstore.Offset)
 	OnChanges  func(from logstore.Offset, items []logstore.Item, next logstore.Offset)
-	// OnRegained is called when the store answers again after a failed call, before
+	// OnRecovered is called when the store answers again after a failed call, before
 	// what it says is handed on.
-	OnRegained func()
+	OnRecovered func()
 	// OnConfirmed is called once all that the partition held when a read was sent has
 	// been handed on, with the time of that sending.
 	OnConfirmed func(sent time.Time)
@@ -59,8 +59,8 @@
 	LongestPause func() time.Duration
 }
 
-// Follower follows one partition.
-type Follower struct {
+// Watcher follows one partition.
+type Watcher struct {
 	config Config
 	began  time.Time
 	// heard is when the store answered last, in nanoseconds since began; 0 is never.
@@ -70,18 +70,18 @@
 }
 
 // New returns a follower that has not started.
-func New(config Config) *Follower {
-	return &Follower{config: config, began: time.Now(), pause: minPause}
+func New(config Config) *Watcher {
+	return &Watcher{config: config, began: time.Now(), pause: minPause}
 }
 
 // Age returns how long ago the store answered last; false if it never did.
-func (f *Follower) Age() (time.Duration, bool) {
+func (f *Watcher) Age() (time.Duration, bool) {
 	heard := f.heard.Load()
 	return time.Since(f.began) - time.Duration(heard), heard > 0
 }
 
 // Run follows the partition until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Watcher) Run(ctx context.Context) {
 	for known := true; ctx.Err() == nil; {
 		if f.await(ctx) != nil {
 			return
@@ -97,14 +97,14 @@
 	}
 }
 
-func (f *Follower) await(ctx context.Context) error {
+func (f *Watcher) await(ctx context.Context) error {
 	if f.config.Await == nil {
 		return ctx.Err()
 	}
 	return f.config.Await(ctx)
 }
 
-func (f *Follower) position() (logstore.Offset, bool) {
+func (f *Watcher) position() (logstore.Offset, bool) {
 	if f.config.Position == nil {
 		return 0, false
 	}
@@ -113,7 +113,7 @@
 
 // snapshot reads all pages. A page that fails is read again, and the others stay, so that
 // a snapshot ends however often the store refuses.
-func (f *Follower) snapshot(ctx context.Context) (logstore.Offset, error) {
+func (f *Watcher) snapshot(ctx context.Context) (logstore.Offset, error) {
 	var items []logstore.Item
 	var next logstore.Offset
 	sent := time.Now()
@@ -141,7 +141,7 @@
 	return next, nil
 }
 
-func (f *Follower) page(ctx context.Context, after string) (logstore.NewestResult, error) {
+func (f *Watcher) page(ctx context.Context, after string) (logstore.NewestResult, error) {
 	call, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return f.config.Store.Newest(call, logstore.NewestRequest{Partition: f.config.Partition, After: after})
@@ -149,7 +149,7 @@
 
 // follow reads changes from next on; it returns false at a gap, and true where this node
 // must not read any more.
-func (f *Follower) follow(ctx context.Context, next logstore.Offset) bool {
+func (f *Watcher) follow(ctx context.Context, next logstore.Offset) bool {
 	for f.await(ctx) == nil {
 		if elsewhere, told := f.position(); told && elsewhere > next {
 			next = elsewhere
@@ -182,7 +182,7 @@
 	return true
 }
 
-func (f *Follower) changes(ctx context.Context, next logstore.Offset) (logstore.ChangesResult, error) {
+func (f *Watcher) changes(ctx context.Context, next logstore.Offset) (logstore.ChangesResult, error) {
 	wait := f.config.Wait()
 	if f.lost {
 		wait = 0 // what the store holds now is to be known as soon as it answers again
@@ -192,17 +192,17 @@
 	return f.config.Store.Changes(call, logstore.ReadRequest{Partition: f.config.Partition, From: next, Wait: wait})
 }
 
-func (f *Follower) succeeded() {
+func (f *Watcher) succeeded() {
 	f.heard.Store(int64(time.Since(f.began)))
 	f.pause = minPause
 	if f.lost {
 		f.lost = false
-		f.config.OnRegained()
+		f.config.OnRecovered()
 		f.config.Logger.Info("dependency regained", "dependency", f.config.Name)
 	}
 }
 
-func (f *Follower) failed(ctx context.Context, err error) {
+func (f *Watcher) failed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -215,7 +215,7 @@
 	f.pause = min(2*f.pause, f.longestPause())
 }
 
-func (f *Follower) longestPause() time.Duration {
+func (f *Watcher) longestPause() time.Duration {
 	if f.config.LongestPause == nil {
 		return maxPause
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -47,11 +47,11 @@
 	}
 }
 
-func followed(t *testing.T, log *store.Store) (*view, *Follower) {
+func followed(t *testing.T, log *store.Store) (*view, *Watcher) {
 	seen := &view{}
 	follower := New(Config{
 		Name: "test", Store: log, Partition: place, Pause: func() time.Duration { return 100 * time.Millisecond }, Wait: func() time.Duration { return time.Second },
-		OnSnapshot: seen.snapshot, OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { seen.change(items, next) }, OnRegained: func() { seen.regained++ }, OnConfirmed: seen.confirm, Logger: slog.New(slog.DiscardHandler),
+		OnSnapshot: seen.snapshot, OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { seen.change(items, next) }, OnRecovered: func() { seen.regained++ }, OnConfirmed: seen.confirm, Logger: slog.New(slog.DiscardHandler),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -213,7 +213,7 @@
 		follower := New(Config{
 			Name: "test", Store: log, Partition: place, Wait: func() time.Duration { return time.Second },
 			Pause:      func() time.Duration { return 100 * time.Millisecond },
-			OnSnapshot: seen.snapshot, OnRegained: func() {}, OnConfirmed: seen.confirm, Logger: slog.New(slog.DiscardHandler),
+			OnSnapshot: seen.snapshot, OnRecovered: func() {}, OnConfirmed: seen.confirm, Logger: slog.New(slog.DiscardHandler),
 			OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { seen.change(items, next) },
 			Await: func(ctx context.Context) error {
 				select {
--- a/internal/gatedstore/store.go
+++ b/internal/gatedstore/store.go
@@ -17,9 +17,9 @@
 	"stepseam.example/stepseam/internal/storegate"
 )
 
-// ErrAway tells that a call was not made, since the store has not answered this node, or no
+// ErrCircuitOpen tells that a call was not made, since the store has not answered this node, or no
 // call on the partition, lately. It wraps logstore.ErrUnavailable.
-var ErrAway = fmt.Errorf("%w: it has not answered lately", logstore.ErrUnavailable)
+var ErrCircuitOpen = fmt.Errorf("%w: it has not answered lately", logstore.ErrUnavailable)
 
 // Config is what a Store is made from; all fields but Registerer are required.
 type Config struct {
@@ -41,7 +41,7 @@
 
 	// mutex guards all below.
 	mutex sync.Mutex
-	gate  *storegate.Gate
+	gate  *storegate.Breaker
 	// members returns how many nodes are known.
 	members func() int
 	// regained is closed and replaced when calls are let out again, changed also when
@@ -73,27 +73,27 @@
 }
 
 // situation needs the mutex.
-func (s *Store) situation() storegate.Situation {
-	return storegate.Situation{Now: time.Since(s.began), Members: s.members(), Draw: rand.Float64()}
+func (s *Store) situation() storegate.Conditions {
+	return storegate.Conditions{Now: time.Since(s.began), Nodes: s.members(), Random: rand.Float64()}
 }
 
-// AnswersNode tells whether the store answers this node, as far as is known.
-func (s *Store) AnswersNode() bool {
+// NodeAvailable tells whether the store answers this node, as far as is known.
+func (s *Store) NodeAvailable() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.gate.NodeAnswered(s.situation())
 }
 
-// Answers tells whether calls on a partition are answered, as far as is known.
-func (s *Store) Answers(place logstore.Partition) bool {
+// Available tells whether calls on a partition are answered, as far as is known.
+func (s *Store) Available(place logstore.Partition) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.gate.Answered(place, s.situation())
 }
 
-// Regained returns a channel that is closed once the store, or one of its partitions,
+// Recovered returns a channel that is closed once the store, or one of its partitions,
 // answers again.
-func (s *Store) Regained() <-chan struct{} {
+func (s *Store) Recovered() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.regained
@@ -117,10 +117,10 @@
 func (s *Store) Await(ctx context.Context, place logstore.Partition) error {
 	for ctx.Err() == nil {
 		decision, changed := s.ask(place, true)
-		if decision.Go {
+		if decision.Allow {
 			return nil
 		}
-		timer := time.NewTimer(decision.Again)
+		timer := time.NewTimer(decision.RetryAfter)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -135,12 +135,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	situation := s.situation()
-	decision := s.gate.Ask(place, waits, situation)
+	decision := s.gate.Admit(place, waits, situation)
 	s.tell(situation)
 	switch {
 	case decision.Probe:
 		s.metrics.probes.Inc()
-	case !decision.Go:
+	case !decision.Allow:
 		s.metrics.held.Inc()
 	}
 	return decision, s.changed
@@ -155,8 +155,8 @@
 
 // Read is logstore.Store's.
 func (s *Store) Read(ctx context.Context, request logstore.ReadRequest) (logstore.ReadResult, error) {
-	if decision, _ := s.ask(request.Partition, false); !decision.Go {
-		return logstore.ReadResult{}, ErrAway
+	if decision, _ := s.ask(request.Partition, false); !decision.Allow {
+		return logstore.ReadResult{}, ErrCircuitOpen
 	}
 	result, err := s.config.Store.Read(ctx, request)
 	s.note(ctx, request.Partition, err)
@@ -185,7 +185,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	situation := s.situation()
-	if s.gate.Note(place, answered(err), situation) {
+	if s.gate.Record(place, answered(err), situation) {
 		s.wake()
 		close(s.regained)
 		s.regained = make(chan struct{})
@@ -200,8 +200,8 @@
 }
 
 // tell logs what has changed. It needs the mutex.
-func (s *Store) tell(situation storegate.Situation) {
-	nodeAway, away := !s.gate.NodeAnswered(situation), s.gate.Away(situation)
+func (s *Store) tell(situation storegate.Conditions) {
+	nodeAway, away := !s.gate.NodeAnswered(situation), s.gate.OpenPartitions(situation)
 	if nodeAway == s.nodeAway && (nodeAway || (away > 0) == s.partAway) {
 		return
 	}
@@ -214,7 +214,7 @@
 		return
 	}
 	s.config.Logger.Warn("store is away, only probes go out", "whole", nodeAway, "partitions", away,
-		"probe_pause_ms", s.gate.ProbePause(situation.Members).Milliseconds())
+		"probe_pause_ms", s.gate.ProbePause(situation.Nodes).Milliseconds())
 }
 
 // open returns how many breakers are open, the node's own among them.
@@ -222,7 +222,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	situation := s.situation()
-	open := s.gate.Away(situation)
+	open := s.gate.OpenPartitions(situation)
 	if !s.gate.NodeAnswered(situation) {
 		open++
 	}
--- a/internal/gatedstore/store_test.go
+++ b/internal/gatedstore/store_test.go
@@ -52,12 +52,12 @@
 		log.Fail(store.Fault{Busy: true})
 		began := time.Now()
 		readFor(t, gated, 0, awayAfter+2*probePause)
-		is.True(!gated.AnswersNode())
+		is.True(!gated.NodeAvailable())
 		before, others := log.Calls("read"), 0
 		for range 1000 {
 			_, err := gated.Read(t.Context(), logstore.ReadRequest{Partition: place(0)})
 			is.True(err != nil)
-			if !errors.Is(err, ErrAway) {
+			if !errors.Is(err, ErrCircuitOpen) {
 				others++
 			}
 		}
@@ -68,7 +68,7 @@
 		is.NoErr(err)
 		_, err = gated.Read(t.Context(), logstore.ReadRequest{Partition: place(0)})
 		is.NoErr(err)
-		is.True(gated.AnswersNode())
+		is.True(gated.NodeAvailable())
 	})
 }
 
@@ -78,7 +78,7 @@
 	for _, err := range []error{nil, &logstore.TrimmedError{}, logstore.ErrFenced, logstore.ErrSequence} {
 		is.True(answered(err))
 	}
-	for _, err := range []error{logstore.ErrUnavailable, logstore.ErrAnswerLost, context.DeadlineExceeded} {
+	for _, err := range []error{logstore.ErrUnavailable, logstore.ErrOutcomeUnknown, context.DeadlineExceeded} {
 		is.True(!answered(err))
 	}
 }
@@ -93,7 +93,7 @@
 		gated := New(Config{Store: log, Logger: slog.New(slog.NewTextHandler(&lines, nil)), Registerer: prometheus.NewRegistry()})
 		log.Fail(store.Fault{Busy: true})
 		readFor(t, gated, 0, time.Second)
-		regained := gated.Regained()
+		regained := gated.Recovered()
 		var waiting sync.WaitGroup
 		for number := range 20 {
 			waiting.Go(func() {
@@ -158,12 +158,12 @@
 			is.NoErr(err)
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(gated.AnswersNode() && gated.Answers(place(0)) && !gated.Answers(place(down)))
+		is.True(gated.NodeAvailable() && gated.Available(place(0)) && !gated.Available(place(down)))
 		is.Equal(gated.open(), 1.0)
 		is.NoErr(gated.Await(t.Context(), place(0)))
 		log.Fail(store.Fault{})
 		readable := time.Now()
-		for !gated.Answers(place(down)) {
+		for !gated.Available(place(down)) {
 			_, _ = gated.Read(t.Context(), logstore.ReadRequest{Partition: place(down)})
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -182,8 +182,8 @@
 			_, err := gated.Read(ctx, logstore.ReadRequest{Partition: place(0)})
 			is.True(err != nil)
 		}
-		is.True(gated.AnswersNode())
-		is.True(gated.Answers(place(0)))
+		is.True(gated.NodeAvailable())
+		is.True(gated.Available(place(0)))
 	})
 }
 
--- a/internal/homes/begin.go
+++ b/internal/homes/begin.go
@@ -18,16 +18,16 @@
 // home nor this node, another node is asked to do the work.
 func (s *Service) Begin(ctx context.Context, request Request) (*Turn, error) {
 	turn, err := s.beginAtHome(ctx, request)
-	if errors.Is(err, ledgerlog.ErrReserved) {
+	if errors.Is(err, ledgerlog.ErrBudgetReserved) {
 		return s.beginPassedOver(ctx, request, err)
 	}
 	if !errors.Is(err, ledgerlog.ErrUnavailable) || s.storeAnswers() {
 		return turn, err
 	}
 	home, _ := s.home(s.config.Ledger.Partition(request.Program))
-	helped, helpErr := firstHelp(s, home.Name, residency.Homes{}, func(helper identity.Node) (*Turn, error) {
+	helped, helpErr := firstHelp(s, home.Name, residency.AllowedRegions{}, func(helper identity.Node) (*Turn, error) {
 		begun, err := s.beginThere(ctx, request, helper, make(chan struct{}, 1))
-		if errors.Is(err, ledgerlog.ErrStoreAway) {
+		if errors.Is(err, ledgerlog.ErrStoreUnavailable) {
 			s.storeless.add(helper.Name)
 		}
 		return begun, err
@@ -133,10 +133,10 @@
 				return one.turn, nil
 			}
 			last = refusalOf(last, one.err)
-			if errors.Is(one.err, ledgerlog.ErrReserved) {
+			if errors.Is(one.err, ledgerlog.ErrBudgetReserved) {
 				continue // the other way may be what has reserved the rest
 			}
-			if one.home && !here && errors.Is(one.err, ledgerlog.ErrStoreAway) && s.passesOn(partition, home.Name) {
+			if one.home && !here && errors.Is(one.err, ledgerlog.ErrStoreUnavailable) && s.passesOn(partition, home.Name) {
 				return nil, errPassOn
 			}
 			if !errors.Is(one.err, ledgerlog.ErrUnavailable) {
@@ -154,7 +154,7 @@
 // refusalOf returns which of two errors a turn is refused with: that its budget is reserved
 // elsewhere says more than that a node could not be asked.
 func refusalOf(first, second error) error {
-	if errors.Is(first, ledgerlog.ErrReserved) {
+	if errors.Is(first, ledgerlog.ErrBudgetReserved) {
 		return first
 	}
 	return second
@@ -173,22 +173,22 @@
 // home here.
 func (s *Service) take(ctx context.Context, request *Request, grant ledger.GrantID, home bool) (ledgerlog.Grant, error) {
 	_, standIn := s.passedOver(s.config.Ledger.Partition(request.Program))
-	return s.config.Ledger.Take(ctx, ledgerlog.TurnRequest{
-		Program: request.Program, ID: grant, Budget: request.Budget, Most: request.Most, Home: home, StandIn: home && standIn,
+	return s.config.Ledger.BeginTurn(ctx, ledgerlog.TurnRequest{
+		Program: request.Program, ID: grant, Budget: request.Budget, MaxTurnTokens: request.MaxTurnTokens, Coordinator: home, Substitute: home && standIn,
 	})
 }
 
 // beginHere does the work through this node's own ledger.
 func (s *Service) beginHere(ctx context.Context, request Request, home bool) (*Turn, error) {
-	turn := &Turn{Home: s.config.Self}
+	turn := &Turn{Coordinator: s.config.Self}
 	if request.Budgeted {
 		grant, err := s.take(ctx, &request, ledgerlog.NewGrantID(), home)
 		if err != nil {
 			s.count("here", err)
 			return nil, err
 		}
-		turn.Charged, turn.Ahead, turn.First = grant.Charged, grant.Ahead, grant.First
-		turn.finish = func(used uint32) { s.config.Ledger.Finish(grant.Program, grant.ID, used) }
+		turn.Charged, turn.Unlogged, turn.First = grant.Charged, grant.Unlogged, grant.First
+		turn.finish = func(used uint32) { s.config.Ledger.FinishTurn(grant.Program, grant.ID, used) }
 	}
 	if request.Previous != "" {
 		previous, err := s.findTurn(ctx, request.Program, request.Previous)
@@ -197,7 +197,7 @@
 			s.count("here", err)
 			return nil, err
 		}
-		turn.Chain, turn.Resident = previous.Chain, previous.Resident
+		turn.Chain, turn.CacheLocation = previous.Chain, previous.CacheLocation
 	}
 	s.count("here", nil)
 	return turn, nil
@@ -230,7 +230,7 @@
 	if err != nil {
 		return nil, err
 	}
-	turn := &Turn{Charged: got.Charged, Ahead: got.Ahead, First: got.First, Chain: got.Chain, Resident: got.Resident, Home: home.Name}
+	turn := &Turn{Charged: got.Charged, Unlogged: got.Ahead, First: got.First, Chain: got.Chain, CacheLocation: got.Resident, Coordinator: home.Name}
 	if request.Budgeted {
 		turn.finish = func(used uint32) { go s.finishThere(home, request.Program, asked.Grant, used) }
 	}
@@ -239,7 +239,7 @@
 
 func (m *begun) err(home identity.NodeName) error {
 	if m.Status == statusSpent {
-		return &ledgerlog.SpentError{Charged: m.Charged}
+		return &ledgerlog.BudgetExhaustedError{Charged: m.Charged}
 	}
 	return m.Status.err(home, m.Reason)
 }
--- a/internal/homes/find.go
+++ b/internal/homes/find.go
@@ -16,8 +16,8 @@
 // its own did not answer. The homes of the others are asked, who know their partitions
 // to the last records, so that this node does not read the whole log. Errors wrap
 // ledgerlog.ErrNoSuchTurn or ledgerlog.ErrUnavailable.
-func (s *Service) findTurn(ctx context.Context, program ledger.ProgramID, turn ledger.TurnID) (ledger.KeptTurn, error) {
-	if kept, found := s.config.Ledger.Recall(turn); found {
+func (s *Service) findTurn(ctx context.Context, program ledger.ProgramID, turn ledger.TurnID) (ledger.IndexedTurn, error) {
+	if kept, found := s.config.Ledger.CachedTurn(turn); found {
 		return kept, nil
 	}
 	own := s.config.Ledger.Partition(program)
@@ -41,12 +41,12 @@
 			unread = answer.err
 		}
 	}
-	return ledger.KeptTurn{}, unread
+	return ledger.IndexedTurn{}, unread
 }
 
 // found is the outcome of looking in some partitions.
 type found struct {
-	kept ledger.KeptTurn
+	kept ledger.IndexedTurn
 	err  error
 }
 
@@ -85,7 +85,7 @@
 	if !ok {
 		return found{err: fmt.Errorf("%w: home %s answered %T", ledgerlog.ErrUnavailable, home, answer)}
 	}
-	return found{ledger.KeptTurn{Chain: got.Chain, Resident: got.Resident}, got.Status.err(home, got.Reason)}
+	return found{ledger.IndexedTurn{Chain: got.Chain, CacheLocation: got.Resident}, got.Status.err(home, got.Reason)}
 }
 
 func (s *Service) handleFind(ctx context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
@@ -97,5 +97,5 @@
 	if err != nil {
 		return &foundTurn{Status: statusOf(err), Reason: err.Error()}, nil
 	}
-	return &foundTurn{Status: statusDone, Chain: kept.Chain, Resident: kept.Resident}, nil
+	return &foundTurn{Status: statusDone, Chain: kept.Chain, Resident: kept.CacheLocation}, nil
 }
--- a/internal/homes/handlers.go
+++ b/internal/homes/handlers.go
@@ -40,15 +40,15 @@
 		if err != nil {
 			return s.refusal(err), nil
 		}
-		answer.Charged, answer.Ahead, answer.First = grant.Charged, grant.Ahead, grant.First
+		answer.Charged, answer.Ahead, answer.First = grant.Charged, grant.Unlogged, grant.First
 	}
 	if asked.Request.Previous != "" {
 		previous, err := s.findTurn(ctx, asked.Request.Program, asked.Request.Previous)
 		if err != nil {
-			s.config.Ledger.Finish(asked.Request.Program, asked.Grant, 0)
+			s.config.Ledger.FinishTurn(asked.Request.Program, asked.Grant, 0)
 			return s.refusal(err), nil
 		}
-		answer.Chain, answer.Resident = previous.Chain, previous.Resident
+		answer.Chain, answer.Resident = previous.Chain, previous.CacheLocation
 	}
 	return answer, nil
 }
@@ -60,7 +60,7 @@
 	if answer.Status == statusUnavailable && !s.storeAnswers() {
 		answer.Status = statusStoreAway
 	}
-	var spent *ledgerlog.SpentError
+	var spent *ledgerlog.BudgetExhaustedError
 	if errors.As(err, &spent) {
 		answer.Charged = spent.Charged
 	}
@@ -72,7 +72,7 @@
 	if !ok {
 		return nil, fmt.Errorf("homes: unexpected %T", request)
 	}
-	s.config.Ledger.Finish(told.Program, told.Grant, told.Used)
+	s.config.Ledger.FinishTurn(told.Program, told.Grant, told.Used)
 	return &done{Status: statusDone}, nil
 }
 
@@ -92,7 +92,7 @@
 			case <-ended:
 				return
 			}
-			if s.config.StoreAnswers != nil && !s.config.StoreAnswers() {
+			if s.config.StoreAvailable != nil && !s.config.StoreAvailable() {
 				continue
 			}
 			// A node that is gone needs no word.
--- a/internal/homes/help.go
+++ b/internal/homes/help.go
@@ -28,15 +28,17 @@
 )
 
 // errStoreAway tells that the store does not answer this node, so that it does no work there.
-var errStoreAway = fmt.Errorf("%w: the store does not answer this node", ledgerlog.ErrStoreAway)
+var errStoreAway = fmt.Errorf("%w: the store does not answer this node", ledgerlog.ErrStoreUnavailable)
 
 // storeAnswers tells whether the store answers this node, as far as is known.
-func (s *Service) storeAnswers() bool { return s.config.StoreAnswers == nil || s.config.StoreAnswers() }
+func (s *Service) storeAnswers() bool {
+	return s.config.StoreAvailable == nil || s.config.StoreAvailable()
+}
 
 // whileStoreAnswers returns a context that ends once the store does not answer this node.
 func (s *Service) whileStoreAnswers(ctx context.Context) (context.Context, context.CancelFunc) {
 	within, cancel := context.WithCancel(ctx)
-	if s.config.StoreAnswers == nil {
+	if s.config.StoreAvailable == nil {
 		return within, cancel
 	}
 	go func() {
@@ -48,7 +50,7 @@
 				return
 			case <-ticker.C:
 			}
-			if !s.config.StoreAnswers() {
+			if !s.config.StoreAvailable() {
 				cancel()
 			}
 		}
@@ -83,7 +85,7 @@
 // firstHelp asks some other nodes, one after the other, for what this one can't do since the
 // store does not answer it. The home, which was asked before, is passed over, and so are
 // nodes outside the regions within. The last error is returned.
-func firstHelp[T any](s *Service, home identity.NodeName, within residency.Homes, ask func(helper identity.Node) (T, error)) (T, error) {
+func firstHelp[T any](s *Service, home identity.NodeName, within residency.AllowedRegions, ask func(helper identity.Node) (T, error)) (T, error) {
 	var done T
 	err := error(errStoreAway)
 	for _, helper := range s.helpers(home, within) {
@@ -95,7 +97,7 @@
 }
 
 // helpers draws the nodes to ask.
-func (s *Service) helpers(home identity.NodeName, within residency.Homes) []identity.Node {
+func (s *Service) helpers(home identity.NodeName, within residency.AllowedRegions) []identity.Node {
 	view := s.view.Load()
 	if view == nil || s.config.Peers == nil {
 		return nil
--- a/internal/homes/help_test.go
+++ b/internal/homes/help_test.go
@@ -16,8 +16,8 @@
 // withoutStore is a usual time for work that no patience was spent on.
 const withoutStore = 120 * time.Millisecond
 
-func keepOf(turn ledger.TurnID) ledger.Keep {
-	return ledger.Keep{Program: "p", Turn: turn, For: time.Minute}
+func keepOf(turn ledger.TurnID) ledger.IndexEntry {
+	return ledger.IndexEntry{Program: "p", Turn: turn, Retention: time.Minute}
 }
 
 // TestHomeThatTheStoreTurnsAwaySaysSoAtOnce: the asking node keeps and reads the turn itself.
@@ -29,11 +29,11 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	began := time.Now()
-	is.NoErr(other.service.Keep(ctx, keepOf("t1"), []byte("one"), residency.Homes{}))
+	is.NoErr(other.service.PersistTurn(ctx, keepOf("t1"), []byte("one"), residency.AllowedRegions{}))
 	is.True(time.Since(began) < withoutStore)
 	turn, err := other.service.Begin(ctx, Request{Program: "p", Previous: "t1"})
 	is.NoErr(err)
-	texts, err := other.service.Texts(ctx, "p", turn.Chain, residency.Homes{})
+	texts, err := other.service.Texts(ctx, "p", turn.Chain, residency.AllowedRegions{})
 	is.NoErr(err)
 	is.Equal(string(texts[0]), "one")
 }
@@ -56,11 +56,11 @@
 		began := time.Now()
 		turn, err := from.service.Begin(ctx, turnOf("p", 1000, 100))
 		is.NoErr(err)
-		is.NoErr(from.service.Keep(ctx, keepOf("t1"), []byte("one"), residency.Homes{}))
+		is.NoErr(from.service.PersistTurn(ctx, keepOf("t1"), []byte("one"), residency.AllowedRegions{}))
 		turn.Finish(10)
 		next, err := from.service.Begin(ctx, Request{Program: "p", Previous: "t1"})
 		is.NoErr(err)
-		texts, err := from.service.Texts(ctx, "p", next.Chain, residency.Homes{})
+		texts, err := from.service.Texts(ctx, "p", next.Chain, residency.AllowedRegions{})
 		is.NoErr(err)
 		is.Equal(string(texts[0]), "one")
 		is.True(time.Since(began) < 4*withoutStore)
@@ -79,7 +79,7 @@
 	home.store.closed.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	err := home.service.Keep(ctx, keepOf("t1"), []byte("one"), residency.In([]string{"here"}))
+	err := home.service.PersistTurn(ctx, keepOf("t1"), []byte("one"), residency.OnlyIn([]string{"here"}))
 	is.True(errors.Is(err, ledgerlog.ErrUnavailable))
 	for _, one := range nodes {
 		is.Equal(one.store.appended.Load(), int32(0))
@@ -96,7 +96,7 @@
 	for _, one := range nodes {
 		began := time.Now()
 		_, err := one.service.Begin(t.Context(), turnOf("p", 1000, 100))
-		is.True(errors.Is(err, ledgerlog.ErrStoreAway))
+		is.True(errors.Is(err, ledgerlog.ErrStoreUnavailable))
 		is.True(time.Since(began) < 2*withoutStore)
 	}
 }
--- a/internal/homes/homes.go
+++ b/internal/homes/homes.go
@@ -56,8 +56,8 @@
 type Request struct {
 	Program ledger.ProgramID
 	// Budgeted tells that Budget and Most hold.
-	Budgeted     bool
-	Budget, Most uint32
+	Budgeted              bool
+	Budget, MaxTurnTokens uint32
 	// Previous is the turn to go on from, or empty.
 	Previous ledger.TurnID
 }
@@ -67,16 +67,16 @@
 type Turn struct {
 	// Charged is what was known to stand against the budget before, in tokens.
 	Charged uint64
-	// Ahead tells that the budget's reservation does not stand in the log yet.
-	Ahead bool
+	// Unlogged tells that the budget's reservation does not stand in the log yet.
+	Unlogged bool
 	// First tells that the program has been handed out nothing before.
 	First bool
 	// Chain holds the locations of the turns before, the oldest first.
 	Chain []ledger.Location
-	// Resident is where the turn before ran.
-	Resident ledger.Resident
-	// Home is the node that keeps the program's sums.
-	Home identity.NodeName
+	// CacheLocation is where the turn before ran.
+	CacheLocation ledger.CacheLocation
+	// Coordinator is the node that keeps the program's sums.
+	Coordinator identity.NodeName
 
 	finish func(used uint32)
 }
@@ -97,8 +97,8 @@
 	Peers  peer.Client
 	// RoundTrip returns how long the way to a zone and back takes; nil counts as nothing.
 	RoundTrip func(zone identity.Zone) time.Duration
-	// StoreAnswers tells whether the store answers this node; nil counts as yes.
-	StoreAnswers func() bool
+	// StoreAvailable tells whether the store answers this node; nil counts as yes.
+	StoreAvailable func() bool
 	// Announce tells other nodes how often the store has ceased or begun to answer this one,
 	// see LacksStore, and all of them at once with everybody; nil where nobody is told.
 	Announce   func(changes uint64, everybody bool)
--- a/internal/homes/homes_test.go
+++ b/internal/homes/homes_test.go
@@ -58,8 +58,8 @@
 type answeringGate struct{ store *gate }
 
 func (a answeringGate) Await(context.Context, logstore.Partition) error { return nil }
-func (a answeringGate) Answers(logstore.Partition) bool                 { return a.store.answers() }
-func (a answeringGate) Regained() <-chan struct{}                       { return nil }
+func (a answeringGate) Available(logstore.Partition) bool               { return a.store.answers() }
+func (a answeringGate) Recovered() <-chan struct{}                      { return nil }
 
 func (g *gate) Append(ctx context.Context, request logstore.AppendRequest) (logstore.AppendResult, error) {
 	g.appended.Add(1)
@@ -68,7 +68,7 @@
 	}
 	if g.hang.Load() {
 		<-ctx.Done()
-		return logstore.AppendResult{}, logstore.ErrAnswerLost
+		return logstore.AppendResult{}, logstore.ErrOutcomeUnknown
 	}
 	return g.Store.Append(ctx, request)
 }
@@ -106,17 +106,17 @@
 	registry := peer.NewRegistry()
 	made := &node{transport: peer.NewTransport(registry, peer.Options{Logger: slog.New(slog.DiscardHandler)}), store: &gate{Store: log}}
 	made.identity = identity.Node{Name: identity.NodeName(name), Incarnation: 1, PeerAddress: netip.MustParseAddrPort(listener.Addr().String())}
-	var knowing ledgerlog.Gate
+	var knowing ledgerlog.Availability
 	if knows {
 		knowing = answeringGate{made.store}
 	}
 	made.service = New(Config{
-		StoreAnswers: made.store.answers,
-		Self:         made.identity.Name, Peers: made.transport, Logger: slog.New(slog.DiscardHandler),
+		StoreAvailable: made.store.answers,
+		Self:           made.identity.Name, Peers: made.transport, Logger: slog.New(slog.DiscardHandler),
 		Ledger: ledgerlog.New(ledgerlog.Config{
 			Store: made.store, Topic: "ledger", TextTopic: "texts", Partitions: partitions,
-			Gate:     knowing,
-			Producer: string(LifeOf(made.identity.Reference())), RecordBytes: 1 << 16, CallBytes: 1 << 20, CacheBytes: 1, IndexTextBytes: 1 << 16,
+			Availability: knowing,
+			Producer:     string(IncarnationOf(made.identity.Reference())), RecordBytes: 1 << 16, CallBytes: 1 << 20, CacheBytes: 1, IndexTextBytes: 1 << 16,
 			Logger: slog.New(slog.DiscardHandler),
 		}),
 	})
@@ -138,7 +138,7 @@
 }
 
 func turnOf(program ledger.ProgramID, budget, most uint32) Request {
-	return Request{Program: program, Budgeted: true, Budget: budget, Most: most}
+	return Request{Program: program, Budgeted: true, Budget: budget, MaxTurnTokens: most}
 }
 
 func mustBegin(t *testing.T, at *node, request Request) *Turn {
@@ -184,7 +184,7 @@
 	home, _ := homeOf(nodes, "p")
 	for i := range 6 {
 		turn := mustBegin(t, nodes[i%3], turnOf("p", 1000, 100))
-		is.Equal(turn.Home, home.identity.Name)
+		is.Equal(turn.Coordinator, home.identity.Name)
 		turn.Finish(50)
 		time.Sleep(10 * time.Millisecond) // the end is told in the background
 	}
@@ -203,14 +203,14 @@
 	home.transport.Close()
 	began := time.Now()
 	turn := mustBegin(t, other, turnOf("p", 200, 100))
-	is.Equal(turn.Home, other.identity.Name)
+	is.Equal(turn.Coordinator, other.identity.Name)
 	is.True(time.Since(began) < time.Second)
 	// What the home had reserved can't be told from what it handed out. One turn more is
 	// within what the program may be handed in all; after it the budget is neither handed
 	// out again nor called spent.
 	mustBegin(t, other, turnOf("p", 200, 100)).Finish(100)
 	_, err := other.service.Begin(t.Context(), turnOf("p", 200, 100))
-	is.True(errors.Is(err, ledgerlog.ErrReserved))
+	is.True(errors.Is(err, ledgerlog.ErrBudgetReserved))
 }
 
 // forgetful is a way to other nodes that loses answers to the beginning of turns.
@@ -236,13 +236,13 @@
 	way.lose.Store(true)
 	// The budget holds one turn, which the home has begun by now for nobody.
 	_, err := other.service.Begin(t.Context(), turnOf("p", 900, 589))
-	var spent *ledgerlog.SpentError
+	var spent *ledgerlog.BudgetExhaustedError
 	is.True(!errors.As(err, &spent))
-	is.True(errors.Is(err, ledgerlog.ErrReserved))
+	is.True(errors.Is(err, ledgerlog.ErrBudgetReserved))
 	way.lose.Store(false)
 	time.Sleep(avoidFor + 100*time.Millisecond)
 	turn := mustBegin(t, other, turnOf("p", 900, 589))
-	is.Equal(turn.Home, home.identity.Name)
+	is.Equal(turn.Coordinator, home.identity.Name)
 	turn.Finish(589)
 }
 
@@ -252,7 +252,7 @@
 	home, other := homeOf(nodes, "p")
 	home.store.closed.Store(true)
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
-	is.Equal(turn.Home, other.identity.Name)
+	is.Equal(turn.Coordinator, other.identity.Name)
 }
 
 func TestHomeThatWaitsForTheStoreIsWaitedFor(t *testing.T) {
@@ -262,7 +262,7 @@
 	// Two calls, for the ownership and the reservation, must fit into the home's time.
 	home.store.Fail(store.Fault{Delay: hedgeAfter + 20*time.Millisecond})
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
-	is.Equal(turn.Home, home.identity.Name)
+	is.Equal(turn.Coordinator, home.identity.Name)
 	is.True(!other.service.avoided(home.identity.Name))
 }
 
@@ -274,7 +274,7 @@
 	home, other := homeOf(nodes, "p")
 	home.store.Fail(store.Fault{Delay: patientAfter + 3*workingAfter})
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
-	is.Equal(turn.Home, home.identity.Name)
+	is.Equal(turn.Coordinator, home.identity.Name)
 	is.Equal(other.store.appended.Load(), int32(0))
 }
 
@@ -285,7 +285,7 @@
 	home.store.hang.Store(true)
 	began := time.Now()
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
-	is.Equal(turn.Home, other.identity.Name)
+	is.Equal(turn.Coordinator, other.identity.Name)
 	is.True(time.Since(began) < patientAfter)
 	is.True(other.service.avoided(home.identity.Name))
 }
@@ -298,13 +298,13 @@
 		other.store.closed.Store(cut)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		is.NoErr(other.service.Keep(ctx, ledger.Keep{Program: "p", Turn: "t1", For: time.Minute}, []byte("one"), residency.Homes{}))
+		is.NoErr(other.service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t1", Retention: time.Minute}, []byte("one"), residency.AllowedRegions{}))
 		turn := mustBegin(t, other, Request{Program: "p", Previous: "t1"})
 		is.Equal(len(turn.Chain), 1)
-		texts, err := other.service.Texts(ctx, "p", turn.Chain, residency.Homes{})
+		texts, err := other.service.Texts(ctx, "p", turn.Chain, residency.AllowedRegions{})
 		is.NoErr(err)
 		is.Equal(string(texts[0]), "one")
-		is.NoErr(other.service.Keep(ctx, ledger.Keep{Program: "p", Turn: "t2", Chain: turn.Chain, For: time.Minute}, []byte("two"), residency.Homes{}))
+		is.NoErr(other.service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t2", Chain: turn.Chain, Retention: time.Minute}, []byte("two"), residency.AllowedRegions{}))
 		is.Equal(len(mustBegin(t, nodes[0], Request{Program: "p", Previous: "t2"}).Chain), 2)
 	}
 }
@@ -316,7 +316,7 @@
 	nodes := startCluster(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	is.NoErr(nodes[0].service.Keep(ctx, ledger.Keep{Program: "p", Turn: "t1", For: time.Minute}, []byte("one"), residency.Homes{}))
+	is.NoErr(nodes[0].service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t1", Retention: time.Minute}, []byte("one"), residency.AllowedRegions{}))
 	for _, program := range []ledger.ProgramID{"p", "q", "r", "s", "t", "u"} {
 		for _, asking := range nodes {
 			is.Equal(len(mustBegin(t, asking, Request{Program: program, Previous: "t1"}).Chain), 1)
@@ -368,7 +368,7 @@
 	time.AfterFunc(1500*time.Millisecond, func() { other.store.closed.Store(false) })
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	is.NoErr(other.service.Keep(ctx, ledger.Keep{Program: "p", Turn: "t1", For: time.Minute}, []byte("one"), residency.Homes{}))
+	is.NoErr(other.service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t1", Retention: time.Minute}, []byte("one"), residency.AllowedRegions{}))
 }
 
 func TestUnknownTurnIsProvedAbsentByTheHome(t *testing.T) {
@@ -398,7 +398,7 @@
 	is.NoErr(home.service.config.Ledger.Stop(ctx))
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
 	is.Equal(turn.Charged, uint64(10))
-	is.True(turn.Home != home.identity.Name)
+	is.True(turn.Coordinator != home.identity.Name)
 }
 
 func TestLivingOwnerIsGivenTimeToRelease(t *testing.T) {
@@ -421,7 +421,7 @@
 	for i := 0; i < 60 && !ahead; i++ {
 		time.Sleep(50 * time.Millisecond)
 		turn := mustBegin(t, added, turnOf(next(), 1000, 100))
-		ahead = turn.Ahead
+		ahead = turn.Unlogged
 		turn.Finish(10)
 	}
 	is.True(ahead) // only an owner after a clean end hands out tokens ahead of the log
@@ -444,15 +444,15 @@
 func TestMessagesSurviveEncoding(t *testing.T) {
 	is := is.New(t)
 	chain := []ledger.Location{{Partition: 1, Offset: 2, Size: 3}}
-	resident := ledger.Resident{Instance: "i", Tokens: 6}
+	resident := ledger.CacheLocation{Instance: "i", Tokens: 6}
 	registry := peer.NewRegistry()
 	(&Service{}).Register(registry)
 	for _, message := range []peer.Message{
-		&begin{Request: Request{Program: "p", Budgeted: true, Budget: 1, Most: 2, Previous: "t"}, Grant: 4},
+		&begin{Request: Request{Program: "p", Budgeted: true, Budget: 1, MaxTurnTokens: 2, Previous: "t"}, Grant: 4},
 		&begun{Status: statusSpent, Charged: 5, Ahead: true, First: true, Chain: chain, Resident: resident, Reason: "r"},
 		&finish{Program: "p", Grant: 7, Used: 8},
-		&keep{Turn: ledger.Keep{Program: "p", Turn: "t", Chain: chain, For: time.Minute, Resident: resident}, Text: []byte("x")},
-		&keepAnywhere{keep: keep{Turn: ledger.Keep{Program: "p", Turn: "t", Chain: chain, For: time.Minute, Resident: resident}, Text: []byte("x")}, later: []byte("y")},
+		&keep{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")},
+		&keepAnywhere{keep: keep{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")}, later: []byte("y")},
 		&kept{Status: statusDone, Location: chain[0], Reason: "r"},
 		&done{Status: statusDone, Reason: "r"}, &working{}, &read{Chain: chain},
 		&find{Turn: "t", Partitions: []int{0, 300}}, &foundTurn{Status: statusDone, Chain: chain, Resident: resident, Reason: "r"}, &texts{Status: statusDone, Texts: [][]byte{[]byte("x")}},
--- a/internal/homes/keepanywhere.go
+++ b/internal/homes/keepanywhere.go
@@ -37,14 +37,14 @@
 
 // writing is a turn that is to be made durable.
 type writing struct {
-	turn ledger.Keep
+	turn ledger.IndexEntry
 	text []byte
 	// apart tells that the text must not go into the index, which all nodes read.
 	apart bool
 }
 
-func writingOf(turn ledger.Keep, text []byte, within residency.Homes) writing {
-	return writing{turn: turn, text: text, apart: within.Bound()}
+func writingOf(turn ledger.IndexEntry, text []byte, within residency.AllowedRegions) writing {
+	return writing{turn: turn, text: text, apart: within.Restricted()}
 }
 
 // askToKeep asks another node to write a turn.
--- a/internal/homes/keepanywhere_test.go
+++ b/internal/homes/keepanywhere_test.go
@@ -39,7 +39,7 @@
 	way := &buildBefore{Client: other.service.config.Peers}
 	other.service.config.Peers = way
 	before := other.store.appended.Load()
-	is.NoErr(other.service.Keep(t.Context(), keepOf("t1"), []byte("one"), residency.Homes{}))
+	is.NoErr(other.service.PersistTurn(t.Context(), keepOf("t1"), []byte("one"), residency.AllowedRegions{}))
 	is.Equal(way.asked.Load(), int32(1))
 	is.Equal(other.store.appended.Load(), before) // the home has written it
 	is.True(!other.service.avoided(home.identity.Name))
@@ -76,18 +76,18 @@
 	_, err := home.service.Begin(ctx, Request{Program: "p", Previous: "never"})
 	is.True(err != nil) // the home has read the partition
 	for _, at := range nodes {
-		is.NoErr(at.service.Keep(ctx, keepOf(ledger.TurnID("bound at "+at.identity.Name)), []byte("one"), residency.In([]string{"r"})))
+		is.NoErr(at.service.PersistTurn(ctx, keepOf(ledger.TurnID("bound at "+at.identity.Name)), []byte("one"), residency.OnlyIn([]string{"r"})))
 	}
 	is.Equal(textsInIndex(home), 0)
 	for i, at := range nodes {
 		turn := ledger.TurnID("open at " + at.identity.Name)
 		before := home.store.appended.Load()
-		is.NoErr(at.service.Keep(ctx, keepOf(turn), []byte("one"), residency.Homes{}))
+		is.NoErr(at.service.PersistTurn(ctx, keepOf(turn), []byte("one"), residency.AllowedRegions{}))
 		is.Equal(textsInIndex(home), i+1)
 		is.Equal(home.store.appended.Load(), before+1)
 		begun, err := other.service.Begin(ctx, Request{Program: "p", Previous: turn})
 		is.NoErr(err)
-		found, err := other.service.Texts(ctx, "p", begun.Chain, residency.Homes{})
+		found, err := other.service.Texts(ctx, "p", begun.Chain, residency.AllowedRegions{})
 		is.NoErr(err)
 		is.Equal(string(found[0]), "one")
 	}
--- a/internal/homes/message.go
+++ b/internal/homes/message.go
@@ -42,7 +42,7 @@
 
 // statusOf tells an error of the ledger to other nodes and in metrics.
 func statusOf(err error) status {
-	var spent *ledgerlog.SpentError
+	var spent *ledgerlog.BudgetExhaustedError
 	switch {
 	case err == nil:
 		return statusDone
@@ -50,9 +50,9 @@
 		return statusSpent
 	case errors.Is(err, ledgerlog.ErrNoSuchTurn):
 		return statusNoSuchTurn
-	case errors.Is(err, ledgerlog.ErrReserved):
+	case errors.Is(err, ledgerlog.ErrBudgetReserved):
 		return statusReserved
-	case errors.Is(err, ledgerlog.ErrStoreAway):
+	case errors.Is(err, ledgerlog.ErrStoreUnavailable):
 		return statusStoreAway
 	}
 	return statusUnavailable
@@ -68,9 +68,9 @@
 	case statusNoSuchTurn:
 		kind = ledgerlog.ErrNoSuchTurn
 	case statusReserved:
-		kind = ledgerlog.ErrReserved
+		kind = ledgerlog.ErrBudgetReserved
 	case statusStoreAway:
-		kind = ledgerlog.ErrStoreAway
+		kind = ledgerlog.ErrStoreUnavailable
 	}
 	return fmt.Errorf("%w: home %s: %s", kind, home, reason)
 }
@@ -106,7 +106,7 @@
 	e.String(string(m.Request.Program))
 	e.Bool(m.Request.Budgeted)
 	e.Uint32(m.Request.Budget)
-	e.Uint32(m.Request.Most)
+	e.Uint32(m.Request.MaxTurnTokens)
 	e.String(string(m.Request.Previous))
 	e.Uint64(uint64(m.Grant))
 }
@@ -114,7 +114,7 @@
 // Decode implements peer.Message.
 func (m *begin) Decode(d *wire.Decoder) {
 	m.Request = Request{
-		Program: ledger.ProgramID(d.String()), Budgeted: d.Bool(), Budget: d.Uint32(), Most: d.Uint32(),
+		Program: ledger.ProgramID(d.String()), Budgeted: d.Bool(), Budget: d.Uint32(), MaxTurnTokens: d.Uint32(),
 		Previous: ledger.TurnID(d.String()),
 	}
 	m.Grant = ledger.GrantID(d.Uint64())
@@ -128,7 +128,7 @@
 	First   bool
 	Chain   []ledger.Location
 	// Resident is where the turn before ran.
-	Resident ledger.Resident
+	Resident ledger.CacheLocation
 	// Reason is an error's text.
 	Reason string
 }
@@ -191,7 +191,7 @@
 // keep asks a home to write a turn: its text and its place in the index, where
 // Turn.Chain holds the turns before.
 type keep struct {
-	Turn ledger.Keep
+	Turn ledger.IndexEntry
 	Text []byte
 }
 
@@ -203,20 +203,20 @@
 	e.String(string(m.Turn.Program))
 	e.String(string(m.Turn.Turn))
 	encodeChain(e, m.Turn.Chain)
-	e.Duration(m.Turn.For)
-	encodeResident(e, m.Turn.Resident)
+	e.Duration(m.Turn.Retention)
+	encodeResident(e, m.Turn.CacheLocation)
 	e.Blob(m.Text)
 }
 
 // Decode implements peer.Message.
 func (m *keep) Decode(d *wire.Decoder) {
-	m.Turn = ledger.Keep{
-		Program: ledger.ProgramID(d.String()), Turn: ledger.TurnID(d.String()), Chain: decodeChain(d), For: d.Duration(),
-		Resident: decodeResident(d),
+	m.Turn = ledger.IndexEntry{
+		Program: ledger.ProgramID(d.String()), Turn: ledger.TurnID(d.String()), Chain: decodeChain(d), Retention: d.Duration(),
+		CacheLocation: decodeResident(d),
 	}
 	m.Text = d.Blob()
-	if m.Turn.For < 0 || m.Turn.For > maxKeep {
-		m.Turn.For = maxKeep
+	if m.Turn.Retention < 0 || m.Turn.Retention > maxKeep {
+		m.Turn.Retention = maxKeep
 	}
 }
 
@@ -333,7 +333,7 @@
 type foundTurn struct {
 	Status   status
 	Chain    []ledger.Location
-	Resident ledger.Resident
+	Resident ledger.CacheLocation
 	// Reason is an error's text.
 	Reason string
 }
@@ -384,11 +384,11 @@
 	return chain
 }
 
-func encodeResident(e *wire.Encoder, resident ledger.Resident) {
+func encodeResident(e *wire.Encoder, resident ledger.CacheLocation) {
 	e.String(resident.Instance)
 	e.Uint32(resident.Tokens)
 }
 
-func decodeResident(d *wire.Decoder) ledger.Resident {
-	return ledger.Resident{Instance: d.String(), Tokens: d.Uint32()}
+func decodeResident(d *wire.Decoder) ledger.CacheLocation {
+	return ledger.CacheLocation{Instance: d.String(), Tokens: d.Uint32()}
 }
--- a/internal/homes/recorded_test.go
+++ b/internal/homes/recorded_test.go
@@ -15,21 +15,21 @@
 // TestRecordedBytesOfMessages: what builds ask of homes and tell them stays as it is.
 func TestRecordedBytesOfMessages(t *testing.T) {
 	chain := []ledger.Location{{Partition: 3, Offset: 9, Size: 20}}
-	resident := ledger.Resident{Instance: "i", Tokens: 80}
+	resident := ledger.CacheLocation{Instance: "i", Tokens: 80}
 	for name, c := range map[string]struct {
 		message, empty peer.Message
 		written        string
 	}{
-		"begin":      {&begin{Request: Request{Program: "p", Budgeted: true, Budget: 900, Most: 60, Previous: "t"}, Grant: 7}, &begin{}, "000000017001000003840000003c00000001740000000000000007"},
+		"begin":      {&begin{Request: Request{Program: "p", Budgeted: true, Budget: 900, MaxTurnTokens: 60, Previous: "t"}, Grant: 7}, &begin{}, "000000017001000003840000003c00000001740000000000000007"},
 		"begun":      {&begun{Status: statusDone, Charged: 40, Ahead: true, First: true, Chain: chain, Resident: resident}, &begun{}, "010000000000000028010100000001000300000000000000090000001400000001690000005000000000"},
 		"find":       {&find{Turn: "t", Partitions: []int{1, 2}}, &find{}, "00000001740000000200010002"},
 		"found turn": {&foundTurn{Status: statusNoSuchTurn, Reason: "r", Chain: chain, Resident: resident}, &foundTurn{}, "030000000100030000000000000009000000140000000169000000500000000172"},
 		"keep": {
-			&keep{Turn: ledger.Keep{Program: "p", Turn: "t", Chain: chain, For: time.Minute, Resident: resident}, Text: []byte("x")},
+			&keep{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")},
 			&keep{}, "000000017000000001740000000100030000000000000009000000140000000df84758000000000169000000500000000178",
 		},
 		"keep anywhere": {
-			&keepAnywhere{keep: keep{Turn: ledger.Keep{Program: "p", Turn: "t", Chain: chain, For: time.Minute, Resident: resident}, Text: []byte("x")}},
+			&keepAnywhere{keep: keep{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")}},
 			&keepAnywhere{}, "000000017000000001740000000100030000000000000009000000140000000df8475800000000016900000050000000017800000000",
 		},
 		"kept": {&kept{Status: statusDone, Location: ledger.TextAt(5, 9, 20), Reason: "r"}, &kept{}, "0180050000000000000009000000140000000172"},
--- a/internal/homes/regions_test.go
+++ b/internal/homes/regions_test.go
@@ -34,10 +34,10 @@
 			continue
 		}
 		there := nodeNamed(nodes, home.Name)
-		within := residency.In([]string{string(from.identity.Region)})
+		within := residency.OnlyIn([]string{string(from.identity.Region)})
 		appended, texts := there.store.appended.Load(), there.store.texts.Load()
 		turn := ledger.TurnID("t" + program)
-		is.NoErr(from.service.Keep(ctx, ledger.Keep{Program: program, Turn: turn, For: time.Minute}, []byte("text"), within))
+		is.NoErr(from.service.PersistTurn(ctx, ledger.IndexEntry{Program: program, Turn: turn, Retention: time.Minute}, []byte("text"), within))
 		begun, err := from.service.Begin(ctx, Request{Program: program, Previous: turn})
 		is.NoErr(err)
 		read, err := from.service.Texts(ctx, program, begun.Chain, within)
@@ -46,8 +46,8 @@
 		is.Equal(there.store.appended.Load(), appended) // the home has written nothing
 		is.Equal(there.store.texts.Load(), texts)       // and read no text
 
-		both := residency.In([]string{string(from.identity.Region), string(home.Region)})
-		is.NoErr(from.service.Keep(ctx, ledger.Keep{Program: program, Turn: turn + "2", For: time.Minute}, []byte("text"), both))
+		both := residency.OnlyIn([]string{string(from.identity.Region), string(home.Region)})
+		is.NoErr(from.service.PersistTurn(ctx, ledger.IndexEntry{Program: program, Turn: turn + "2", Retention: time.Minute}, []byte("text"), both))
 		if there.store.appended.Load() > appended {
 			keptThere++ // the home is one of the data's own
 		}
--- a/internal/homes/siteview.go
+++ b/internal/homes/siteview.go
@@ -21,7 +21,7 @@
 
 	// mutex guards all below, which is computed when it is asked for first.
 	mutex sync.Mutex
-	lives map[ledger.LifeID]bool
+	lives map[ledger.IncarnationID]bool
 	// candidates remembers the nodes that may keep a partition, by whether this node closes.
 	candidates map[homeKey][]identity.Node
 	// stays tells, once stayKnown, that the store answers nobody, so that homes stay.
@@ -49,13 +49,13 @@
 }
 
 // isMember tells whether a life is a member.
-func (v *siteView) isMember(life ledger.LifeID) bool {
+func (v *siteView) isMember(life ledger.IncarnationID) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if v.lives == nil {
-		v.lives = make(map[ledger.LifeID]bool, len(v.members))
+		v.lives = make(map[ledger.IncarnationID]bool, len(v.members))
 		for _, member := range v.members {
-			v.lives[LifeOf(member.Node.Reference())] = true
+			v.lives[IncarnationOf(member.Node.Reference())] = true
 		}
 	}
 	return v.lives[life]
--- a/internal/homes/siteview_test.go
+++ b/internal/homes/siteview_test.go
@@ -41,8 +41,8 @@
 	is := is.New(t)
 	view := largeView(3)
 	placed := newSiteView(view, 24)
-	is.True(placed.isMember(LifeOf(view.Members[1].Node.Reference())))
-	is.True(!placed.isMember(LifeOf(identity.Reference{Name: "n1", Incarnation: 77})))
+	is.True(placed.isMember(IncarnationOf(view.Members[1].Node.Reference())))
+	is.True(!placed.isMember(IncarnationOf(identity.Reference{Name: "n1", Incarnation: 77})))
 	is.Equal(len(placed.addresses("n1")), 2)
 }
 
@@ -51,7 +51,7 @@
 	for _, count := range []int{100, 1000, 2000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			placed := newSiteView(largeView(count), 24)
-			life := LifeOf(largeView(1).Members[0].Node.Reference())
+			life := IncarnationOf(largeView(1).Members[0].Node.Reference())
 			b.ReportAllocs()
 			for i := range b.N {
 				placed.ranked(i%24, "n1", false)
--- a/internal/homes/standin.go
+++ b/internal/homes/standin.go
@@ -20,16 +20,16 @@
 	stayPercent = 67
 )
 
-// LacksStore tells whether a member has told that the store does not answer it. What it tells
+// StoreUnreachable tells whether a member has told that the store does not answer it. What it tells
 // rises with each change and is odd from the first change on, even from the second.
-func LacksStore(member membership.Member) bool { return member.TableVersion%2 == 1 }
+func StoreUnreachable(member membership.Member) bool { return member.TableVersion%2 == 1 }
 
 // lacking returns the names of the members that have told that the store does not answer
 // them.
 func lacking(members []membership.Member) map[identity.NodeName]bool {
 	names := map[identity.NodeName]bool{}
 	for _, member := range members {
-		if LacksStore(member) {
+		if StoreUnreachable(member) {
 			names[member.Node.Name] = true
 		}
 	}
