--- a/internal/homes/standin_test.go
+++ b/internal/homes/standin_test.go
@@ -104,7 +104,7 @@
 	for _, from := range nodes {
 		began := time.Now()
 		turn := mustBegin(t, from, turnOf("p", 100_000, 100))
-		is.Equal(turn.Home, ranked[1].identity.Name)
+		is.Equal(turn.Coordinator, ranked[1].identity.Name)
 		turn.Finish(10)
 		is.True(time.Since(began) < withoutStore)
 	}
@@ -112,7 +112,7 @@
 	ranked[0].store.closed.Store(false)
 	tell(nodes)
 	for _, from := range nodes {
-		is.Equal(mustBegin(t, from, turnOf("p", 100_000, 100)).Home, ranked[0].identity.Name)
+		is.Equal(mustBegin(t, from, turnOf("p", 100_000, 100)).Coordinator, ranked[0].identity.Name)
 	}
 }
 
@@ -125,7 +125,7 @@
 	ranked[1].store.closed.Store(true)
 	for _, from := range ranked[3:] {
 		turn := mustBegin(t, from, turnOf("p", 100_000, 100))
-		is.Equal(turn.Home, ranked[2].identity.Name)
+		is.Equal(turn.Coordinator, ranked[2].identity.Name)
 		turn.Finish(10)
 	}
 }
@@ -141,7 +141,7 @@
 	}
 	tell(nodes)
 	turn := mustBegin(t, ranked[1], turnOf("p", 100_000, 100))
-	is.Equal(turn.Home, ranked[0].identity.Name)
+	is.Equal(turn.Coordinator, ranked[0].identity.Name)
 }
 
 // TestHomeThatTheStoreTurnsAwayServesWhatItHasReserved where its stand-in is refused for that.
@@ -159,14 +159,14 @@
 		if err != nil {
 			break
 		}
-		homes[turn.Home] = true
+		homes[turn.Coordinator] = true
 		turn.Finish(100)
 		served += 100
 		time.Sleep(10 * time.Millisecond)
 	}
 	is.True(homes[ranked[0].identity.Name])
 	is.True(homes[ranked[1].identity.Name])
-	whole := ledger.OpenBudget(1000, 100) // nobody was sure at the first turn
+	whole := ledger.LoggedBudget(1000, 100) // nobody was sure at the first turn
 	is.True(served <= whole)
 	is.True(served+100 >= whole)
 }
@@ -205,7 +205,7 @@
 	ranked := candidatesIn(nodes)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	is.NoErr(ranked[2].service.Keep(ctx, ledger.Keep{Program: "p", Turn: "t1", For: time.Minute}, []byte("one"), residency.Homes{}))
+	is.NoErr(ranked[2].service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t1", Retention: time.Minute}, []byte("one"), residency.AllowedRegions{}))
 	ranked[0].store.closed.Store(true)
 	tell(nodes)
 	is.Equal(len(mustBegin(t, ranked[3], Request{Program: "p", Previous: "t1"}).Chain), 1)
--- a/internal/homes/standing.go
+++ b/internal/homes/standing.go
@@ -66,7 +66,7 @@
 // watchStore tells the other nodes whether the store answers this one, and asks the store
 // again and again while it does not, until ctx ends.
 func (s *Service) watchStore(ctx context.Context) {
-	if s.config.Announce == nil || s.config.StoreAnswers == nil {
+	if s.config.Announce == nil || s.config.StoreAvailable == nil {
 		return
 	}
 	ticker := time.NewTicker(standingPause)
@@ -79,7 +79,7 @@
 		case <-ticker.C:
 		}
 		now := time.Since(s.began)
-		if seen.observe(s.config.StoreAnswers(), now) {
+		if seen.observe(s.config.StoreAvailable(), now) {
 			s.announce(seen)
 		}
 		if !seen.away || seen.answering {
--- a/internal/homes/standing_test.go
+++ b/internal/homes/standing_test.go
@@ -17,7 +17,7 @@
 	is.True(!seen.observe(true, 0))
 	is.True(seen.observe(false, time.Second))
 	is.True(seen.away)
-	is.True(LacksStore(membership.Member{TableVersion: seen.changes}))
+	is.True(StoreUnreachable(membership.Member{TableVersion: seen.changes}))
 	for i := range 10 { // half a second with the store, half without
 		at := time.Second + time.Duration(i)*returnAfter/2
 		is.True(!seen.observe(i%2 == 0, at))
@@ -27,7 +27,7 @@
 	is.True(!seen.observe(true, back+returnAfter-1))
 	is.True(seen.observe(true, back+returnAfter))
 	is.True(!seen.away)
-	is.True(!LacksStore(membership.Member{TableVersion: seen.changes}))
+	is.True(!StoreUnreachable(membership.Member{TableVersion: seen.changes}))
 	is.Equal(seen.changes, uint64(2))
 }
 
--- a/internal/homes/texts.go
+++ b/internal/homes/texts.go
@@ -12,11 +12,11 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// Keep makes a turn that ended whole durable: its text and its place in the index.
+// PersistTurn makes a turn that ended whole durable: its text and its place in the index.
 // Chain holds the turns before. It tries until ctx ends, since an answer whose end
 // is held back for it would be broken off otherwise. Errors wrap
 // ledgerlog.ErrUnavailable. The text goes to no node outside the regions within.
-func (s *Service) Keep(ctx context.Context, turn ledger.Keep, text []byte, within residency.Homes) error {
+func (s *Service) PersistTurn(ctx context.Context, turn ledger.IndexEntry, text []byte, within residency.AllowedRegions) error {
 	for {
 		err := s.keepOnce(ctx, turn, text, within)
 		if err == nil || ctx.Err() != nil {
@@ -30,13 +30,13 @@
 // keepOnce lets the home write, where that is another node, so that the turns of
 // many nodes share its calls of the store; else this node writes, or where the store does
 // not answer it, one that the store may answer.
-func (s *Service) keepOnce(ctx context.Context, turn ledger.Keep, text []byte, within residency.Homes) error {
+func (s *Service) keepOnce(ctx context.Context, turn ledger.IndexEntry, text []byte, within residency.AllowedRegions) error {
 	request := writingOf(turn, text, within)
 	home, remote := s.remote(turn.Program, within)
 	if remote {
 		location, err := s.keepThere(ctx, home, request)
 		if err == nil {
-			s.config.Ledger.Remember(location, text)
+			s.config.Ledger.CacheText(location, text)
 			return nil
 		}
 		s.config.Logger.Info("home did not keep a turn", "turn", turn.Turn, "home", home.Name, "error", err)
@@ -49,7 +49,7 @@
 		return s.keepThere(ctx, helper, request)
 	})
 	if helpErr == nil {
-		s.config.Ledger.Remember(location, text)
+		s.config.Ledger.CacheText(location, text)
 	}
 	return helpErr
 }
@@ -62,12 +62,12 @@
 	if !s.storeAnswers() {
 		return ledger.Location{}, errStoreAway
 	}
-	return s.config.Ledger.KeepText(ctx, asked.turn, asked.text, asked.apart)
+	return s.config.Ledger.PersistTurnWithText(ctx, asked.turn, asked.text, asked.apart)
 }
 
 // remote returns the home of a program if that is another node that may be asked, that the
 // store may answer, and that may hold texts that belong within the given regions.
-func (s *Service) remote(program ledger.ProgramID, within residency.Homes) (identity.Node, bool) {
+func (s *Service) remote(program ledger.ProgramID, within residency.AllowedRegions) (identity.Node, bool) {
 	home, self := s.home(s.config.Ledger.Partition(program))
 	return home, !self && s.mayAsk(home) && !s.storeless.has(home.Name) && within.Allows(string(home.Region))
 }
@@ -89,8 +89,8 @@
 // Texts returns the texts of a chain of a program's turns: from memory, from the
 // home's or from the store. Errors wrap ledgerlog.ErrUnavailable. No node outside the
 // regions within is asked, since it would read the texts.
-func (s *Service) Texts(ctx context.Context, program ledger.ProgramID, chain []ledger.Location, within residency.Homes) ([][]byte, error) {
-	if found, all := s.config.Ledger.Remembered(chain); all {
+func (s *Service) Texts(ctx context.Context, program ledger.ProgramID, chain []ledger.Location, within residency.AllowedRegions) ([][]byte, error) {
+	if found, all := s.config.Ledger.CachedTexts(chain); all {
 		return found, nil
 	}
 	home, remote := s.remote(program, within)
@@ -126,7 +126,7 @@
 		return nil, fmt.Errorf("%w: %s has not read the turns", ledgerlog.ErrUnavailable, there.Name)
 	}
 	for i, location := range chain {
-		s.config.Ledger.Remember(location, got.Texts[i])
+		s.config.Ledger.CacheText(location, got.Texts[i])
 	}
 	return got.Texts, nil
 }
--- a/internal/homes/view.go
+++ b/internal/homes/view.go
@@ -16,22 +16,22 @@
 // given up at once.
 func (s *Service) SetView(view membership.View) {
 	s.view.Store(newSiteView(view, s.config.Ledger.Partitions()))
-	s.config.Ledger.Tidy(s.keepsCredits)
+	s.config.Ledger.SettleIdle(s.keepsCredits)
 }
 
 // Close makes this node the home of nothing.
 func (s *Service) Close() {
 	s.closing.Store(true)
-	s.config.Ledger.Tidy(s.keepsCredits)
+	s.config.Ledger.SettleIdle(s.keepsCredits)
 }
 
-// LifeOf names a life of a node in the ledger.
-func LifeOf(node identity.Reference) ledger.LifeID {
-	return ledger.LifeID(string(node.Name) + "." + strconv.FormatUint(uint64(node.Incarnation), 36))
+// IncarnationOf names a life of a node in the ledger.
+func IncarnationOf(node identity.Reference) ledger.IncarnationID {
+	return ledger.IncarnationID(string(node.Name) + "." + strconv.FormatUint(uint64(node.Incarnation), 36))
 }
 
-// Lives tells whether a life is a member that has not died.
-func (s *Service) Lives(life ledger.LifeID) bool {
+// IsAlive tells whether a life is a member that has not died.
+func (s *Service) IsAlive(life ledger.IncarnationID) bool {
 	view := s.view.Load()
 	if view == nil {
 		return false
@@ -39,10 +39,10 @@
 	return view.isMember(life)
 }
 
-// MayLive tells whether a life may go on: it is a member that has not died, or this
+// MayBeAlive tells whether a life may go on: it is a member that has not died, or this
 // node does not know all others yet.
-func (s *Service) MayLive(life ledger.LifeID) bool {
-	return s.Lives(life) || s.config.Peers != nil && time.Since(s.began) < learnMembers
+func (s *Service) MayBeAlive(life ledger.IncarnationID) bool {
+	return s.IsAlive(life) || s.config.Peers != nil && time.Since(s.began) < learnMembers
 }
 
 // Run gives up partitions that are at home elsewhere, and tells others whether the store
@@ -121,8 +121,8 @@
 	return view.addresses(s.config.Self)
 }
 
-// Kept returns the partitions that this node is the home of.
-func (s *Service) Kept() []int {
+// Coordinated returns the partitions that this node is the home of.
+func (s *Service) Coordinated() []int {
 	var kept []int
 	for partition := range s.config.Ledger.Partitions() {
 		if s.isHome(partition) {
--- a/internal/journal/config.go
+++ b/internal/journal/config.go
@@ -117,7 +117,7 @@
 	if c.Desired == nil {
 		cache := &placement.Cache{}
 		c.Desired = func(shard identity.ShardID, view membership.View) (placement.Assignment, bool) {
-			return cache.For(view).Desired(shard)
+			return cache.Get(view).Desired(shard)
 		}
 	}
 	if c.Logger == nil {
--- a/internal/keeper/book.go
+++ b/internal/keeper/book.go
@@ -36,63 +36,63 @@
 	idleLife = time.Minute
 )
 
-// Key stands for a replica, as in the datagrams of package loads.
-type Key = loads.Key
+// ReplicaKey stands for a replica, as in the datagrams of package loads.
+type ReplicaKey = loads.ReplicaKey
 
-// Part is one piece of a prompt: its ID, shortened, and its length in tokens.
-type Part struct {
+// Segment is one piece of a prompt: its ID, shortened, and its length in tokens.
+type Segment struct {
 	ID     uint32
 	Tokens int
 }
 
 // Report is what one node has at one replica.
 type Report struct {
-	Key Key
+	Key ReplicaKey
 	// Sequence rises with each report of a node on a replica, over restarts too unless
 	// its clock goes back; then the older report's life ends the confusion.
 	Sequence uint64
 	Load     loads.Load
 	// CapacityTokens is how many tokens the replica's prompt memory holds; 0 if unknown.
 	CapacityTokens int
-	// Parts is a prompt, or a whole turn, that the replica holds from now on.
-	Parts []Part
+	// Segments is a prompt, or a whole turn, that the replica holds from now on.
+	Segments []Segment
 }
 
 // State is what a keeper knows of a replica.
 type State struct {
-	Key Key
+	Key ReplicaKey
 	// Load adds up what the nodes other than the asking one have there.
 	Load loads.Load
 	// CachedTokens is how much of the prompt in question the replica holds by the
 	// keeper's model.
 	CachedTokens int
-	// Settled tells that all nodes have had time to report.
-	Settled bool
+	// Complete tells that all nodes have had time to report.
+	Complete bool
 	// Ejected tells that the replica fails more than others of its service; Probe is the
 	// right of the asking node to try it all the same, which no other one has meanwhile.
 	Ejected bool
 	Probe   outlier.Probe
 }
 
-// Book is what this node keeps. It is safe for concurrent use.
-type Book struct {
+// Aggregates is what this node keeps. It is safe for concurrent use.
+type Aggregates struct {
 	shards [bookShards]bookShard
 }
 
 // bookShard holds the accounts of some replicas under a lock of its own.
 type bookShard struct {
 	mutex    sync.Mutex
-	accounts map[Key]*account
+	accounts map[ReplicaKey]*account
 }
 
 // account is what is known of one replica. The shard's mutex guards it.
 type account struct {
 	since, touched time.Duration
 	reporters      map[netip.AddrPort]reported
-	memory         Memory
+	memory         CacheModel
 	// outcomes are those of all nodes' requests; instance names the replica for the log once
 	// one of them has failed.
-	outcomes outlier.Record
+	outcomes outlier.Detector
 	instance string
 }
 
@@ -103,19 +103,19 @@
 	load     loads.Load
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	made := &Book{}
+// NewAggregates returns an empty book.
+func NewAggregates() *Aggregates {
+	made := &Aggregates{}
 	for i := range made.shards {
-		made.shards[i].accounts = map[Key]*account{}
+		made.shards[i].accounts = map[ReplicaKey]*account{}
 	}
 	return made
 }
 
-func (b *Book) shard(key Key) *bookShard { return &b.shards[uint32(key)%bookShards] }
+func (b *Aggregates) shard(key ReplicaKey) *bookShard { return &b.shards[uint32(key)%bookShards] }
 
-// Take counts a node's report. now is a monotonic reading.
-func (b *Book) Take(from netip.AddrPort, report Report, now time.Duration) {
+// Record counts a node's report. now is a monotonic reading.
+func (b *Aggregates) Record(from netip.AddrPort, report Report, now time.Duration) {
 	shard := b.shard(report.Key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -124,7 +124,7 @@
 
 // account returns the account of a replica on which a node tells something. It needs the
 // mutex.
-func (s *bookShard) account(key Key, now time.Duration) *account {
+func (s *bookShard) account(key ReplicaKey, now time.Duration) *account {
 	known, found := s.accounts[key]
 	if !found {
 		s.makeRoom(now)
@@ -146,12 +146,12 @@
 	if report.CapacityTokens > 0 {
 		a.memory.Resize(report.CapacityTokens)
 	}
-	a.memory.Hold(report.Parts)
+	a.memory.Insert(report.Segments)
 }
 
 // State returns what is known of a replica for a node that asks; false without any
 // report.
-func (b *Book) State(asking netip.AddrPort, key Key, parts []Part, now time.Duration) (State, bool) {
+func (b *Aggregates) State(asking netip.AddrPort, key ReplicaKey, parts []Segment, now time.Duration) (State, bool) {
 	shard := b.shard(key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -161,10 +161,10 @@
 	}
 	state := State{
 		Key: key, Load: known.sum(asking, now), CachedTokens: known.memory.Cached(parts),
-		Settled: now-known.since >= settleTime,
+		Complete: now-known.since >= settleTime,
 	}
 	if known.outcomes.Ejected() {
-		state.Ejected, state.Probe = true, known.grant(asking, state.Load.UnderWay, now)
+		state.Ejected, state.Probe = true, known.grant(asking, state.Load.InFlight, now)
 	}
 	return state, true
 }
@@ -178,7 +178,7 @@
 			continue
 		}
 		if node != except {
-			total = total.Plus(one.load)
+			total = total.Add(one.load)
 		}
 	}
 	return total
@@ -203,8 +203,8 @@
 	}
 }
 
-// Kept returns on how many replicas this node has reports.
-func (b *Book) Kept() int {
+// Len returns on how many replicas this node has reports.
+func (b *Aggregates) Len() int {
 	total := 0
 	for i := range b.shards {
 		b.shards[i].mutex.Lock()
--- a/internal/keeper/book_test.go
+++ b/internal/keeper/book_test.go
@@ -18,69 +18,69 @@
 }
 
 func told(sequence uint64, underWay, unread int) Report {
-	return Report{Key: 1, Sequence: sequence, Load: loads.Load{UnderWay: underWay, UnreadTokens: unread}}
+	return Report{Key: 1, Sequence: sequence, Load: loads.Load{InFlight: underWay, PendingTokens: unread}}
 }
 
 func TestKeeperAddsUpWhatTheOtherNodesReport(t *testing.T) {
 	is := is.New(t)
-	book := NewBook()
+	book := NewAggregates()
 	_, found := book.State(node(1), 1, nil, 0)
 	is.True(!found)
-	book.Take(node(1), told(1, 2, 640), 0)
-	book.Take(node(2), told(1, 3, 64), 0)
+	book.Record(node(1), told(1, 2, 640), 0)
+	book.Record(node(2), told(1, 3, 64), 0)
 	state, found := book.State(node(1), 1, nil, 0)
 	is.True(found)
-	is.Equal(state.Load, loads.Load{UnderWay: 3, UnreadTokens: 64}) // the asking node knows its own
+	is.Equal(state.Load, loads.Load{InFlight: 3, PendingTokens: 64}) // the asking node knows its own
 	state, _ = book.State(node(3), 1, nil, 0)
-	is.Equal(state.Load, loads.Load{UnderWay: 5, UnreadTokens: 704})
+	is.Equal(state.Load, loads.Load{InFlight: 5, PendingTokens: 704})
 }
 
 func TestReportsOfNodesThatAreGoneLapse(t *testing.T) {
 	is := is.New(t)
-	book := NewBook()
-	book.Take(node(1), told(1, 2, 0), 0)
-	book.Take(node(2), told(1, 3, 0), reportLife)
+	book := NewAggregates()
+	book.Record(node(1), told(1, 2, 0), 0)
+	book.Record(node(2), told(1, 3, 0), reportLife)
 	state, _ := book.State(node(3), 1, nil, reportLife)
-	is.Equal(state.Load.UnderWay, 5)
+	is.Equal(state.Load.InFlight, 5)
 	state, _ = book.State(node(3), 1, nil, reportLife+1)
-	is.Equal(state.Load.UnderWay, 3)
+	is.Equal(state.Load.InFlight, 3)
 }
 
 func TestOvertakenReportIsPassedOver(t *testing.T) {
 	is := is.New(t)
-	book := NewBook()
-	book.Take(node(1), told(7, 0, 0), 0)
-	book.Take(node(1), told(6, 1, 0), 0)
+	book := NewAggregates()
+	book.Record(node(1), told(7, 0, 0), 0)
+	book.Record(node(1), told(6, 1, 0), 0)
 	state, _ := book.State(node(2), 1, nil, 0)
-	is.Equal(state.Load.UnderWay, 0)
+	is.Equal(state.Load.InFlight, 0)
 	// A node whose clock went back over a restart counts again once its old report lapses.
-	book.Take(node(1), told(2, 4, 0), reportLife+1)
+	book.Record(node(1), told(2, 4, 0), reportLife+1)
 	state, _ = book.State(node(2), 1, nil, reportLife+1)
-	is.Equal(state.Load.UnderWay, 4)
+	is.Equal(state.Load.InFlight, 4)
 }
 
 func TestNewKeeperSaysThatItMayNotHaveHeardAll(t *testing.T) {
 	is := is.New(t)
-	book := NewBook()
-	book.Take(node(1), told(1, 1, 0), time.Second)
+	book := NewAggregates()
+	book.Record(node(1), told(1, 1, 0), time.Second)
 	state, _ := book.State(node(2), 1, nil, time.Second)
-	is.True(!state.Settled)
+	is.True(!state.Complete)
 	state, _ = book.State(node(2), 1, nil, time.Second+settleTime)
-	is.True(state.Settled)
+	is.True(state.Complete)
 }
 
 func TestSenselessKeysTakeBoundedMemory(t *testing.T) {
 	is := is.New(t)
-	book := NewBook()
+	book := NewAggregates()
 	for key := range 100_000 {
-		book.Take(node(1), Report{Key: Key(key)}, 0)
+		book.Record(node(1), Report{Key: ReplicaKey(key)}, 0)
 	}
-	is.True(book.Kept() <= bookShards*maxAccounts)
+	is.True(book.Len() <= bookShards*maxAccounts)
 	for number := range 2 * maxReporters {
-		book.Take(node(number), told(1, 1, 0), 0)
+		book.Record(node(number), told(1, 1, 0), 0)
 	}
 	state, _ := book.State(node(1<<15), 1, nil, 0)
-	is.True(state.Load.UnderWay <= maxReporters)
+	is.True(state.Load.InFlight <= maxReporters)
 }
 
 // TestSumIsTheTruthOnceMessagesStop loses, doubles and reorders reports at will: after
@@ -88,7 +88,7 @@
 func TestSumIsTheTruthOnceMessagesStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 5
-		book := NewBook()
+		book := NewAggregates()
 		now := time.Duration(0)
 		var newest [nodes]Report
 		var sent []Report
@@ -100,19 +100,19 @@
 			sent, senders = append(sent, newest[sender]), append(senders, sender)
 			for range rapid.IntRange(0, 3).Draw(t, "arrivals") {
 				arrival := rapid.IntRange(0, len(sent)-1).Draw(t, "arrival")
-				book.Take(node(senders[arrival]), sent[arrival], now)
+				book.Record(node(senders[arrival]), sent[arrival], now)
 			}
 		}
 		truth := 0
 		for sender, report := range newest {
 			if report.Sequence > 0 {
-				book.Take(node(sender), report, now)
-				truth += report.Load.UnderWay
+				book.Record(node(sender), report, now)
+				truth += report.Load.InFlight
 			}
 		}
 		state, _ := book.State(node(nodes), 1, nil, now)
-		if state.Load.UnderWay != truth {
-			t.Fatalf("%d is not %d", state.Load.UnderWay, truth)
+		if state.Load.InFlight != truth {
+			t.Fatalf("%d is not %d", state.Load.InFlight, truth)
 		}
 	})
 }
@@ -171,13 +171,13 @@
 	is.True(exact <= fair+3)
 }
 
-func ExampleMemory() {
-	memory := &Memory{}
+func ExampleCacheModel() {
+	memory := &CacheModel{}
 	memory.Resize(100)
-	memory.Hold([]Part{{ID: 1, Tokens: 60}, {ID: 2, Tokens: 30}})
-	memory.Hold([]Part{{ID: 1, Tokens: 60}, {ID: 3, Tokens: 30}})
-	fmt.Println(memory.Cached([]Part{{ID: 1, Tokens: 60}, {ID: 2, Tokens: 30}}))
-	fmt.Println(memory.Cached([]Part{{ID: 1, Tokens: 60}, {ID: 3, Tokens: 40}}))
+	memory.Insert([]Segment{{ID: 1, Tokens: 60}, {ID: 2, Tokens: 30}})
+	memory.Insert([]Segment{{ID: 1, Tokens: 60}, {ID: 3, Tokens: 30}})
+	fmt.Println(memory.Cached([]Segment{{ID: 1, Tokens: 60}, {ID: 2, Tokens: 30}}))
+	fmt.Println(memory.Cached([]Segment{{ID: 1, Tokens: 60}, {ID: 3, Tokens: 40}}))
 	// Output:
 	// 60
 	// 90
@@ -185,14 +185,14 @@
 
 func TestMemoryNeverHoldsMoreThanFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		memory := &Memory{}
+		memory := &CacheModel{}
 		capacity := rapid.IntRange(1, 500).Draw(t, "capacity")
 		memory.Resize(capacity)
 		for range rapid.IntRange(1, 40).Draw(t, "prompts") {
-			parts := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Part {
-				return Part{ID: rapid.Uint32Range(1, 12).Draw(t, "id"), Tokens: rapid.IntRange(-5, 200).Draw(t, "tokens")}
+			parts := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Segment {
+				return Segment{ID: rapid.Uint32Range(1, 12).Draw(t, "id"), Tokens: rapid.IntRange(-5, 200).Draw(t, "tokens")}
 			}), 0, 4).Draw(t, "parts")
-			memory.Hold(parts)
+			memory.Insert(parts)
 			total, listed := 0, 0
 			for _, part := range memory.held {
 				total += part.tokens
--- a/internal/keeper/exchange.go
+++ b/internal/keeper/exchange.go
@@ -18,9 +18,9 @@
 	// refreshPause is the time between two reports on a replica where nothing changes,
 	// so that lost datagrams and new keepers are made up for well within reportLife.
 	refreshPause = 300 * time.Millisecond
-	// Patience is how long the answers to a question are waited for: some ways between
+	// QueryTimeout is how long the answers to a question are waited for: some ways between
 	// zones of one region, and less than reading a prompt anew costs.
-	Patience = 8 * time.Millisecond
+	QueryTimeout = 8 * time.Millisecond
 	// silence is how long a keeper that has not answered in time is not waited for. It
 	// is asked all the same, and the next answer of it ends that.
 	silence = 500 * time.Millisecond
@@ -34,11 +34,11 @@
 	CapacityTokens int
 }
 
-// Exchange reports to keepers, asks them, and answers as a keeper, by datagrams that
+// Service reports to keepers, asks them, and answers as a keeper, by datagrams that
 // may be lost. It is safe for concurrent use.
-type Exchange struct {
+type Service struct {
 	config Config
-	book   *Book
+	book   *Aggregates
 	own    netip.AddrPort
 	// began is the wall clock's reading at the start, where sequences go on from.
 	began uint64
@@ -60,27 +60,27 @@
 	// Now is a monotonic reading.
 	Now      func() time.Duration
 	Observer Observer
-	// Judged is told when a replica that this node keeps is ejected or returns.
-	Judged func(changed Judgement)
+	// OnEjectionChange is told when a replica that this node keeps is ejected or returns.
+	OnEjectionChange func(changed EjectionChange)
 }
 
 // Observer counts what an Exchange does.
 type Observer interface {
-	// Question is told how long the answers to a question were waited for, how many
+	// QueryDone is told how long the answers to a question were waited for, how many
 	// keepers were waited for and how many of them answered in time.
-	Question(took time.Duration, asked, answered int)
+	QueryDone(took time.Duration, asked, answered int)
 	// Sent and Received are told the payload bytes of each datagram.
 	Sent(bytes int)
 	Received(bytes int)
-	// Unreadable is told of each datagram that is refused.
-	Unreadable()
+	// InvalidDatagram is told of each datagram that is refused.
+	InvalidDatagram()
 }
 
 // waiting is a question whose answers are awaited. The exchange's mutex guards it.
 type waiting struct {
 	// missing holds the keepers that are waited for.
 	missing map[netip.AddrPort]bool
-	states  map[Key]State
+	states  map[ReplicaKey]State
 	// asked is how many were missing at first.
 	asked int
 	// done is closed when none is missing.
@@ -105,22 +105,22 @@
 	idle    int
 }
 
-// NewExchange returns an exchange that does not run yet. Until Run it reports nothing
+// New returns an exchange that does not run yet. Until Run it reports nothing
 // again and answers nobody.
-func NewExchange(config Config) *Exchange {
+func New(config Config) *Service {
 	own, _ := netip.ParseAddrPort(config.Conn.LocalAddr().String())
-	return &Exchange{
-		config: config, book: NewBook(), own: own, began: uint64(time.Now().UnixNano()),
+	return &Service{
+		config: config, book: NewAggregates(), own: own, began: uint64(time.Now().UnixNano()),
 		waiting: map[uint32]*waiting{}, silentUntil: map[netip.AddrPort]time.Duration{}, told: map[string]*toldReport{},
 	}
 }
 
-// Book returns what this node keeps.
-func (e *Exchange) Book() *Book { return e.book }
+// Aggregates returns what this node keeps.
+func (e *Service) Aggregates() *Aggregates { return e.book }
 
 // Run answers other nodes and repeats reports until ctx ends; then it closes the
 // socket.
-func (e *Exchange) Run(ctx context.Context) {
+func (e *Service) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = e.config.Conn.Close() })
 	defer stop()
 	go e.receive()
@@ -138,7 +138,7 @@
 
 // Report tells a replica's keeper what this node has there now. parts is a prompt
 // that the replica holds from now on, or nil.
-func (e *Exchange) Report(replica Replica, load loads.Load, parts []Part) {
+func (e *Service) Report(replica Replica, load loads.Load, parts []Segment) {
 	e.mutex.Lock()
 	e.told[replica.Instance] = &toldReport{replica: replica, load: load}
 	e.mutex.Unlock()
@@ -147,7 +147,7 @@
 
 // repeat reports again what has not changed. A replica without load is reported
 // twice more, for datagrams that are lost.
-func (e *Exchange) repeat() {
+func (e *Service) repeat() {
 	const idleRepeats = 2
 	e.mutex.Lock()
 	now := e.config.Now()
@@ -169,39 +169,39 @@
 	}
 }
 
-func (e *Exchange) tell(replica Replica, load loads.Load, parts []Part) {
+func (e *Service) tell(replica Replica, load loads.Load, parts []Segment) {
 	now := e.config.Now()
 	report := Report{
-		Key: loads.KeyOf(replica.Instance), Sequence: e.began + uint64(now), Load: load,
-		CapacityTokens: replica.CapacityTokens, Parts: parts,
+		Key: loads.HashReplica(replica.Instance), Sequence: e.began + uint64(now), Load: load,
+		CapacityTokens: replica.CapacityTokens, Segments: parts,
 	}
 	keeper, self := e.keeper(replica)
 	if self {
-		e.book.Take(e.own, report, now)
+		e.book.Record(e.own, report, now)
 		return
 	}
 	e.send(encodeReport(report), keeper)
 }
 
-func (e *Exchange) keeper(replica Replica) (netip.AddrPort, bool) {
-	address, self := e.config.Placement.Keeper(replica.Instance, replica.Zone)
+func (e *Service) keeper(replica Replica) (netip.AddrPort, bool) {
+	address, self := e.config.Placement.AggregatorOf(replica.Instance, replica.Zone)
 	return netip.AddrPortFrom(address, e.own.Port()), self
 }
 
-func (e *Exchange) send(datagram []byte, to netip.AddrPort) {
+func (e *Service) send(datagram []byte, to netip.AddrPort) {
 	e.config.Observer.Sent(len(datagram))
 	// A datagram that can't be sent is a lost one.
 	_, _ = e.config.Conn.WriteToUDPAddrPort(datagram, to)
 }
 
-// Ask returns what the keepers of replicas know of them, by instance, for a request
+// Query returns what the keepers of replicas know of them, by instance, for a request
 // with the given prompt. Replicas whose keepers do not answer in time are missing.
-func (e *Exchange) Ask(ctx context.Context, replicas []Replica, parts []Part) map[string]State {
-	states := map[Key]State{}
-	byKeeper := map[netip.AddrPort][]Key{}
+func (e *Service) Query(ctx context.Context, replicas []Replica, parts []Segment) map[string]State {
+	states := map[ReplicaKey]State{}
+	byKeeper := map[netip.AddrPort][]ReplicaKey{}
 	now := e.config.Now()
 	for _, replica := range replicas {
-		key := loads.KeyOf(replica.Instance)
+		key := loads.HashReplica(replica.Instance)
 		keeper, self := e.keeper(replica)
 		if !self {
 			byKeeper[keeper] = append(byKeeper[keeper], key)
@@ -216,7 +216,7 @@
 	}
 	known := make(map[string]State, len(states))
 	for _, replica := range replicas {
-		if state, found := states[loads.KeyOf(replica.Instance)]; found {
+		if state, found := states[loads.HashReplica(replica.Instance)]; found {
 			known[replica.Instance] = state
 		}
 	}
@@ -224,43 +224,43 @@
 }
 
 // askOthers asks other nodes and adds what they answer in time to states.
-func (e *Exchange) askOthers(ctx context.Context, byKeeper map[netip.AddrPort][]Key, parts []Part, states map[Key]State) {
+func (e *Service) askOthers(ctx context.Context, byKeeper map[netip.AddrPort][]ReplicaKey, parts []Segment, states map[ReplicaKey]State) {
 	began := e.config.Now()
 	number, asked := e.open(lo.Keys(byKeeper), began)
 	for keeper, keys := range byKeeper {
 		e.send(encodeQuestion(question{number: number, keys: keys, parts: parts}), keeper)
 	}
-	asked.await(ctx, Patience)
+	asked.await(ctx, QueryTimeout)
 	missing := e.close(number, asked, ctx.Err() == nil, states)
-	e.config.Observer.Question(e.config.Now()-began, asked.asked, asked.asked-missing)
+	e.config.Observer.QueryDone(e.config.Now()-began, asked.asked, asked.asked-missing)
 }
 
 // measurePatience bounds a measurement of a way.
 const measurePatience = time.Second
 
-// Measure returns how long a node takes to answer a question about nothing; false if it
+// RoundTrip returns how long a node takes to answer a question about nothing; false if it
 // does not answer.
-func (e *Exchange) Measure(ctx context.Context, node netip.Addr) (time.Duration, bool) {
+func (e *Service) RoundTrip(ctx context.Context, node netip.Addr) (time.Duration, bool) {
 	to := netip.AddrPortFrom(node, e.own.Port())
 	began := e.config.Now()
 	number, asked := e.open([]netip.AddrPort{to}, began)
 	if asked.asked == 0 {
-		e.close(number, asked, false, map[Key]State{})
+		e.close(number, asked, false, map[ReplicaKey]State{})
 		return 0, false // it was silent lately
 	}
 	e.send(encodeQuestion(question{number: number}), to)
 	asked.await(ctx, measurePatience)
 	took := e.config.Now() - began
-	return took, e.close(number, asked, false, map[Key]State{}) == 0
+	return took, e.close(number, asked, false, map[ReplicaKey]State{}) == 0
 }
 
 // open registers a question. Keepers that were silent lately are not waited for.
-func (e *Exchange) open(keepers []netip.AddrPort, now time.Duration) (uint32, *waiting) {
+func (e *Service) open(keepers []netip.AddrPort, now time.Duration) (uint32, *waiting) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.number++
 	number := e.number | readsJudged
-	asked := &waiting{missing: map[netip.AddrPort]bool{}, states: map[Key]State{}, done: make(chan struct{})}
+	asked := &waiting{missing: map[netip.AddrPort]bool{}, states: map[ReplicaKey]State{}, done: make(chan struct{})}
 	for _, keeper := range keepers {
 		if now >= e.silentUntil[keeper] {
 			asked.missing[keeper] = true
@@ -276,7 +276,7 @@
 
 // close ends a question, adds its answers to states and returns how many keepers
 // have not answered; blame tells that they had the time to.
-func (e *Exchange) close(number uint32, asked *waiting, blame bool, states map[Key]State) int {
+func (e *Service) close(number uint32, asked *waiting, blame bool, states map[ReplicaKey]State) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	delete(e.waiting, number)
@@ -292,7 +292,7 @@
 }
 
 // takeAnswer hands an answer to the question that it belongs to.
-func (e *Exchange) takeAnswer(from netip.AddrPort, told answer) {
+func (e *Service) takeAnswer(from netip.AddrPort, told answer) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	delete(e.silentUntil, from)
@@ -312,7 +312,7 @@
 	}
 }
 
-func (e *Exchange) receive() {
+func (e *Service) receive() {
 	buffer := make([]byte, datagramBytes)
 	for {
 		size, from, err := e.config.Conn.ReadFromUDPAddrPort(buffer)
@@ -325,17 +325,17 @@
 		e.config.Observer.Received(size)
 		read, err := decode(buffer[:size])
 		if err != nil {
-			e.config.Observer.Unreadable() // anybody may send any number of them: no line each
+			e.config.Observer.InvalidDatagram() // anybody may send any number of them: no line each
 			continue
 		}
 		e.handle(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), read)
 	}
 }
 
-func (e *Exchange) handle(from netip.AddrPort, read datagram) {
+func (e *Service) handle(from netip.AddrPort, read datagram) {
 	switch read.kind {
 	case kindReport:
-		e.book.Take(from, read.report, e.config.Now())
+		e.book.Record(from, read.report, e.config.Now())
 	case kindQuestion:
 		e.reply(from, read.question)
 	case kindAnswer, kindJudged:
@@ -346,7 +346,7 @@
 }
 
 // reply answers a question with what is known of the replicas that it names.
-func (e *Exchange) reply(to netip.AddrPort, asked question) {
+func (e *Service) reply(to netip.AddrPort, asked question) {
 	now := e.config.Now()
 	states := make([]State, 0, len(asked.keys))
 	for _, key := range asked.keys {
--- a/internal/keeper/exchange_test.go
+++ b/internal/keeper/exchange_test.go
@@ -21,17 +21,17 @@
 type site struct {
 	t         *testing.T
 	nodes     []identity.Node
-	exchanges []*Exchange
+	exchanges []*Service
 	stops     []context.CancelFunc
 }
 
 // observed counts unreadable datagrams.
 type observed struct{ unreadable atomic.Int32 }
 
-func (*observed) Question(time.Duration, int, int) {}
-func (*observed) Sent(int)                         {}
-func (*observed) Received(int)                     {}
-func (o *observed) Unreadable()                    { o.unreadable.Add(1) }
+func (*observed) QueryDone(time.Duration, int, int) {}
+func (*observed) Sent(int)                          {}
+func (*observed) Received(int)                      {}
+func (o *observed) InvalidDatagram()                { o.unreadable.Add(1) }
 
 func newSite(t *testing.T) *site {
 	made := &site{t: t}
@@ -49,7 +49,7 @@
 		node := identity.Node{Name: identity.NodeName(fmt.Sprintf("n%d", number)), Zone: "z", PeerAddress: address}
 		made.nodes = append(made.nodes, node)
 		began := time.Now()
-		made.exchanges = append(made.exchanges, NewExchange(Config{
+		made.exchanges = append(made.exchanges, New(Config{
 			Conn: conn, Placement: NewPlacement(node.Name), Now: func() time.Duration { return time.Since(began) },
 			Observer: &observed{},
 		}))
@@ -86,7 +86,7 @@
 func (s *site) replicaKeptBy(number int) Replica {
 	for i := range 1000 {
 		replica := Replica{Instance: fmt.Sprintf("replica-%d", i), Zone: "z", CapacityTokens: 1000}
-		if address, _ := s.exchanges[0].config.Placement.Keeper(replica.Instance, replica.Zone); address == s.nodes[number].PeerAddress.Addr() {
+		if address, _ := s.exchanges[0].config.Placement.AggregatorOf(replica.Instance, replica.Zone); address == s.nodes[number].PeerAddress.Addr() {
 			return replica
 		}
 	}
@@ -95,10 +95,10 @@
 }
 
 // ask lets a node ask until a state is as wanted, for a few seconds at most.
-func (s *site) ask(number int, replica Replica, parts []Part, wanted func(State) bool) State {
+func (s *site) ask(number int, replica Replica, parts []Segment, wanted func(State) bool) State {
 	var state State
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		state = s.exchanges[number].Ask(s.t.Context(), []Replica{replica}, parts)[replica.Instance]
+		state = s.exchanges[number].Query(s.t.Context(), []Replica{replica}, parts)[replica.Instance]
 		if wanted(state) {
 			return state
 		}
@@ -112,25 +112,25 @@
 	site := newSite(t)
 	for keeper := range site.nodes {
 		replica := site.replicaKeptBy(keeper)
-		prompt := []Part{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
-		site.exchanges[0].Report(replica, loads.Load{UnderWay: 2, UnreadTokens: 128}, prompt)
-		state := site.ask(1, replica, prompt, func(state State) bool { return state.Load.UnderWay == 2 && state.Settled })
-		is.Equal(state.Load.UnreadTokens, 128)
+		prompt := []Segment{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}}
+		site.exchanges[0].Report(replica, loads.Load{InFlight: 2, PendingTokens: 128}, prompt)
+		state := site.ask(1, replica, prompt, func(state State) bool { return state.Load.InFlight == 2 && state.Complete })
+		is.Equal(state.Load.PendingTokens, 128)
 		is.Equal(state.CachedTokens, 150)
 		site.exchanges[0].Report(replica, loads.Load{}, nil)
-		site.ask(1, replica, prompt, func(state State) bool { return state.Load.UnderWay == 0 && state.CachedTokens == 150 })
+		site.ask(1, replica, prompt, func(state State) bool { return state.Load.InFlight == 0 && state.CachedTokens == 150 })
 	}
 }
 
 func TestNextNodeKeepsAReplicaWhoseKeeperIsGone(t *testing.T) {
 	site := newSite(t)
 	replica := site.replicaKeptBy(2)
-	site.exchanges[0].Report(replica, loads.Load{UnderWay: 3}, nil)
-	site.ask(1, replica, nil, func(state State) bool { return state.Load.UnderWay == 3 })
+	site.exchanges[0].Report(replica, loads.Load{InFlight: 3}, nil)
+	site.ask(1, replica, nil, func(state State) bool { return state.Load.InFlight == 3 })
 	site.stop(2)
 	site.view(site.nodes[0], site.nodes[1])
 	// Nothing changes at the reporting node: its repeated report reaches the new keeper.
-	site.ask(1, replica, nil, func(state State) bool { return state.Load.UnderWay == 3 })
+	site.ask(1, replica, nil, func(state State) bool { return state.Load.InFlight == 3 })
 }
 
 func TestSilentKeeperIsWaitedForOnceOnly(t *testing.T) {
@@ -139,22 +139,22 @@
 	site.stop(2)
 	replica := site.replicaKeptBy(2)
 	began := time.Now()
-	is.Equal(len(site.exchanges[0].Ask(t.Context(), []Replica{replica}, nil)), 0)
-	is.True(time.Since(began) >= Patience)
+	is.Equal(len(site.exchanges[0].Query(t.Context(), []Replica{replica}, nil)), 0)
+	is.True(time.Since(began) >= QueryTimeout)
 	const asked = 50
 	began = time.Now()
 	for range asked {
-		site.exchanges[0].Ask(t.Context(), []Replica{replica}, nil)
+		site.exchanges[0].Query(t.Context(), []Replica{replica}, nil)
 	}
-	is.True(time.Since(began) < asked*Patience/2)
+	is.True(time.Since(began) < asked*QueryTimeout/2)
 }
 
 func TestUnreadableDatagramsAreCountedAndChangeNothing(t *testing.T) {
 	is := is.New(t)
 	site := newSite(t)
 	replica := site.replicaKeptBy(1)
-	site.exchanges[0].Report(replica, loads.Load{UnderWay: 1}, nil)
-	site.ask(2, replica, nil, func(state State) bool { return state.Load.UnderWay == 1 })
+	site.exchanges[0].Report(replica, loads.Load{InFlight: 1}, nil)
+	site.ask(2, replica, nil, func(state State) bool { return state.Load.InFlight == 1 })
 	foreign, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(site.nodes[1].PeerAddress))
 	is.NoErr(err)
 	defer func() { _ = foreign.Close() }()
@@ -164,17 +164,17 @@
 		is.NoErr(err)
 		time.Sleep(time.Millisecond)
 	}
-	site.ask(2, replica, nil, func(state State) bool { return state.Load.UnderWay == 1 })
+	site.ask(2, replica, nil, func(state State) bool { return state.Load.InFlight == 1 })
 }
 
 func TestOneSilentKeeperDoesNotHideTheOthersAnswers(t *testing.T) {
 	is := is.New(t)
 	site := newSite(t)
 	lost, kept := site.replicaKeptBy(2), site.replicaKeptBy(1)
-	site.exchanges[0].Report(kept, loads.Load{UnderWay: 1}, nil)
-	site.ask(2, kept, nil, func(state State) bool { return state.Load.UnderWay == 1 })
+	site.exchanges[0].Report(kept, loads.Load{InFlight: 1}, nil)
+	site.ask(2, kept, nil, func(state State) bool { return state.Load.InFlight == 1 })
 	site.stop(2)
-	states := site.exchanges[0].Ask(t.Context(), []Replica{lost, kept}, nil)
+	states := site.exchanges[0].Query(t.Context(), []Replica{lost, kept}, nil)
 	_, found := states[kept.Instance]
 	is.True(found)
 	_, found = states[lost.Instance]
@@ -184,7 +184,7 @@
 func TestKeeperIsOfTheReplicasZoneAndMovesOnlyItsShare(t *testing.T) {
 	is := is.New(t)
 	placement := NewPlacement("n0")
-	_, self := placement.Keeper("r", "z")
+	_, self := placement.AggregatorOf("r", "z")
 	is.True(self) // nobody else is known
 	const nodes, replicas = 30, 300
 	var members []membership.Member
@@ -202,7 +202,7 @@
 		kept := map[string]netip.Addr{}
 		for i := range replicas {
 			instance := fmt.Sprintf("r%d", i)
-			kept[instance], _ = placement.Keeper(instance, "odd")
+			kept[instance], _ = placement.AggregatorOf(instance, "odd")
 		}
 		return kept
 	}
@@ -216,6 +216,6 @@
 	for instance, keeper := range keepers() {
 		is.True(keeper == before[instance] || before[instance] == gone)
 	}
-	nowhere, _ := placement.Keeper("r", "elsewhere")
+	nowhere, _ := placement.AggregatorOf("r", "elsewhere")
 	is.True(nowhere.IsValid())
 }
--- a/internal/keeper/memory.go
+++ b/internal/keeper/memory.go
@@ -6,12 +6,12 @@
 // maxPartTokens bounds the length of one part.
 const maxPartTokens = 1 << 24
 
-// Memory models the prompt memory of one replica: parts of prompts of which the ones
+// CacheModel models the prompt memory of one replica: parts of prompts of which the ones
 // unused longest give way. It is not safe for concurrent use.
 //
 // Invariant: total is the sum of the tokens of all held parts, and at most the
 // capacity, where one is known, unless one part alone is larger.
-type Memory struct {
+type CacheModel struct {
 	capacity, total int
 	held            map[uint32]*heldPart
 	// newest and oldest end a list by last use.
@@ -26,14 +26,14 @@
 }
 
 // Resize sets how many tokens fit.
-func (m *Memory) Resize(capacity int) {
+func (m *CacheModel) Resize(capacity int) {
 	m.capacity = capacity
 	m.evict()
 }
 
-// Hold notes that the replica holds a prompt's parts, which counts as a use of each. A
+// Insert notes that the replica holds a prompt's parts, which counts as a use of each. A
 // part that was held shorter has grown.
-func (m *Memory) Hold(parts []Part) {
+func (m *CacheModel) Insert(parts []Segment) {
 	if m.held == nil {
 		m.held = map[uint32]*heldPart{}
 	}
@@ -44,7 +44,7 @@
 	m.evict()
 }
 
-func (m *Memory) use(part Part) {
+func (m *CacheModel) use(part Segment) {
 	tokens := min(max(part.Tokens, 0), maxPartTokens)
 	known, found := m.held[part.ID]
 	if found {
@@ -59,7 +59,7 @@
 }
 
 // evict drops the parts unused longest until the rest fits.
-func (m *Memory) evict() {
+func (m *CacheModel) evict() {
 	for m.oldest != m.newest && (m.capacity > 0 && m.total > m.capacity || len(m.held) > maxHeldParts) {
 		gone := m.oldest
 		m.unlink(gone)
@@ -70,7 +70,7 @@
 
 // Cached returns how many tokens of a prompt are held, from the first part on without
 // a gap.
-func (m *Memory) Cached(parts []Part) int {
+func (m *CacheModel) Cached(parts []Segment) int {
 	total := 0
 	for _, part := range parts {
 		known, found := m.held[part.ID]
@@ -85,7 +85,7 @@
 	return total
 }
 
-func (m *Memory) pushNewest(part *heldPart) {
+func (m *CacheModel) pushNewest(part *heldPart) {
 	part.older = m.newest
 	if m.newest != nil {
 		m.newest.newer = part
@@ -96,7 +96,7 @@
 	}
 }
 
-func (m *Memory) unlink(part *heldPart) {
+func (m *CacheModel) unlink(part *heldPart) {
 	if part.newer != nil {
 		part.newer.older = part.older
 	} else {
--- a/internal/keeper/message.go
+++ b/internal/keeper/message.go
@@ -35,7 +35,7 @@
 
 	headBytes     = 2 + 1
 	partBytes     = 4 + 4
-	stateBytes    = 4 + loads.Bytes + 4 + 1
+	stateBytes    = 4 + loads.EncodedSize + 4 + 1
 	settledFlag   = 1
 	maxWireTokens = 1<<32 - 1
 )
@@ -46,8 +46,8 @@
 // question asks for the states of replicas, for a request with the given prompt.
 type question struct {
 	number uint32
-	keys   []Key
-	parts  []Part
+	keys   []ReplicaKey
+	parts  []Segment
 }
 
 // answer answers the question of the same number.
@@ -75,7 +75,7 @@
 	return binary.BigEndian.AppendUint32(encoded, uint32(min(max(tokens, 0), maxWireTokens)))
 }
 
-func appendParts(encoded []byte, parts []Part) []byte {
+func appendParts(encoded []byte, parts []Segment) []byte {
 	parts = parts[:min(len(parts), maxParts)]
 	encoded = append(encoded, byte(len(parts)))
 	for _, part := range parts {
@@ -92,7 +92,7 @@
 	encoded = binary.BigEndian.AppendUint64(encoded, report.Sequence)
 	encoded = report.Load.Append(encoded)
 	encoded = appendTokens(encoded, report.CapacityTokens)
-	return appendParts(encoded, report.Parts)
+	return appendParts(encoded, report.Segments)
 }
 
 // encodeQuestion returns the datagram of a question.
@@ -122,7 +122,7 @@
 		encoded = state.Load.Append(encoded)
 		encoded = appendTokens(encoded, state.CachedTokens)
 		flags := byte(0)
-		if state.Settled {
+		if state.Complete {
 			flags = settledFlag
 		}
 		if told.judged {
@@ -154,25 +154,25 @@
 func (r *reader) uint32() uint32   { return binary.BigEndian.Uint32(r.take(4)) }
 func (r *reader) uint64() uint64   { return binary.BigEndian.Uint64(r.take(8)) }
 func (r *reader) tokens() int      { return int(r.uint32()) }
-func (r *reader) load() loads.Load { return loads.DecodeLoad(r.take(loads.Bytes)) }
+func (r *reader) load() loads.Load { return loads.DecodeLoad(r.take(loads.EncodedSize)) }
 
-func (r *reader) parts() []Part {
+func (r *reader) parts() []Segment {
 	count := r.byte()
 	if count > maxParts || len(r.rest) != count*partBytes {
 		r.short = true
 		return nil
 	}
-	parts := make([]Part, 0, count)
+	parts := make([]Segment, 0, count)
 	for range count {
-		parts = append(parts, Part{ID: r.uint32(), Tokens: r.tokens()})
+		parts = append(parts, Segment{ID: r.uint32(), Tokens: r.tokens()})
 	}
 	return parts
 }
 
 func (r *reader) report() Report {
 	return Report{
-		Key: Key(r.uint32()), Sequence: r.uint64(), Load: r.load(),
-		CapacityTokens: r.tokens(), Parts: r.parts(),
+		Key: ReplicaKey(r.uint32()), Sequence: r.uint64(), Load: r.load(),
+		CapacityTokens: r.tokens(), Segments: r.parts(),
 	}
 }
 
@@ -184,14 +184,14 @@
 		return question{}
 	}
 	for range count {
-		asked.keys = append(asked.keys, Key(r.uint32()))
+		asked.keys = append(asked.keys, ReplicaKey(r.uint32()))
 	}
 	asked.parts = r.parts()
 	return asked
 }
 
 func (r *reader) answer() answer {
-	return r.answerOf(func(state *State, flags int) { state.Settled = flags&settledFlag != 0 })
+	return r.answerOf(func(state *State, flags int) { state.Complete = flags&settledFlag != 0 })
 }
 
 func (r *reader) answerOf(read func(state *State, flags int)) answer {
@@ -202,7 +202,7 @@
 		return answer{}
 	}
 	for range count {
-		state := State{Key: Key(r.uint32()), Load: r.load(), CachedTokens: r.tokens()}
+		state := State{Key: ReplicaKey(r.uint32()), Load: r.load(), CachedTokens: r.tokens()}
 		read(&state, r.byte())
 		told.states = append(told.states, state)
 	}
--- a/internal/keeper/message_test.go
+++ b/internal/keeper/message_test.go
@@ -12,16 +12,16 @@
 // unreadUnit is the unit in which loads tell tokens.
 const unreadUnit = 64
 
-func drawParts(t *rapid.T) []Part {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Part {
-		return Part{ID: rapid.Uint32().Draw(t, "id"), Tokens: rapid.IntRange(0, maxPartTokens).Draw(t, "tokens")}
+func drawParts(t *rapid.T) []Segment {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Segment {
+		return Segment{ID: rapid.Uint32().Draw(t, "id"), Tokens: rapid.IntRange(0, maxPartTokens).Draw(t, "tokens")}
 	}), 0, maxParts).Draw(t, "parts")
 }
 
 func drawLoad(t *rapid.T) loads.Load {
 	return loads.Load{
-		UnderWay: rapid.IntRange(0, 1000).Draw(t, "under way"), Failing: rapid.Bool().Draw(t, "failing"),
-		UnreadTokens: unreadUnit * rapid.IntRange(0, 1000).Draw(t, "unread"),
+		InFlight: rapid.IntRange(0, 1000).Draw(t, "under way"), Failing: rapid.Bool().Draw(t, "failing"),
+		PendingTokens: unreadUnit * rapid.IntRange(0, 1000).Draw(t, "unread"),
 	}
 }
 
@@ -39,17 +39,17 @@
 func TestMessagesSurviveADatagram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := Report{
-			Key: Key(rapid.Uint32().Draw(t, "key")), Sequence: rapid.Uint64().Draw(t, "sequence"), Load: drawLoad(t),
-			CapacityTokens: rapid.IntRange(0, 1<<30).Draw(t, "capacity"), Parts: drawParts(t),
+			Key: ReplicaKey(rapid.Uint32().Draw(t, "key")), Sequence: rapid.Uint64().Draw(t, "sequence"), Load: drawLoad(t),
+			CapacityTokens: rapid.IntRange(0, 1<<30).Draw(t, "capacity"), Segments: drawParts(t),
 		}
 		if read := decoded(t, encodeReport(report)); !reflect.DeepEqual(read.report, report) {
 			t.Fatalf("%+v is not %+v", read.report, report)
 		}
-		asked := question{number: rapid.Uint32().Draw(t, "number"), keys: []Key{1, 2}, parts: drawParts(t)}
+		asked := question{number: rapid.Uint32().Draw(t, "number"), keys: []ReplicaKey{1, 2}, parts: drawParts(t)}
 		if read := decoded(t, encodeQuestion(asked)); !reflect.DeepEqual(read.question, asked) {
 			t.Fatalf("%+v is not %+v", read.question, asked)
 		}
-		told := answer{number: asked.number, states: []State{{Key: 2, Load: drawLoad(t), CachedTokens: 9, Settled: true}}}
+		told := answer{number: asked.number, states: []State{{Key: 2, Load: drawLoad(t), CachedTokens: 9, Complete: true}}}
 		if read := decoded(t, encodeAnswer(told)); !reflect.DeepEqual(read.answer, told) {
 			t.Fatalf("%+v is not %+v", read.answer, told)
 		}
@@ -57,9 +57,9 @@
 }
 
 func TestLongListsAreCutToADatagram(t *testing.T) {
-	parts, keys, states := make([]Part, 1000), make([]Key, 1000), make([]State, 1000)
+	parts, keys, states := make([]Segment, 1000), make([]ReplicaKey, 1000), make([]State, 1000)
 	for _, encoded := range [][]byte{
-		encodeReport(Report{Parts: parts}), encodeQuestion(question{keys: keys, parts: parts}), encodeAnswer(answer{states: states}),
+		encodeReport(Report{Segments: parts}), encodeQuestion(question{keys: keys, parts: parts}), encodeAnswer(answer{states: states}),
 	} {
 		if _, err := decode(encoded); err != nil || len(encoded) > datagramBytes {
 			t.Fatalf("%d bytes: %v", len(encoded), err)
@@ -69,7 +69,7 @@
 
 func TestUnreadableDatagramsAreRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		valid := encodeQuestion(question{number: 1, keys: []Key{1}, parts: []Part{{ID: 1, Tokens: 1}}})
+		valid := encodeQuestion(question{number: 1, keys: []ReplicaKey{1}, parts: []Segment{{ID: 1, Tokens: 1}}})
 		cut := rapid.IntRange(0, len(valid)-1).Draw(t, "cut")
 		if _, err := decode(valid[:cut]); err == nil {
 			t.Fatalf("%d of %d bytes were read", cut, len(valid))
--- a/internal/keeper/outcome_message.go
+++ b/internal/keeper/outcome_message.go
@@ -35,7 +35,7 @@
 }
 
 func (r *reader) outcome() outcome {
-	told := outcome{key: Key(r.uint32()), became: outlier.Outcome(r.byte())}
+	told := outcome{key: ReplicaKey(r.uint32()), became: outlier.Outcome(r.byte())}
 	told.usual = float64(binary.BigEndian.Uint16(r.take(2))) / shareUnit
 	told.instance = string(r.take(r.byte()))
 	return told
@@ -59,7 +59,7 @@
 
 func (r *reader) judgedAnswer() answer {
 	told := r.answerOf(func(state *State, flags int) {
-		state.Settled, state.Ejected = flags&settledFlag != 0, flags&ejectedFlag != 0
+		state.Complete, state.Ejected = flags&settledFlag != 0, flags&ejectedFlag != 0
 		switch {
 		case flags&anyProbeFlag != 0:
 			state.Probe = outlier.AnyProbe
--- a/internal/keeper/outcomes.go
+++ b/internal/keeper/outcomes.go
@@ -12,7 +12,7 @@
 // outcome is what became of one node's request at a replica. Datagrams that are lost only
 // make the keeper judge by fewer outcomes.
 type outcome struct {
-	key Key
+	key ReplicaKey
 	// became is what it became, usual the share of failures at the service's other replicas
 	// as the node has learned it.
 	became outlier.Outcome
@@ -21,16 +21,16 @@
 	instance string
 }
 
-// Judgement is that a replica was ejected or has returned, and by what.
-type Judgement struct {
+// EjectionChange is that a replica was ejected or has returned, and by what.
+type EjectionChange struct {
 	// Instance is the life of the replica, empty where no failure has named it.
 	Instance string
-	Key      Key
-	outlier.Judgement
+	Key      ReplicaKey
+	outlier.Transition
 }
 
 // judge counts an outcome and tells what it has changed.
-func (b *Book) judge(told outcome, now time.Duration) Judgement {
+func (b *Aggregates) judge(told outcome, now time.Duration) EjectionChange {
 	shard := b.shard(told.key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
@@ -38,21 +38,21 @@
 	if told.instance != "" {
 		known.instance = told.instance
 	}
-	return Judgement{Instance: known.instance, Key: told.key, Judgement: known.outcomes.Judge(told.became, told.usual, now)}
+	return EjectionChange{Instance: known.instance, Key: told.key, Transition: known.outcomes.Observe(told.became, told.usual, now)}
 }
 
 // grant gives the asking node the right to probe an ejected replica, if it may be probed.
 // elsewhere is what the other nodes have there.
 func (a *account) grant(asking netip.AddrPort, elsewhere int, now time.Duration) outlier.Probe {
-	right := a.outcomes.Probe(elsewhere+a.reporters[asking].load.UnderWay, now)
+	right := a.outcomes.Probe(elsewhere+a.reporters[asking].load.InFlight, now)
 	if right != outlier.NoProbe {
-		a.outcomes.Grant(now)
+		a.outcomes.StartProbe(now)
 	}
 	return right
 }
 
 // Ejected counts the ejected replicas by the kind of the failure that ejected them.
-func (b *Book) Ejected(now time.Duration) map[outlier.Outcome]int {
+func (b *Aggregates) Ejected(now time.Duration) map[outlier.Outcome]int {
 	counts := map[outlier.Outcome]int{}
 	for i := range b.shards {
 		shard := &b.shards[i]
@@ -67,10 +67,10 @@
 	return counts
 }
 
-// Outcome tells a replica's keeper what became of a request there. usual is the share of
+// ReportOutcome tells a replica's keeper what became of a request there. usual is the share of
 // failures at the service's other replicas.
-func (e *Exchange) Outcome(replica Replica, became outlier.Outcome, usual float64) {
-	told := outcome{key: loads.KeyOf(replica.Instance), became: became, usual: usual}
+func (e *Service) ReportOutcome(replica Replica, became outlier.Outcome, usual float64) {
+	told := outcome{key: loads.HashReplica(replica.Instance), became: became, usual: usual}
 	if became.Failed() {
 		told.instance = replica.Instance
 	}
@@ -82,10 +82,10 @@
 	e.judge(told)
 }
 
-func (e *Exchange) judge(told outcome) {
+func (e *Service) judge(told outcome) {
 	changed := e.book.judge(told, e.config.Now())
-	if changed.Change != outlier.Unchanged && e.config.Judged != nil {
-		e.config.Judged(changed)
+	if changed.Change != outlier.Unchanged && e.config.OnEjectionChange != nil {
+		e.config.OnEjectionChange(changed)
 	}
 }
 
--- a/internal/keeper/outcomes_test.go
+++ b/internal/keeper/outcomes_test.go
@@ -14,11 +14,11 @@
 
 // TestRecordedBytesOfOutcomes: what builds tell each other of outcomes stays as it is.
 func TestRecordedBytesOfOutcomes(t *testing.T) {
-	became := outcome{key: 5, became: outlier.Errors, usual: 1, instance: "i-1"}
+	became := outcome{key: 5, became: outlier.ErrorResponse, usual: 1, instance: "i-1"}
 	told := answer{number: 4, judged: true, states: []State{
-		{Key: 5, Load: loads.Load{UnderWay: 2}, CachedTokens: 12600, Settled: true, Ejected: true, Probe: outlier.SafeProbe},
+		{Key: 5, Load: loads.Load{InFlight: 2}, CachedTokens: 12600, Complete: true, Ejected: true, Probe: outlier.SafeProbe},
 		{Key: 6, Ejected: true, Probe: outlier.AnyProbe},
-		{Key: 7, Settled: true},
+		{Key: 7, Complete: true},
 	}}
 	for name, c := range map[string]struct {
 		encoded []byte
@@ -58,11 +58,11 @@
 	is := is.New(t)
 	s := newSite(t)
 	replica := s.replicaKeptBy(1)
-	judged := make(chan Judgement, 10)
-	s.exchanges[1].config.Judged = func(changed Judgement) { judged <- changed }
+	judged := make(chan EjectionChange, 10)
+	s.exchanges[1].config.OnEjectionChange = func(changed EjectionChange) { judged <- changed }
 	for number, exchange := range s.exchanges {
 		exchange.Report(replica, loads.Load{}, nil)
-		exchange.Outcome(replica, outlier.Silent, 0.25*float64(number)/100)
+		exchange.ReportOutcome(replica, outlier.NoResponse, 0.25*float64(number)/100)
 	}
 	const soon = 300 * time.Millisecond
 	select {
@@ -76,10 +76,10 @@
 	for number := range s.exchanges {
 		s.ask(number, replica, nil, func(state State) bool { return state.Ejected })
 	}
-	returned := Judgement{}
-	for returned.Change != outlier.NowReturned {
-		s.exchanges[2].Ask(t.Context(), []Replica{replica}, nil) // for the right to probe
-		s.exchanges[2].Outcome(replica, outlier.Served, 0)
+	returned := EjectionChange{}
+	for returned.Change != outlier.NowReinstated {
+		s.exchanges[2].Query(t.Context(), []Replica{replica}, nil) // for the right to probe
+		s.exchanges[2].ReportOutcome(replica, outlier.Success, 0)
 		select {
 		case returned = <-judged:
 		case <-time.After(10 * time.Millisecond):
@@ -87,18 +87,18 @@
 	}
 	is.Equal(returned.Instance, replica.Instance)
 	for range 3 {
-		s.exchanges[0].Outcome(replica, outlier.Silent, 0)
+		s.exchanges[0].ReportOutcome(replica, outlier.NoResponse, 0)
 	}
 	is.Equal((<-judged).Change, outlier.NowEjected)
-	is.Equal(s.exchanges[1].Book().Ejected(s.exchanges[1].config.Now())[outlier.Silent], 1)
+	is.Equal(s.exchanges[1].Aggregates().Ejected(s.exchanges[1].config.Now())[outlier.NoResponse], 1)
 }
 
 // TestOneNodeAtATimeMayProbe, however many ask.
 func TestOneNodeAtATimeMayProbe(t *testing.T) {
 	is := is.New(t)
-	book := NewBook()
+	book := NewAggregates()
 	for range 3 {
-		book.judge(outcome{key: 1, became: outlier.Errors}, 0)
+		book.judge(outcome{key: 1, became: outlier.ErrorResponse}, 0)
 	}
 	const later = time.Second
 	rights := 0
@@ -110,8 +110,8 @@
 		}
 	}
 	is.Equal(rights, 1)
-	book.judge(outcome{key: 1, became: outlier.Served}, later)
-	book.Take(node(1), told(1, 2, 0), later) // as many requests are there as may be
+	book.judge(outcome{key: 1, became: outlier.Success}, later)
+	book.Record(node(1), told(1, 2, 0), later) // as many requests are there as may be
 	for number := range 50 {
 		state, _ := book.State(node(number), 1, nil, later+100*time.Millisecond)
 		is.Equal(state.Probe, outlier.NoProbe)
@@ -121,7 +121,7 @@
 // crowd is a model of nodes that ask the keepers of a few replicas before they choose one, by
 // datagrams that are lost in part.
 type crowd struct {
-	book   *Book
+	book   *Aggregates
 	random *rand.Rand
 	loss   float64
 	// bad replicas fail a part of their requests, the others hardly any.
@@ -129,34 +129,34 @@
 	failing float64
 
 	failures     int
-	soundEjected map[Key]bool
+	soundEjected map[ReplicaKey]bool
 }
 
 const crowdNodes, crowdReplicas, crowdAsked, crowdUsual = 89, 35, 6, 0.01
 
 // choose returns where a node sends its request.
-func (c *crowd) choose(now time.Duration) Key {
-	asking, chosen, found := node(c.random.IntN(crowdNodes)), Key(0), false
+func (c *crowd) choose(now time.Duration) ReplicaKey {
+	asking, chosen, found := node(c.random.IntN(crowdNodes)), ReplicaKey(0), false
 	for _, number := range c.random.Perm(crowdReplicas)[:crowdAsked] {
-		state, _ := c.book.State(asking, Key(number), nil, now)
+		state, _ := c.book.State(asking, ReplicaKey(number), nil, now)
 		if c.random.Float64() < c.loss {
 			state = State{}
 		}
 		if !found && !state.Ejected || state.Probe != outlier.NoProbe {
-			chosen, found = Key(number), true
+			chosen, found = ReplicaKey(number), true
 		}
 	}
 	return chosen
 }
 
 // serve plays a request at a replica and tells its keeper.
-func (c *crowd) serve(chosen Key, now time.Duration) {
-	became, share, isBad := outlier.Served, crowdUsual, int(chosen) < c.bad
+func (c *crowd) serve(chosen ReplicaKey, now time.Duration) {
+	became, share, isBad := outlier.Success, crowdUsual, int(chosen) < c.bad
 	if isBad {
 		share = c.failing
 	}
 	if c.random.Float64() < share {
-		became = outlier.Errors
+		became = outlier.ErrorResponse
 	}
 	if isBad && became.Failed() {
 		c.failures++
@@ -194,7 +194,7 @@
 func playCrowd(t failer, loss, failing float64, bad int, seed uint64) {
 	const requests, step = 6000, 2 * time.Millisecond
 	c := &crowd{
-		book: NewBook(), soundEjected: map[Key]bool{}, loss: loss, failing: failing, bad: bad,
+		book: NewAggregates(), soundEjected: map[ReplicaKey]bool{}, loss: loss, failing: failing, bad: bad,
 		random: rand.New(rand.NewPCG(seed, 1)),
 	}
 	for i := range requests {
--- a/internal/keeper/placement.go
+++ b/internal/keeper/placement.go
@@ -45,9 +45,9 @@
 	clear(p.known)
 }
 
-// Keeper returns the address of the node that keeps a replica; self where it is this
+// AggregatorOf returns the address of the node that keeps a replica; self where it is this
 // node.
-func (p *Placement) Keeper(instance, zone string) (address netip.Addr, self bool) {
+func (p *Placement) AggregatorOf(instance, zone string) (address netip.Addr, self bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	node, found := p.known[instance]
--- a/internal/keeper/recorded_test.go
+++ b/internal/keeper/recorded_test.go
@@ -11,9 +11,9 @@
 
 // TestRecordedBytesOfDatagrams: what builds tell each other of replicas stays as it is.
 func TestRecordedBytesOfDatagrams(t *testing.T) {
-	report := Report{Key: 5, Sequence: 9, Load: loads.Load{UnderWay: 3, UnreadTokens: 128, Failing: true}, CapacityTokens: 1000, Parts: []Part{{ID: 8, Tokens: 12600}}}
-	asked := question{number: 4, keys: []Key{5, 6}, parts: []Part{{ID: 8, Tokens: 12600}}}
-	told := answer{number: 4, states: []State{{Key: 5, Load: loads.Load{UnderWay: 2}, CachedTokens: 12600, Settled: true}}}
+	report := Report{Key: 5, Sequence: 9, Load: loads.Load{InFlight: 3, PendingTokens: 128, Failing: true}, CapacityTokens: 1000, Segments: []Segment{{ID: 8, Tokens: 12600}}}
+	asked := question{number: 4, keys: []ReplicaKey{5, 6}, parts: []Segment{{ID: 8, Tokens: 12600}}}
+	told := answer{number: 4, states: []State{{Key: 5, Load: loads.Load{InFlight: 2}, CachedTokens: 12600, Complete: true}}}
 	for name, c := range map[string]struct {
 		encoded []byte
 		written string
@@ -44,7 +44,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(encodeReport(Report{Key: 5, Parts: []Part{{ID: 8, Tokens: 12600}}}))
+	f.Add(encodeReport(Report{Key: 5, Segments: []Segment{{ID: 8, Tokens: 12600}}}))
 	f.Add(encodeAnswer(answer{number: 4, states: []State{{Key: 5}}}))
 	f.Add([]byte{0x6b, 1, 9})
 	f.Fuzz(func(_ *testing.T, encoded []byte) { _, _ = decode(encoded) })
--- a/internal/lab/experiment/node.go
+++ b/internal/lab/experiment/node.go
@@ -40,7 +40,7 @@
 	// branches is what the node believes of its branches' prefixes.
 	branches map[model.Key]*branch
 	// pauses are the histories per kind of branch.
-	pauses *scheduling.PauseBook
+	pauses *scheduling.PauseHistories
 }
 
 // book is what a node keeps about one engine.
@@ -93,7 +93,7 @@
 		random: rand.New(rand.NewPCG(r.seed, uint64(1000+index))),
 		view:   make([]scheduling.Backend, 0, len(r.engines)), books: make([]book, len(r.engines)),
 		branches: map[model.Key]*branch{},
-		pauses:   scheduling.NewPauseBook(),
+		pauses:   scheduling.NewPauseHistories(),
 	}
 }
 
@@ -157,7 +157,7 @@
 		ServiceSoFar: request.execution.service, CallsSoFar: request.execution.answered,
 		Weight: class.Weight, Priority: class.Priority,
 		Attempt: request.attempt, Excluded: request.excluded,
-		Turn: n.turn + uint64(n.index),
+		DecisionNumber: n.turn + uint64(n.index),
 	}
 	if last := request.branch.last; last >= 0 {
 		call.LastBackend = n.run.engines[last].name
@@ -355,14 +355,14 @@
 			continue
 		}
 		paused = append(paused, scheduling.Paused{
-			Program: key.Program, Branch: key.Branch, Held: len(b.placed) > 0,
+			Program: key.Program, Branch: key.Branch, Cached: len(b.placed) > 0,
 			IdleSince: n.run.wall(b.idleSince), KeepWarm: b.program.class.KeepWarm, Kind: b.kind,
 		})
 	}
 	slices.SortFunc(paused, func(a, b scheduling.Paused) int {
 		return cmp.Or(cmp.Compare(a.Program, b.Program), cmp.Compare(a.Branch, b.Branch))
 	})
-	for _, release := range n.pauses.KeepWarm(n.run.wall(n.run.clock.now), paused, n.run.patience()) {
+	for _, release := range n.pauses.SelectEvictions(n.run.wall(n.run.clock.now), paused, n.run.patience()) {
 		key := model.Key{Program: release.Program, Branch: release.Branch}
 		n.release(key, n.branches[key])
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -198,7 +198,7 @@
 			capacity += r.site.Engine.CacheCapacityTokens
 		}
 	}
-	return scheduling.Patience(r.strategy.Patience, used, capacity)
+	return scheduling.BreakEvenInterval(r.strategy.Patience, used, capacity)
 }
 
 // cacheChanged books a change of an engine's cache and publishes its events.
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -27,10 +27,10 @@
 func Strategies() []Strategy {
 	full := Strategy{
 		Name: "stepseam", Policy: scheduling.NewStepseam(),
-		Release: true, Priorities: true, KeepWarm: true, Patience: scheduling.DefaultPatience,
+		Release: true, Priorities: true, KeepWarm: true, Patience: scheduling.DefaultBreakEvenInterval,
 	}
 	unlimited := scheduling.NewStepseam()
-	unlimited.Parameters.WaitLimit = 0
+	unlimited.Parameters.MaxNewProgramWait = 0
 	without := func(name string, change func(*Strategy)) Strategy {
 		ablated := full
 		ablated.Name = name
--- a/internal/lab/replay/observe.go
+++ b/internal/lab/replay/observe.go
@@ -28,7 +28,7 @@
 }
 
 func publicationOutcome(err error) trace.PublicationOutcome {
-	var lost *tables.LostError
+	var lost *tables.ConflictError
 	var base *tables.BaseError
 	var invalid *table.InvalidError
 	switch {
--- a/internal/ledger/credit.go
+++ b/internal/ledger/credit.go
@@ -19,7 +19,7 @@
 // granted, or at most AheadLimit while the node may hand out ahead of the log.
 type Credit struct {
 	program ProgramID
-	life    LifeID
+	life    IncarnationID
 	budget  uint32
 	most    uint32
 	parts   []part
@@ -47,7 +47,7 @@
 }
 
 // NewCredit returns a credit of a life of a node without reservations.
-func NewCredit(program ProgramID, life LifeID, budget, most uint32, now time.Duration) *Credit {
+func NewCredit(program ProgramID, life IncarnationID, budget, most uint32, now time.Duration) *Credit {
 	return &Credit{program: program, life: life, budget: budget, most: most, open: map[GrantID]openGrant{}, touched: now}
 }
 
@@ -73,7 +73,7 @@
 func (c *Credit) Fits(most uint32, ahead bool) bool {
 	limit := c.granted()
 	if ahead && !c.asked {
-		limit = max(limit, AheadLimit(c.budget, c.most))
+		limit = max(limit, UnloggedLimit(c.budget, c.most))
 	}
 	return c.spent+c.underWay()+uint64(most) <= limit
 }
@@ -111,14 +111,14 @@
 	return needed - min(needed, c.granted())
 }
 
-// Spent tells whether the log would refuse a turn of at most most tokens again, as it did
+// Exhausted tells whether the log would refuse a turn of at most most tokens again, as it did
 // before: what stands against the budget then does not fall unless this credit gives back.
-func (c *Credit) Spent(most uint32) bool { return c.refused > 0 && c.lacking(most) >= c.refused }
+func (c *Credit) Exhausted(most uint32) bool { return c.refused > 0 && c.lacking(most) >= c.refused }
 
-// Next returns the reservation to ask for, so that a turn of at most most tokens
+// NextReservation returns the reservation to ask for, so that a turn of at most most tokens
 // fits. With ample, it holds some turns more, but at most half of what the program
 // has left, so that another node can go on with the rest if this one dies.
-func (c *Credit) Next(attempt AttemptID, most uint32, sure, ample bool) Reserve {
+func (c *Credit) NextReservation(attempt AttemptID, most uint32, sure, ample bool) Reservation {
 	least := c.lacking(most)
 	wanted := least
 	if ample {
@@ -126,11 +126,11 @@
 	}
 	c.wanting = least
 	if sure && !c.asked {
-		wanted = max(wanted, AheadLimit(c.budget, c.most))
+		wanted = max(wanted, UnloggedLimit(c.budget, c.most))
 	}
-	return Reserve{
-		Program: c.program, Attempt: attempt, Budget: c.budget, Most: c.most,
-		Least: uint32(least), Wanted: uint32(wanted), Sure: sure && !c.asked, Life: c.life,
+	return Reservation{
+		Program: c.program, Attempt: attempt, Budget: c.budget, MaxTurnTokens: c.most,
+		MinTokens: uint32(least), WantedTokens: uint32(wanted), Exclusive: sure && !c.asked, Incarnation: c.life,
 	}
 }
 
@@ -140,19 +140,19 @@
 // was handed out and the new reservation, which must stand after them; false where nothing is
 // to be written. Nothing may be handed out until the new verdict is known, so that a credit
 // with an open turn stays as it is.
-func (c *Credit) Rebase(attempt AttemptID) (settled []Record, next Reserve, changed bool) {
+func (c *Credit) Rebase(attempt AttemptID) (settled []Record, next Reservation, changed bool) {
 	left := c.left(c.settled + c.spent)
 	half := max(left/2, uint64(c.most))
 	held := c.granted() - min(c.granted(), c.spent)
 	if !c.asked || len(c.open) > 0 || uint64(c.most) > left || held >= uint64(c.most) && held <= half {
-		return nil, Reserve{}, false
+		return nil, Reservation{}, false
 	}
 	settled = c.Settle()
 	c.settled += c.spent
 	c.parts, c.spent, c.refused, c.wanting = nil, 0, 0, uint64(c.most)
-	next = Reserve{
-		Program: c.program, Attempt: attempt, Budget: c.budget, Most: c.most,
-		Least: c.most, Wanted: uint32(min(half, reserveTurns*uint64(c.most))), Life: c.life,
+	next = Reservation{
+		Program: c.program, Attempt: attempt, Budget: c.budget, MaxTurnTokens: c.most,
+		MinTokens: c.most, WantedTokens: uint32(min(half, reserveTurns*uint64(c.most))), Incarnation: c.life,
 	}
 	return settled, next, true
 }
@@ -170,16 +170,16 @@
 	return granted < needed-c.underWay()/2 && needed-granted <= c.left(granted+c.settled)/2
 }
 
-// Decided takes the verdict on a reservation. lives tells whether a life of a node
+// ApplyVerdict takes the verdict on a reservation. lives tells whether a life of a node
 // may still give back what it has reserved.
-func (c *Credit) Decided(verdict Verdict, lives func(LifeID) bool) {
+func (c *Credit) ApplyVerdict(verdict Verdict, lives func(IncarnationID) bool) {
 	c.asked = true
 	c.Charged = verdict.Charged
 	c.refused = 0
 	if verdict.Granted == 0 && c.onlyHolder(verdict) {
 		c.refused = c.wanting
 	}
-	c.blocked = verdict.Granted == 0 && c.heldByOthers(verdict, lives) >= verdict.Short
+	c.blocked = verdict.Granted == 0 && c.heldByOthers(verdict, lives) >= verdict.Shortfall
 	if verdict.Granted > 0 {
 		c.parts = append(c.parts, part{attempt: verdict.Attempt, granted: uint64(verdict.Granted)})
 	}
@@ -187,8 +187,8 @@
 
 // onlyHolder tells whether nobody else has a reservation, which might be given back.
 func (c *Credit) onlyHolder(verdict Verdict) bool {
-	for _, one := range verdict.Holdings {
-		if one.Life != c.life {
+	for _, one := range verdict.OpenReservations {
+		if one.Incarnation != c.life {
 			return false
 		}
 	}
@@ -196,10 +196,10 @@
 }
 
 // heldByOthers is what others than this credit have reserved and may give back.
-func (c *Credit) heldByOthers(verdict Verdict, lives func(LifeID) bool) uint64 {
+func (c *Credit) heldByOthers(verdict Verdict, lives func(IncarnationID) bool) uint64 {
 	held := uint64(0)
-	for _, one := range verdict.Holdings {
-		if lives(one.Life) {
+	for _, one := range verdict.OpenReservations {
+		if lives(one.Incarnation) {
 			held += uint64(one.Tokens)
 		}
 	}
@@ -232,7 +232,7 @@
 	for _, one := range c.parts {
 		used := min(left, one.granted)
 		left -= used
-		records = append(records, Settle{Program: c.program, Attempt: one.attempt, Used: uint32(used)})
+		records = append(records, Settlement{Program: c.program, Attempt: one.attempt, Used: uint32(used)})
 	}
 	return records
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -20,8 +20,8 @@
 }
 
 // exactly reserves what one turn hands out at most, for the program p.
-func exactly(attempt AttemptID, budget, most uint32) Reserve {
-	return Reserve{Program: "p", Attempt: attempt, Budget: budget, Most: most, Least: most, Wanted: most, Sure: true}
+func exactly(attempt AttemptID, budget, most uint32) Reservation {
+	return Reservation{Program: "p", Attempt: attempt, Budget: budget, MaxTurnTokens: most, MinTokens: most, WantedTokens: most, Exclusive: true}
 }
 
 func TestOrderOfTheLogDecidesWhoGetsTheLastTokens(t *testing.T) {
@@ -30,20 +30,20 @@
 		NewPartition(),
 		exactly(1, 100, 60),
 		exactly(2, 100, 60),
-		Settle{Program: "p", Attempt: 1, Used: 30},
+		Settlement{Program: "p", Attempt: 1, Used: 30},
 		exactly(3, 100, 60),
 	)
 	is.Equal(verdicts, []Verdict{
-		{Attempt: 1, Granted: 60}, {Attempt: 2, Charged: 60, Holdings: []Holding{{Tokens: 60}}, Short: 20}, {Attempt: 3, Granted: 60, Charged: 30},
+		{Attempt: 1, Granted: 60}, {Attempt: 2, Charged: 60, OpenReservations: []OpenReservation{{Tokens: 60}}, Shortfall: 20}, {Attempt: 3, Granted: 60, Charged: 30},
 	})
 }
 
 func TestUnsettledReservationsStayCharged(t *testing.T) {
 	is := is.New(t)
 	p := NewPartition()
-	apply(p, exactly(1, 100, 60), Settle{Program: "p", Attempt: 9, Used: 0})
+	apply(p, exactly(1, 100, 60), Settlement{Program: "p", Attempt: 9, Used: 0})
 	is.Equal(p.Charged("p"), uint64(60))
-	apply(p, Settle{Program: "p", Attempt: 1, Used: 20}, Settle{Program: "p", Attempt: 1, Used: 0})
+	apply(p, Settlement{Program: "p", Attempt: 1, Used: 20}, Settlement{Program: "p", Attempt: 1, Used: 0})
 	is.Equal(p.Charged("p"), uint64(20)) // the second settlement counts nothing
 }
 
@@ -51,15 +51,15 @@
 	is := is.New(t)
 	p := NewPartition()
 	chain := []Location{{Partition: 3, Offset: 7, Size: 100}, {Partition: 11, Offset: 1 << 40, Size: 5}}
-	resident := Resident{Instance: "r", Tokens: 900}
-	p.Apply(Encode(Keep{Program: "p", Turn: "t", Chain: chain, For: time.Minute, Resident: resident}), 0)
+	resident := CacheLocation{Instance: "r", Tokens: 900}
+	p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}), 0)
 	found, known := p.Turn("t")
 	is.True(known)
-	is.Equal(found, KeptTurn{Chain: chain, Resident: resident})
-	p.Apply(Encode(Settle{}), time.Minute)
+	is.Equal(found, IndexedTurn{Chain: chain, CacheLocation: resident})
+	p.Apply(Encode(Settlement{}), time.Minute)
 	_, known = p.Turn("t")
 	is.True(known)
-	p.Apply(Encode(Settle{}), 2*time.Minute)
+	p.Apply(Encode(Settlement{}), 2*time.Minute)
 	_, known = p.Turn("t")
 	is.True(!known)
 }
@@ -69,12 +69,12 @@
 	is := is.New(t)
 	p := NewPartition()
 	chain := []Location{{Partition: 3, Offset: 7, Size: 100}}
-	encoded := Encode(Keep{Program: "p", Turn: "t", Chain: chain, For: time.Minute})
+	encoded := Encode(IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute})
 	const residentBytes = 2 + 4
 	p.Apply(encoded[:len(encoded)-residentBytes], 0)
 	found, known := p.Turn("t")
 	is.True(known)
-	is.Equal(found, KeptTurn{Chain: chain})
+	is.Equal(found, IndexedTurn{Chain: chain})
 }
 
 func TestUnreadableRecordsArePassedOver(t *testing.T) {
@@ -92,10 +92,10 @@
 		program := ProgramID(rapid.String().Draw(t, "program"))
 		attempt := AttemptID(rapid.Uint64().Draw(t, "attempt"))
 		record := rapid.SampledFrom([]Record{
-			Reserve{Program: program, Attempt: attempt, Budget: rapid.Uint32().Draw(t, "budget"), Most: 7, Least: 8, Wanted: 9, Sure: true},
-			Own{Life: LifeID(program)},
-			Release{Life: LifeID(program)},
-			Settle{Program: program, Attempt: attempt, Used: rapid.Uint32().Draw(t, "used")},
+			Reservation{Program: program, Attempt: attempt, Budget: rapid.Uint32().Draw(t, "budget"), MaxTurnTokens: 7, MinTokens: 8, WantedTokens: 9, Exclusive: true},
+			OwnershipClaim{Incarnation: IncarnationID(program)},
+			OwnershipRelease{Incarnation: IncarnationID(program)},
+			Settlement{Program: program, Attempt: attempt, Used: rapid.Uint32().Draw(t, "used")},
 		}).Draw(t, "record")
 		decoded, err := Decode(Encode(record))
 		if err != nil || decoded != record {
@@ -129,7 +129,7 @@
 			used := rapid.Uint32Range(0, most).Draw(t, "used")
 			handedOut += uint64(used)
 			if rapid.Bool().Draw(t, "settled") {
-				settled := Encode(Settle{Program: "p", Attempt: attempt, Used: used})
+				settled := Encode(Settlement{Program: "p", Attempt: attempt, Used: used})
 				first.Apply(settled, 0)
 				second.Apply(settled, 0)
 			}
@@ -144,14 +144,14 @@
 	is := is.New(t)
 	verdicts := apply(
 		NewPartition(),
-		Reserve{Program: "p", Attempt: 1, Budget: 100, Most: 20, Least: 20, Wanted: 70, Sure: true},
-		Reserve{Program: "p", Attempt: 2, Budget: 100, Most: 20, Least: 20, Wanted: 70},
-		Reserve{Program: "p", Attempt: 3, Budget: 100, Most: 20, Least: 1, Wanted: 1},
+		Reservation{Program: "p", Attempt: 1, Budget: 100, MaxTurnTokens: 20, MinTokens: 20, WantedTokens: 70, Exclusive: true},
+		Reservation{Program: "p", Attempt: 2, Budget: 100, MaxTurnTokens: 20, MinTokens: 20, WantedTokens: 70},
+		Reservation{Program: "p", Attempt: 3, Budget: 100, MaxTurnTokens: 20, MinTokens: 1, WantedTokens: 1},
 	)
 	is.Equal(verdicts, []Verdict{
 		{Attempt: 1, Granted: 70},
 		{Attempt: 2, Granted: 30, Charged: 70},
-		{Attempt: 3, Charged: 100, Holdings: []Holding{{Tokens: 30}, {Tokens: 70}}, Short: 1},
+		{Attempt: 3, Charged: 100, OpenReservations: []OpenReservation{{Tokens: 30}, {Tokens: 70}}, Shortfall: 1},
 	})
 }
 
@@ -159,8 +159,8 @@
 	is := is.New(t)
 	verdicts := apply(
 		NewPartition(),
-		Reserve{Program: "p", Attempt: 1, Budget: 1000, Most: 100, Least: 100, Wanted: 1000},
-		Reserve{Program: "p", Attempt: 2, Budget: 1000, Most: 100, Least: 100, Wanted: 1000, Sure: true},
+		Reservation{Program: "p", Attempt: 1, Budget: 1000, MaxTurnTokens: 100, MinTokens: 100, WantedTokens: 1000},
+		Reservation{Program: "p", Attempt: 2, Budget: 1000, MaxTurnTokens: 100, MinTokens: 100, WantedTokens: 1000, Exclusive: true},
 	)
 	is.Equal(verdicts[0].Granted, uint32(750)) // 1000 + 100 - 350
 	is.Equal(verdicts[1].Granted, uint32(0))   // a later sure record opens nothing
@@ -170,11 +170,11 @@
 func TestAheadAndOpenAreTheBudgetAndOneTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget, most := rapid.Uint32().Draw(t, "budget"), rapid.Uint32().Draw(t, "most")
-		if AheadLimit(budget, most) < uint64(most) {
+		if UnloggedLimit(budget, most) < uint64(most) {
 			t.Fatal("not one turn fits ahead of the log")
 		}
-		if most <= budget && AheadLimit(budget, most)+OpenBudget(budget, most) > uint64(budget)+uint64(most) {
-			t.Fatalf("%d and %d", AheadLimit(budget, most), OpenBudget(budget, most))
+		if most <= budget && UnloggedLimit(budget, most)+LoggedBudget(budget, most) > uint64(budget)+uint64(most) {
+			t.Fatalf("%d and %d", UnloggedLimit(budget, most), LoggedBudget(budget, most))
 		}
 	})
 }
@@ -183,29 +183,29 @@
 	is := is.New(t)
 	p := NewPartition()
 	at := func(now time.Duration, record Record) { p.Apply(Encode(record), now) }
-	at(0, Own{Life: "a"})
-	is.True(p.Sure("a", 0, 0))
-	is.True(!p.Sure("b", 0, 0))
-	is.True(!p.Sure("a", 0, ConfirmWithin+1)) // not heard of for too long
-	at(1, Own{Life: "b"})                     // a has not released
-	is.True(!p.Sure("b", 1, 1))
-	is.True(p.Sure("b", SureAfter, SureAfter+2))
-	at(2, Release{Life: "a"}) // not the owner any more
-	is.Equal(p.Owner(), LifeID("b"))
-	at(3, Release{Life: "b"})
-	at(4, Own{Life: "c"}) // what a handed out may still be ahead of the log
-	is.True(!p.Sure("c", 4, 4))
+	at(0, OwnershipClaim{Incarnation: "a"})
+	is.True(p.MayGrantUnlogged("a", 0, 0))
+	is.True(!p.MayGrantUnlogged("b", 0, 0))
+	is.True(!p.MayGrantUnlogged("a", 0, ConfirmationTTL+1)) // not heard of for too long
+	at(1, OwnershipClaim{Incarnation: "b"})                 // a has not released
+	is.True(!p.MayGrantUnlogged("b", 1, 1))
+	is.True(p.MayGrantUnlogged("b", TakeoverDelay, TakeoverDelay+2))
+	at(2, OwnershipRelease{Incarnation: "a"}) // not the owner any more
+	is.Equal(p.Owner(), IncarnationID("b"))
+	at(3, OwnershipRelease{Incarnation: "b"})
+	at(4, OwnershipClaim{Incarnation: "c"}) // what a handed out may still be ahead of the log
+	is.True(!p.MayGrantUnlogged("c", 4, 4))
 
 	p = NewPartition()
-	at(0, Own{Life: "a"})
-	at(1, Release{Life: "a"})
-	at(2, Own{Life: "b"})
-	is.True(p.Sure("b", 2, 2))
+	at(0, OwnershipClaim{Incarnation: "a"})
+	at(1, OwnershipRelease{Incarnation: "a"})
+	at(2, OwnershipClaim{Incarnation: "b"})
+	is.True(p.MayGrantUnlogged("b", 2, 2))
 
 	p = NewPartition()
 	p.SkipTo(5)
-	at(0, Own{Life: "a"}) // the records before are not known
-	is.True(!p.Sure("a", 0, 0))
+	at(0, OwnershipClaim{Incarnation: "a"}) // the records before are not known
+	is.True(!p.MayGrantUnlogged("a", 0, 0))
 }
 
 func TestCreditHandsOutNoMoreThanItHolds(t *testing.T) {
@@ -213,16 +213,16 @@
 	c := NewCredit("p", "a", 1000, 100, 0)
 	is.True(!c.Fits(100, false))
 	is.True(c.Fits(100, true))
-	first := c.Next(1, 100, true, true)
-	is.Equal(first, Reserve{Program: "p", Attempt: 1, Budget: 1000, Most: 100, Least: 100, Wanted: 400, Sure: true, Life: "a"})
-	is.Equal(c.Next(1, 100, true, false).Wanted, uint32(350))
-	is.Equal(c.Next(1, 100, false, false).Wanted, uint32(100))
+	first := c.NextReservation(1, 100, true, true)
+	is.Equal(first, Reservation{Program: "p", Attempt: 1, Budget: 1000, MaxTurnTokens: 100, MinTokens: 100, WantedTokens: 400, Exclusive: true, Incarnation: "a"})
+	is.Equal(c.NextReservation(1, 100, true, false).WantedTokens, uint32(350))
+	is.Equal(c.NextReservation(1, 100, false, false).WantedTokens, uint32(100))
 	for grant := range GrantID(3) {
 		is.True(c.Fits(100, true))
 		c.Open(grant, 100, 0)
 	}
 	is.True(!c.Fits(100, true)) // 350 ahead of the log
-	c.Decided(Verdict{Attempt: 1, Granted: 320}, nobody)
+	c.ApplyVerdict(Verdict{Attempt: 1, Granted: 320}, nobody)
 	is.True(!c.Fits(100, true))
 	is.True(c.Finish(0, 70, 0))
 	is.True(!c.Finish(0, 70, 0))
@@ -233,35 +233,35 @@
 	is.True(c.Finish(9, 51, 0))
 	is.True(c.Low())
 	c.spent -= 51
-	next := c.Next(2, 100, true, true)
-	is.Equal(next.Least, uint32(50))
-	is.Equal(next.Wanted, uint32(340))
-	is.True(!next.Sure)
-	c.Decided(Verdict{Attempt: 2, Granted: 340}, nobody)
+	next := c.NextReservation(2, 100, true, true)
+	is.Equal(next.MinTokens, uint32(50))
+	is.Equal(next.WantedTokens, uint32(340))
+	is.True(!next.Exclusive)
+	c.ApplyVerdict(Verdict{Attempt: 2, Granted: 340}, nobody)
 	c.Expire(time.Minute, 2*time.Minute)
 	is.True(c.Idle(0, 2*time.Minute))
-	is.Equal(c.Settle(), []Record{Settle{Program: "p", Attempt: 1, Used: 270}, Settle{Program: "p", Attempt: 2}})
+	is.Equal(c.Settle(), []Record{Settlement{Program: "p", Attempt: 1, Used: 270}, Settlement{Program: "p", Attempt: 2}})
 }
 
-func nobody(LifeID) bool { return false }
+func nobody(IncarnationID) bool { return false }
 
 func TestBudgetIsSpentOnlyByWhatCanNotComeBack(t *testing.T) {
-	here := Holding{Life: "a", Tokens: 40}
+	here := OpenReservation{Incarnation: "a", Tokens: 40}
 	for _, one := range []struct {
 		verdict Verdict
 		blocked bool
 	}{
-		{Verdict{Attempt: 2, Charged: 90, Holdings: []Holding{here}, Short: 10}, false},
-		{Verdict{Attempt: 2, Charged: 90, Holdings: []Holding{here, {Life: "b", Tokens: 10}}, Short: 10}, true},
-		{Verdict{Attempt: 2, Charged: 90, Holdings: []Holding{here, {Life: "b", Tokens: 9}}, Short: 10}, false}, // it would not do
-		{Verdict{Attempt: 2, Charged: 90, Holdings: []Holding{here, {Life: "dead", Tokens: 50}}, Short: 10}, false},
+		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here}, Shortfall: 10}, false},
+		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here, {Incarnation: "b", Tokens: 10}}, Shortfall: 10}, true},
+		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here, {Incarnation: "b", Tokens: 9}}, Shortfall: 10}, false}, // it would not do
+		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here, {Incarnation: "dead", Tokens: 50}}, Shortfall: 10}, false},
 		{Verdict{Attempt: 2, Granted: 10, Charged: 90}, false},
 	} {
 		is := is.New(t)
 		c := NewCredit("p", "a", 100, 20, 0)
-		lives := func(life LifeID) bool { return life != "dead" }
-		c.Decided(Verdict{Attempt: 1, Granted: 40}, lives)
-		c.Decided(one.verdict, lives)
+		lives := func(life IncarnationID) bool { return life != "dead" }
+		c.ApplyVerdict(Verdict{Attempt: 1, Granted: 40}, lives)
+		c.ApplyVerdict(one.verdict, lives)
 		is.Equal(c.Blocked(), one.blocked)
 	}
 }
@@ -270,18 +270,18 @@
 // reserved all that is left, as one that was killed in the middle of its turns.
 func TestWhatTheDeadHeldKeepsNoTurnOut(t *testing.T) {
 	is := is.New(t)
-	reserve := func(attempt AttemptID, life LifeID, wanted uint32) Reserve {
-		return Reserve{Program: "p", Attempt: attempt, Budget: 1178, Most: 589, Least: 589, Wanted: wanted, Sure: true, Life: life}
+	reserve := func(attempt AttemptID, life IncarnationID, wanted uint32) Reservation {
+		return Reservation{Program: "p", Attempt: attempt, Budget: 1178, MaxTurnTokens: 589, MinTokens: 589, WantedTokens: wanted, Exclusive: true, Incarnation: life}
 	}
 	p := NewPartition()
 	verdicts := apply(
 		p,
 		reserve(1, "dead", 589),
-		Reserve{Program: "p", Attempt: 2, Budget: 1178, Most: 589, Least: 250, Wanted: 496, Sure: true, Life: "dead"},
+		Reservation{Program: "p", Attempt: 2, Budget: 1178, MaxTurnTokens: 589, MinTokens: 250, WantedTokens: 496, Exclusive: true, Incarnation: "dead"},
 		reserve(3, "b", 1178),
 		reserve(4, "b", 589),
 		reserve(5, "c", 589),
-		Settle{Program: "p", Attempt: 3, Used: 250},
+		Settlement{Program: "p", Attempt: 3, Used: 250},
 		reserve(6, "b", 589),
 	)
 	is.Equal(verdicts[1].Granted, uint32(496))
@@ -303,13 +303,13 @@
 		handedOut := uint64(0)
 		for attempt := AttemptID(1); attempt <= 40; attempt++ {
 			record := exactly(attempt, budget, rapid.Uint32Range(1, most).Draw(t, "least"))
-			record.Most, record.Wanted = most, rapid.Uint32Range(record.Least, budget).Draw(t, "wanted")
-			record.Life = LifeID(rune('a' + rapid.IntRange(0, lives-1).Draw(t, "life")))
+			record.MaxTurnTokens, record.WantedTokens = most, rapid.Uint32Range(record.MinTokens, budget).Draw(t, "wanted")
+			record.Incarnation = IncarnationID(rune('a' + rapid.IntRange(0, lives-1).Draw(t, "life")))
 			verdict, _ := p.Apply(Encode(record), 0)
 			used := rapid.Uint32Range(0, verdict.Granted).Draw(t, "used")
 			handedOut += uint64(used)
 			if rapid.Bool().Draw(t, "settled") {
-				p.Apply(Encode(Settle{Program: "p", Attempt: attempt, Used: used}), 0)
+				p.Apply(Encode(Settlement{Program: "p", Attempt: attempt, Used: used}), 0)
 			}
 			allowed := uint64(budget)
 			if lives > 1 {
--- a/internal/ledger/ownership.go
+++ b/internal/ledger/ownership.go
@@ -11,35 +11,35 @@
 // aheadPercent of the budget may be handed out ahead of the log.
 const aheadPercent = 35
 
-// AheadLimit is how many tokens of a budget a sure owner may hand out ahead of the
+// UnloggedLimit is how many tokens of a budget a sure owner may hand out ahead of the
 // log, where one turn hands out at most most.
-func AheadLimit(budget, most uint32) uint64 {
+func UnloggedLimit(budget, most uint32) uint64 {
 	return max(uint64(most), uint64(budget)*aheadPercent/100)
 }
 
-// OpenBudget is what is left to those who can't be sure that nothing was handed
+// LoggedBudget is what is left to those who can't be sure that nothing was handed
 // out ahead of the log.
-func OpenBudget(budget, most uint32) uint64 {
+func LoggedBudget(budget, most uint32) uint64 {
 	whole := uint64(budget) + uint64(most)
-	return min(uint64(budget), whole-min(whole, AheadLimit(budget, most)))
+	return min(uint64(budget), whole-min(whole, UnloggedLimit(budget, most)))
 }
 
 const (
-	// SureAfter is how long an owner that took over from one that did not release
+	// TakeoverDelay is how long an owner that took over from one that did not release
 	// waits before it is sure. By then a former owner has not handed out tokens
-	// ahead of the log for SureAfter less ConfirmWithin; a program that it served
+	// ahead of the log for TakeoverDelay less ConfirmWithin; a program that it served
 	// has come to the new owner since, and so has a record, or has ended.
-	SureAfter = 25 * time.Second
-	// ConfirmWithin is how long an owner may stay sure without hearing from the
+	TakeoverDelay = 25 * time.Second
+	// ConfirmationTTL is how long an owner may stay sure without hearing from the
 	// log that it still is the owner.
-	ConfirmWithin = 10 * time.Second
+	ConfirmationTTL = 10 * time.Second
 )
 
 // Ownership tells who may hand out tokens of a partition's programs ahead of the
 // log, as far as its records say.
 type Ownership struct {
-	// Life is the owner; empty where there is none.
-	Life LifeID
+	// Incarnation is the owner; empty where there is none.
+	Incarnation IncarnationID
 	// since is when the record was applied.
 	since time.Duration
 	// clean tells that no former owner can have left anything ahead of the log.
@@ -49,31 +49,31 @@
 }
 
 // Owner returns the life that owns the partition, or an empty one.
-func (p *Partition) Owner() LifeID { return p.owner.Life }
+func (p *Partition) Owner() IncarnationID { return p.owner.Incarnation }
 
-// Sure tells whether life is the owner and nobody else can have handed out tokens
+// MayGrantUnlogged tells whether life is the owner and nobody else can have handed out tokens
 // ahead of the log. confirmed is when it last heard that it still is the owner.
-func (p *Partition) Sure(life LifeID, confirmed, now time.Duration) bool {
-	if p.owner.Life != life || now-confirmed > ConfirmWithin {
+func (p *Partition) MayGrantUnlogged(life IncarnationID, confirmed, now time.Duration) bool {
+	if p.owner.Incarnation != life || now-confirmed > ConfirmationTTL {
 		return false
 	}
-	return p.owner.clean || now-p.owner.since > SureAfter
+	return p.owner.clean || now-p.owner.since > TakeoverDelay
 }
 
 // own takes the ownership over. It is clean if all records of the partition are
 // known and the last owner has released.
-func (p *Partition) own(record Own, now time.Duration) {
-	if p.owner.Life == record.Life {
+func (p *Partition) own(record OwnershipClaim, now time.Duration) {
+	if p.owner.Incarnation == record.Incarnation {
 		return
 	}
-	tainted := p.owner.tainted || p.owner.Life != ""
-	p.owner = Ownership{Life: record.Life, since: now, clean: !tainted && !p.skipped}
+	tainted := p.owner.tainted || p.owner.Incarnation != ""
+	p.owner = Ownership{Incarnation: record.Incarnation, since: now, clean: !tainted && !p.skipped}
 }
 
 // release ends an ownership. After a sure owner's release nothing is ahead of the
 // log; after another's, what a former owner handed out may still be.
-func (p *Partition) release(record Release) {
-	if p.owner.Life != record.Life {
+func (p *Partition) release(record OwnershipRelease) {
+	if p.owner.Incarnation != record.Incarnation {
 		return
 	}
 	p.owner = Ownership{tainted: !p.owner.clean}
--- a/internal/ledger/partition.go
+++ b/internal/ledger/partition.go
@@ -23,47 +23,47 @@
 	charged uint64
 	// sure tells that the first record of the program was; fresh that none has come.
 	sure, fresh bool
-	open        map[AttemptID]Holding
+	open        map[AttemptID]OpenReservation
 	touched     time.Duration
 }
 
-// Holding is an open reservation: tokens that a life of a node may hand out, or
+// OpenReservation is an open reservation: tokens that a life of a node may hand out, or
 // give back.
-type Holding struct {
-	Life   LifeID
-	Tokens uint32
+type OpenReservation struct {
+	Incarnation IncarnationID
+	Tokens      uint32
 }
 
 // holdings returns the open reservations, ordered, since nodes compare verdicts.
-func (a *account) holdings() []Holding {
+func (a *account) holdings() []OpenReservation {
 	held := slices.Collect(maps.Values(a.open))
-	slices.SortFunc(held, func(one, other Holding) int {
-		return cmp.Or(cmp.Compare(one.Life, other.Life), cmp.Compare(one.Tokens, other.Tokens))
+	slices.SortFunc(held, func(one, other OpenReservation) int {
+		return cmp.Or(cmp.Compare(one.Incarnation, other.Incarnation), cmp.Compare(one.Tokens, other.Tokens))
 	})
 	return held
 }
 
 // heldByOthers is what open reservations of other lives hold.
-func (a *account) heldByOthers(life LifeID) uint64 {
+func (a *account) heldByOthers(life IncarnationID) uint64 {
 	held := uint64(0)
 	for _, one := range a.open {
-		if one.Life != life {
+		if one.Incarnation != life {
 			held += uint64(one.Tokens)
 		}
 	}
 	return held
 }
 
-// KeptTurn is what the index says of a turn.
-type KeptTurn struct {
+// IndexedTurn is what the index says of a turn.
+type IndexedTurn struct {
 	// Chain holds the locations of the turn's predecessors, the oldest first, and of
 	// the turn itself.
-	Chain    []Location
-	Resident Resident
+	Chain         []Location
+	CacheLocation CacheLocation
 }
 
 type keptTurn struct {
-	KeptTurn
+	IndexedTurn
 	expires time.Duration
 }
 
@@ -78,7 +78,7 @@
 	turns    map[TurnID]keptTurn
 	// rule bounds the texts of turns in the partition, texts counts them, and demand those
 	// of all kept turns.
-	rule   TextRule
+	rule   TextLimits
 	texts  textWindow
 	demand textWindow
 	pruned time.Duration
@@ -106,11 +106,11 @@
 	Granted uint32
 	// Charged is what stood against the program's budget before it, in tokens.
 	Charged uint64
-	// Holdings are the parts of Charged that open reservations hold; only where
+	// OpenReservations are the parts of Charged that open reservations hold; only where
 	// nothing was granted.
-	Holdings []Holding
-	// Short is how many tokens were missing where nothing was granted.
-	Short uint64
+	OpenReservations []OpenReservation
+	// Shortfall is how many tokens were missing where nothing was granted.
+	Shortfall uint64
 }
 
 // Apply takes the record at Next. For a Reserve it returns the verdict and true.
@@ -122,20 +122,20 @@
 		return Verdict{}, false // of another version of the program; it counts nothing here
 	}
 	switch record := record.(type) {
-	case Reserve:
+	case Reservation:
 		return p.reserve(record, now), true
-	case Settle:
+	case Settlement:
 		p.settle(record, now)
-	case Own:
+	case OwnershipClaim:
 		p.own(record, now)
-	case Release:
+	case OwnershipRelease:
 		p.release(record)
 	case Text:
 		p.texts.add(len(record.Bytes), now, p.rule.Retain)
-	case Keep:
+	case IndexEntry:
 		chain := resolved(record.Chain, p.next-1)
 		p.noteDemand(chain, now)
-		p.turns[record.Turn] = keptTurn{KeptTurn: KeptTurn{Chain: chain, Resident: record.Resident}, expires: now + record.For + keepSlack}
+		p.turns[record.Turn] = keptTurn{IndexedTurn: IndexedTurn{Chain: chain, CacheLocation: record.CacheLocation}, expires: now + record.Retention + keepSlack}
 	}
 	return Verdict{}, false
 }
@@ -144,10 +144,10 @@
 // much of it never is where they died; so a turn that only this keeps out may use the most
 // of one turn beyond the budget, which is what a program may be handed in all. In a sure
 // account that is not used otherwise, see AheadLimit.
-func (p *Partition) reserve(record Reserve, now time.Duration) Verdict {
+func (p *Partition) reserve(record Reservation, now time.Duration) Verdict {
 	charges := p.account(record.Program, now)
 	if charges.fresh {
-		charges.fresh, charges.sure = false, record.Sure
+		charges.fresh, charges.sure = false, record.Exclusive
 	}
 	verdict := Verdict{Attempt: record.Attempt, Charged: charges.charged}
 	if _, repeated := charges.open[record.Attempt]; repeated {
@@ -155,30 +155,30 @@
 	}
 	open := uint64(record.Budget)
 	if !charges.sure {
-		open = OpenBudget(record.Budget, record.Most)
+		open = LoggedBudget(record.Budget, record.MaxTurnTokens)
 	}
-	needed := charges.charged + uint64(record.Least)
+	needed := charges.charged + uint64(record.MinTokens)
 	extended := open
 	if charges.sure {
-		extended += min(uint64(record.Most), charges.heldByOthers(record.Life))
+		extended += min(uint64(record.MaxTurnTokens), charges.heldByOthers(record.Incarnation))
 	}
 	switch {
 	case needed > extended:
-		verdict.Short, verdict.Holdings = needed-extended, charges.holdings()
+		verdict.Shortfall, verdict.OpenReservations = needed-extended, charges.holdings()
 		return verdict
 	case needed > open:
-		verdict.Granted = record.Least
+		verdict.Granted = record.MinTokens
 	default:
-		verdict.Granted = uint32(min(uint64(record.Wanted), open-charges.charged))
+		verdict.Granted = uint32(min(uint64(record.WantedTokens), open-charges.charged))
 	}
 	charges.charged += uint64(verdict.Granted)
-	charges.open[record.Attempt] = Holding{Life: record.Life, Tokens: verdict.Granted}
+	charges.open[record.Attempt] = OpenReservation{Incarnation: record.Incarnation, Tokens: verdict.Granted}
 	return verdict
 }
 
 // settle replaces an open reservation by what was used. An attempt that reserved
 // nothing, or was settled before, changes nothing.
-func (p *Partition) settle(record Settle, now time.Duration) {
+func (p *Partition) settle(record Settlement, now time.Duration) {
 	charges := p.account(record.Program, now)
 	reserved, open := charges.open[record.Attempt]
 	if !open {
@@ -191,7 +191,7 @@
 func (p *Partition) account(program ProgramID, now time.Duration) *account {
 	charges, known := p.accounts[program]
 	if !known {
-		charges = &account{open: map[AttemptID]Holding{}, fresh: true}
+		charges = &account{open: map[AttemptID]OpenReservation{}, fresh: true}
 		p.accounts[program] = charges
 	}
 	charges.touched = now
@@ -213,9 +213,9 @@
 }
 
 // Turn returns what the index says of a turn.
-func (p *Partition) Turn(turn TurnID) (KeptTurn, bool) {
+func (p *Partition) Turn(turn TurnID) (IndexedTurn, bool) {
 	kept, found := p.turns[turn]
-	return kept.KeptTurn, found
+	return kept.IndexedTurn, found
 }
 
 func (p *Partition) prune(now time.Duration) {
--- a/internal/ledger/rebase_test.go
+++ b/internal/ledger/rebase_test.go
@@ -11,7 +11,7 @@
 // decided returns a credit that holds a first reservation of granted tokens.
 func decided(budget, most, granted uint32) *Credit {
 	c := NewCredit("p", "a", budget, most, 0)
-	c.Decided(Verdict{Attempt: 1, Granted: granted}, nobody)
+	c.ApplyVerdict(Verdict{Attempt: 1, Granted: granted}, nobody)
 	return c
 }
 
@@ -24,11 +24,11 @@
 	c.Finish(1, 30, 0)
 	settled, next, changed := c.Rebase(2)
 	is.True(changed)
-	is.Equal(settled, []Record{Settle{Program: "p", Attempt: 1, Used: 30}})
-	is.Equal(next, Reserve{Program: "p", Attempt: 2, Budget: 600, Most: 100, Least: 100, Wanted: 285, Life: "a"})
+	is.Equal(settled, []Record{Settlement{Program: "p", Attempt: 1, Used: 30}})
+	is.Equal(next, Reservation{Program: "p", Attempt: 2, Budget: 600, MaxTurnTokens: 100, MinTokens: 100, WantedTokens: 285, Incarnation: "a"})
 	is.True(!c.Fits(1, true)) // not before the verdict
 	is.True(!c.Fresh())
-	c.Decided(Verdict{Attempt: 2, Granted: 285}, nobody)
+	c.ApplyVerdict(Verdict{Attempt: 2, Granted: 285}, nobody)
 	is.True(c.Fits(285, true))
 	_, _, changed = c.Rebase(3)
 	is.True(!changed) // just enough is reserved
@@ -53,7 +53,7 @@
 	c.Finish(1, 36, 0)
 	_, next, changed := c.Rebase(2)
 	is.True(changed)
-	is.Equal(next.Wanted, uint32(288))
+	is.Equal(next.WantedTokens, uint32(288))
 	c = decided(300, 100, 100)
 	c.Open(1, 100, 0)
 	c.Finish(1, 100, 0)
@@ -91,7 +91,7 @@
 
 func (k *killing) newLife(place int) {
 	k.attempts++
-	name := LifeID(rune('A' + k.attempts))
+	name := IncarnationID(rune('A' + k.attempts))
 	k.lives[place] = &life{credit: NewCredit("p", name, killedBudget, killedMost, 0)}
 }
 
@@ -102,7 +102,7 @@
 	}
 	k.attempts++
 	one.asking = true
-	one.waiting = append(one.waiting, one.credit.Next(k.attempts, killedMost, false, ample))
+	one.waiting = append(one.waiting, one.credit.NextReservation(k.attempts, killedMost, false, ample))
 }
 
 // rebase sends a credit's settlement and new reservation on their way.
@@ -118,7 +118,7 @@
 	one.asking = true
 	one.waiting = append(append(one.waiting, settled...), next)
 	if k.early {
-		one.credit.parts = append(one.credit.parts, part{attempt: k.attempts, granted: uint64(next.Wanted)})
+		one.credit.parts = append(one.credit.parts, part{attempt: k.attempts, granted: uint64(next.WantedTokens)})
 	}
 }
 
@@ -129,19 +129,19 @@
 		one.waiting = one.waiting[1:]
 		if reserved {
 			one.asking = false
-			one.credit.Decided(verdict, nobody)
+			one.credit.ApplyVerdict(verdict, nobody)
 		}
 	}
 }
 
 // checkSpent fails if a credit takes the budget for spent and the log does not.
 func (k *killing) checkSpent(one *life) {
-	if one.asking || len(one.waiting) > 0 || !one.credit.Spent(killedMost) {
+	if one.asking || len(one.waiting) > 0 || !one.credit.Exhausted(killedMost) {
 		return
 	}
 	k.attempts++
 	k.spent++
-	verdict, _ := k.partition.Apply(Encode(one.credit.Next(k.attempts, killedMost, false, false)), 0)
+	verdict, _ := k.partition.Apply(Encode(one.credit.NextReservation(k.attempts, killedMost, false, false)), 0)
 	if verdict.Granted > 0 {
 		k.t.Fatalf("%d tokens granted of a budget that was taken for spent", verdict.Granted)
 	}
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -23,26 +23,26 @@
 // AttemptID names one attempt at a turn. It is unique.
 type AttemptID uint64
 
-// Reserve asks for tokens of a program's budget. It gets Wanted of them, or what
+// Reservation asks for tokens of a program's budget. It gets Wanted of them, or what
 // the charges before it leave, but nothing if that is less than Least.
-type Reserve struct {
+type Reservation struct {
 	Program ProgramID
 	Attempt AttemptID
 	// Budget is the program's whole budget in tokens.
 	Budget uint32
-	// Most is how many tokens one turn hands out at most.
-	Most          uint32
-	Least, Wanted uint32
-	// Sure tells that nobody but the writer can have handed out tokens of the
+	// MaxTurnTokens is how many tokens one turn hands out at most.
+	MaxTurnTokens           uint32
+	MinTokens, WantedTokens uint32
+	// Exclusive tells that nobody but the writer can have handed out tokens of the
 	// program ahead of the log. Where a program's first record is not sure, a part
 	// of its budget stays closed, see OpenBudget.
-	Sure bool
-	// Life is the writer, which may give back what it does not hand out.
-	Life LifeID
+	Exclusive bool
+	// Incarnation is the writer, which may give back what it does not hand out.
+	Incarnation IncarnationID
 }
 
-// Settle tells what an attempt handed out, in place of its reservation.
-type Settle struct {
+// Settlement tells what an attempt handed out, in place of its reservation.
+type Settlement struct {
 	Program ProgramID
 	Attempt AttemptID
 	Used    uint32
@@ -56,36 +56,36 @@
 	Size uint32
 }
 
-// Keep adds a turn that ended whole to the index.
-type Keep struct {
+// IndexEntry adds a turn that ended whole to the index.
+type IndexEntry struct {
 	Program ProgramID
 	Turn    TurnID
 	// Chain holds the locations of the turn's predecessors, the oldest first, and
 	// of the turn itself.
 	Chain []Location
-	// For is how long the turn is kept.
-	For time.Duration
-	// Resident is where the turn ran. Records of earlier versions don't tell it.
-	Resident Resident
+	// Retention is how long the turn is kept.
+	Retention time.Duration
+	// CacheLocation is where the turn ran. Records of earlier versions don't tell it.
+	CacheLocation CacheLocation
 }
 
-// Resident tells which replica holds a turn's prompt and output in its memory.
-type Resident struct {
+// CacheLocation tells which replica holds a turn's prompt and output in its memory.
+type CacheLocation struct {
 	// Instance is the replica; empty if not known.
 	Instance string
 	// Tokens is the length of prompt and output.
 	Tokens uint32
 }
 
-// Own makes a life of a node the partition's owner. Only an owner may hand out
+// OwnershipClaim makes a life of a node the partition's owner. Only an owner may hand out
 // tokens ahead of the log.
-type Own struct{ Life LifeID }
+type OwnershipClaim struct{ Incarnation IncarnationID }
 
-// Release ends the ownership of a life that has nothing ahead of the log any more.
-type Release struct{ Life LifeID }
+// OwnershipRelease ends the ownership of a life that has nothing ahead of the log any more.
+type OwnershipRelease struct{ Incarnation IncarnationID }
 
-// LifeID names one life of a process. It is unique.
-type LifeID string
+// IncarnationID names one life of a process. It is unique.
+type IncarnationID string
 
 // Record is a Reserve, Settle, Keep, Own, Release or Text.
 type Record interface{ encode() []byte }
@@ -110,41 +110,45 @@
 // Encode returns the record's bytes.
 func Encode(record Record) []byte { return record.encode() }
 
-func (r Reserve) encode() []byte {
+func (r Reservation) encode() []byte {
 	encoded := appendText([]byte{byte(kindReserve)}, string(r.Program))
 	encoded = binary.BigEndian.AppendUint64(encoded, uint64(r.Attempt))
-	for _, tokens := range []uint32{r.Budget, r.Most, r.Least, r.Wanted} {
+	for _, tokens := range []uint32{r.Budget, r.MaxTurnTokens, r.MinTokens, r.WantedTokens} {
 		encoded = binary.BigEndian.AppendUint32(encoded, tokens)
 	}
 	sure := byte(0)
-	if r.Sure {
+	if r.Exclusive {
 		sure = 1
 	}
-	return appendText(append(encoded, sure), string(r.Life))
+	return appendText(append(encoded, sure), string(r.Incarnation))
 }
 
-func (r Own) encode() []byte { return appendText([]byte{byte(kindOwn)}, string(r.Life)) }
+func (r OwnershipClaim) encode() []byte {
+	return appendText([]byte{byte(kindOwn)}, string(r.Incarnation))
+}
 
-func (r Release) encode() []byte { return appendText([]byte{byte(kindRelease)}, string(r.Life)) }
+func (r OwnershipRelease) encode() []byte {
+	return appendText([]byte{byte(kindRelease)}, string(r.Incarnation))
+}
 
-func (r Settle) encode() []byte {
+func (r Settlement) encode() []byte {
 	encoded := appendText([]byte{byte(kindSettle)}, string(r.Program))
 	encoded = binary.BigEndian.AppendUint64(encoded, uint64(r.Attempt))
 	return binary.BigEndian.AppendUint32(encoded, r.Used)
 }
 
-func (r Keep) encode() []byte {
+func (r IndexEntry) encode() []byte {
 	encoded := appendText([]byte{byte(kindKeep)}, string(r.Program))
 	encoded = appendText(encoded, string(r.Turn))
-	encoded = binary.BigEndian.AppendUint32(encoded, uint32(r.For/time.Millisecond))
+	encoded = binary.BigEndian.AppendUint32(encoded, uint32(r.Retention/time.Millisecond))
 	encoded = binary.BigEndian.AppendUint16(encoded, uint16(len(r.Chain)))
 	for _, location := range r.Chain {
 		encoded = binary.BigEndian.AppendUint16(encoded, location.Partition)
 		encoded = binary.BigEndian.AppendUint64(encoded, location.Offset)
 		encoded = binary.BigEndian.AppendUint32(encoded, location.Size)
 	}
-	encoded = appendText(encoded, r.Resident.Instance)
-	return binary.BigEndian.AppendUint32(encoded, r.Resident.Tokens)
+	encoded = appendText(encoded, r.CacheLocation.Instance)
+	return binary.BigEndian.AppendUint32(encoded, r.CacheLocation.Tokens)
 }
 
 func appendText(encoded []byte, text string) []byte {
@@ -161,19 +165,19 @@
 	var record Record
 	switch recordKind(encoded[0]) {
 	case kindReserve:
-		record = Reserve{
+		record = Reservation{
 			Program: ProgramID(reader.text()), Attempt: AttemptID(reader.uint64()),
-			Budget: reader.uint32(), Most: reader.uint32(), Least: reader.uint32(), Wanted: reader.uint32(),
-			Sure: reader.take(1)[0] == 1, Life: LifeID(reader.text()),
+			Budget: reader.uint32(), MaxTurnTokens: reader.uint32(), MinTokens: reader.uint32(), WantedTokens: reader.uint32(),
+			Exclusive: reader.take(1)[0] == 1, Incarnation: IncarnationID(reader.text()),
 		}
 	case kindSettle:
-		record = Settle{Program: ProgramID(reader.text()), Attempt: AttemptID(reader.uint64()), Used: reader.uint32()}
+		record = Settlement{Program: ProgramID(reader.text()), Attempt: AttemptID(reader.uint64()), Used: reader.uint32()}
 	case kindKeep:
 		record = reader.keep()
 	case kindOwn:
-		record = Own{Life: LifeID(reader.text())}
+		record = OwnershipClaim{Incarnation: IncarnationID(reader.text())}
 	case kindRelease:
-		record = Release{Life: LifeID(reader.text())}
+		record = OwnershipRelease{Incarnation: IncarnationID(reader.text())}
 	case kindText:
 		record = Text{Bytes: reader.take(len(reader.rest))}
 	default:
@@ -207,10 +211,10 @@
 func (f *fields) uint64() uint64 { return binary.BigEndian.Uint64(f.take(8)) }
 func (f *fields) text() string   { return string(f.take(int(f.uint16()))) }
 
-func (f *fields) keep() Keep {
-	record := Keep{
+func (f *fields) keep() IndexEntry {
+	record := IndexEntry{
 		Program: ProgramID(f.text()), Turn: TurnID(f.text()),
-		For: time.Duration(f.uint32()) * time.Millisecond,
+		Retention: time.Duration(f.uint32()) * time.Millisecond,
 	}
 	count := int(f.uint16())
 	if count > maxChain || count*LocationBytes > len(f.rest) {
@@ -221,7 +225,7 @@
 		record.Chain = append(record.Chain, Location{Partition: f.uint16(), Offset: f.uint64(), Size: f.uint32()})
 	}
 	if len(f.rest) > 0 {
-		record.Resident = Resident{Instance: f.text(), Tokens: f.uint32()}
+		record.CacheLocation = CacheLocation{Instance: f.text(), Tokens: f.uint32()}
 	}
 	return record
 }
--- a/internal/ledger/text.go
+++ b/internal/ledger/text.go
@@ -53,25 +53,25 @@
 	return int(l.Partition &^ indexFlag), true
 }
 
-// Readable tells whether the location is that of one record. A build before Text hands on
+// Resolved tells whether the location is that of one record. A build before Text hands on
 // what a Keep says of the record before it; such a location may mean any turn's text.
-func (l Location) Readable() bool { return l.Partition&indexFlag == 0 || l.Offset != recordBefore }
+func (l Location) Resolved() bool { return l.Partition&indexFlag == 0 || l.Offset != recordBefore }
 
 // resolved returns a chain of a Keep at an offset with the location of its own text.
 func resolved(chain []Location, offset uint64) []Location {
 	if len(chain) == 0 || offset == 0 {
 		return chain
 	}
-	if last := &chain[len(chain)-1]; !last.Readable() {
+	if last := &chain[len(chain)-1]; !last.Resolved() {
 		last.Offset = offset - 1
 	}
 	return chain
 }
 
-// TextRule bounds the texts in one partition of the index. It answers many large turns a
+// TextLimits bounds the texts in one partition of the index. It answers many large turns a
 // second: whoever takes a partition over reads all that it holds before it serves a turn,
 // and after the loss of all machines every partition is taken over at once.
-type TextRule struct {
+type TextLimits struct {
 	// Retain is how long the store keeps records.
 	Retain time.Duration
 	// WindowBytes bounds the texts that the records of the last Retain hold. Where turns
@@ -86,7 +86,7 @@
 const demandSpan = 30 * time.Second
 
 // demandBytes is the most that the texts of all turns of a demandSpan may be.
-func (r *TextRule) demandBytes() int {
+func (r *TextLimits) demandBytes() int {
 	if r.Retain <= demandSpan {
 		return r.WindowBytes
 	}
@@ -136,11 +136,11 @@
 	return sum
 }
 
-// LimitTexts sets the rule for the partition's texts; without one it takes none.
-func (p *Partition) LimitTexts(rule TextRule) { p.rule = rule }
+// SetTextLimits sets the rule for the partition's texts; without one it takes none.
+func (p *Partition) SetTextLimits(rule TextLimits) { p.rule = rule }
 
-// TakesText tells whether one more text may stand in the partition.
-func (p *Partition) TakesText(size int, now time.Duration) bool {
+// AcceptsText tells whether one more text may stand in the partition.
+func (p *Partition) AcceptsText(size int, now time.Duration) bool {
 	p.texts.forget(now, p.rule.Retain)
 	p.demand.forget(now, demandSpan)
 	return size <= p.rule.TextBytes && p.texts.sum()+size <= p.rule.WindowBytes && p.demand.sum()+size <= p.rule.demandBytes()
--- a/internal/ledger/text_test.go
+++ b/internal/ledger/text_test.go
@@ -17,16 +17,16 @@
 		p.SkipTo(offset)
 		others := rapid.IntRange(0, 4).Draw(t, "others")
 		for range others {
-			p.Apply(Encode(Settle{Program: "p"}), 0)
+			p.Apply(Encode(Settlement{Program: "p"}), 0)
 		}
 		before := Location{Partition: 3, Offset: 9, Size: 20}
 		p.Apply(Encode(Text{Bytes: []byte("abc")}), 0)
-		p.Apply(Encode(Keep{Program: "p", Turn: "t", Chain: []Location{before, TextBefore(5, 3)}, For: time.Minute}), 0)
+		p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{before, TextBefore(5, 3)}, Retention: time.Minute}), 0)
 		kept, found := p.Turn("t")
 		if !found || len(kept.Chain) != 2 || kept.Chain[0] != before {
 			t.Fatalf("turn %+v", kept)
 		}
-		if want := TextAt(5, offset+uint64(others), 3); kept.Chain[1] != want || !want.Readable() {
+		if want := TextAt(5, offset+uint64(others), 3); kept.Chain[1] != want || !want.Resolved() {
 			t.Fatalf("text at %+v, not %+v", kept.Chain[1], want)
 		}
 	})
@@ -35,10 +35,10 @@
 func TestKeepWithoutARecordBeforeItHasNoText(t *testing.T) {
 	is := is.New(t)
 	p := NewPartition()
-	p.Apply(Encode(Keep{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, 3)}, For: time.Minute}), 0)
+	p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, 3)}, Retention: time.Minute}), 0)
 	kept, found := p.Turn("t")
 	is.True(found) // 404 is for turns that are not kept
-	is.True(!kept.Chain[0].Readable())
+	is.True(!kept.Chain[0].Resolved())
 }
 
 func TestPlaceOfATextIsToldByItsLocation(t *testing.T) {
@@ -55,10 +55,10 @@
 // TestTakeOverReadsFewBytesOfTexts: whatever the rate and the sizes, the texts that the
 // store holds at any time are within the window, and a low rate finds room always.
 func TestTakeOverReadsFewBytesOfTexts(t *testing.T) {
-	rule := TextRule{Retain: time.Minute, WindowBytes: 10_000, TextBytes: 1_000}
+	rule := TextLimits{Retain: time.Minute, WindowBytes: 10_000, TextBytes: 1_000}
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPartition()
-		p.LimitTexts(rule)
+		p.SetTextLimits(rule)
 		type written struct {
 			at    time.Duration
 			bytes int
@@ -68,14 +68,14 @@
 		for range rapid.IntRange(1, 400).Draw(t, "texts") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			size := rapid.IntRange(0, 1_500).Draw(t, "size")
-			if !p.TakesText(size, now) {
+			if !p.AcceptsText(size, now) {
 				continue
 			}
 			if size > rule.TextBytes {
 				t.Fatalf("a text of %d bytes", size)
 			}
 			p.Apply(Encode(Text{Bytes: make([]byte, size)}), now)
-			p.Apply(Encode(Keep{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, size)}}), now)
+			p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, size)}}), now)
 			held = append(held, written{now, size})
 			sum := 0
 			for _, one := range held {
@@ -87,7 +87,7 @@
 				t.Fatalf("%d bytes in the last minute", sum)
 			}
 		}
-		if now += rule.Retain + 2*textSlot; !p.TakesText(rule.TextBytes, now) {
+		if now += rule.Retain + 2*textSlot; !p.AcceptsText(rule.TextBytes, now) {
 			t.Fatal("no room though all texts are gone")
 		}
 	})
@@ -102,22 +102,22 @@
 // store's retention, hardly any stands in the partition, not even at first; where they
 // would not, all do.
 func TestManyTurnsLeaveTheirTextsOut(t *testing.T) {
-	rule := TextRule{Retain: 5 * time.Minute, WindowBytes: 64 << 10, TextBytes: 4 << 10}
+	rule := TextLimits{Retain: 5 * time.Minute, WindowBytes: 64 << 10, TextBytes: 4 << 10}
 	for bytesPerSecond, least := range map[int]float64{50: 1, 150: 1, 20_000: 0} {
 		is := is.New(t)
 		p := NewPartition()
-		p.LimitTexts(rule)
+		p.SetTextLimits(rule)
 		const size, seconds = 1_000, 900
 		taken, turns := 0, bytesPerSecond*seconds/size
 		for i := range turns {
 			now := time.Duration(i) * seconds * time.Second / time.Duration(turns)
 			location := Location{Partition: 3, Offset: 9, Size: size}
-			if p.TakesText(size, now) {
+			if p.AcceptsText(size, now) {
 				taken++
 				p.Apply(Encode(Text{Bytes: make([]byte, size)}), now)
 				location = TextBefore(5, size)
 			}
-			p.Apply(Encode(Keep{Program: "p", Turn: "t", Chain: []Location{location}}), now)
+			p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{location}}), now)
 			is.True(textsIn(p, now) <= rule.WindowBytes)
 		}
 		share := float64(taken) / float64(turns)
@@ -129,12 +129,12 @@
 func TestTextsThatATakeOverHasReadCount(t *testing.T) {
 	is := is.New(t)
 	p := NewPartition()
-	p.LimitTexts(TextRule{Retain: time.Minute, WindowBytes: 100, TextBytes: 50})
+	p.SetTextLimits(TextLimits{Retain: time.Minute, WindowBytes: 100, TextBytes: 50})
 	p.Apply(Encode(Text{Bytes: make([]byte, 40)}), 0)
 	p.NoteText(40, 0)
-	is.True(!p.TakesText(30, 0))
-	is.True(p.TakesText(20, 0))
-	is.True(!NewPartition().TakesText(1, 0)) // without a rule
+	is.True(!p.AcceptsText(30, 0))
+	is.True(p.AcceptsText(20, 0))
+	is.True(!NewPartition().AcceptsText(1, 0)) // without a rule
 }
 
 func TestTextOfARecord(t *testing.T) {
@@ -142,7 +142,7 @@
 	text, found := TextOf(Encode(Text{Bytes: []byte("abc")}))
 	is.True(found)
 	is.Equal(string(text), "abc")
-	_, found = TextOf(Encode(Own{Life: "n.1"}))
+	_, found = TextOf(Encode(OwnershipClaim{Incarnation: "n.1"}))
 	is.True(!found)
 	_, found = TextOf(nil)
 	is.True(!found)
--- a/internal/ledgerlog/appender.go
+++ b/internal/ledgerlog/appender.go
@@ -87,7 +87,7 @@
 // call whose answer was lost is repeated without writing twice.
 type appender struct {
 	store     logstore.Store
-	gate      Gate
+	gate      Availability
 	partition logstore.Partition
 	producer  string
 	callBytes int
@@ -167,7 +167,7 @@
 			return
 		}
 		a.gathering.called(len(batch), time.Now())
-		regained := a.gate.Regained()
+		regained := a.gate.Recovered()
 		err := a.write(batch)
 		if err == nil {
 			pause = minRetryPause
@@ -258,7 +258,7 @@
 	pause := minRetryPause
 	sent := time.Now()
 	for {
-		regained := a.gate.Regained()
+		regained := a.gate.Recovered()
 		result, err := a.call(records, unanswered, regained)
 		switch {
 		case err == nil:
@@ -270,10 +270,10 @@
 				"epoch", a.epoch, "sequence", a.sequence, "error", err)
 			a.epoch, a.sequence = a.epoch+1, 0
 			if unanswered > 0 {
-				a.fail(batch, fmt.Errorf("%w: %w", logstore.ErrAnswerLost, err))
+				a.fail(batch, fmt.Errorf("%w: %w", logstore.ErrOutcomeUnknown, err))
 				return nil
 			}
-		case errors.Is(err, logstore.ErrAnswerLost):
+		case errors.Is(err, logstore.ErrOutcomeUnknown):
 			unanswered++
 		case unanswered == 0:
 			return err
@@ -289,7 +289,7 @@
 // space spaces the calls after a refusal. That of a store that is away says nothing of how
 // many it takes.
 func (a *appender) space() {
-	if a.gate.Answers(a.partition) {
+	if a.gate.Available(a.partition) {
 		a.pacer.refused()
 		return
 	}
@@ -299,7 +299,7 @@
 // rest pauses after a failed call, unless the store has regained since it began. Where it
 // is known to be away, the gate paces, and the pause is short.
 func (a *appender) rest(pause time.Duration, regained <-chan struct{}) {
-	if !a.gate.Answers(a.partition) {
+	if !a.gate.Available(a.partition) {
 		pause = minRetryPause
 	}
 	sleepUntil(regained, pause)
@@ -310,7 +310,7 @@
 func (a *appender) call(records [][]byte, unanswered int, regained <-chan struct{}) (logstore.AppendResult, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.retransmission.timeout(unanswered))
 	defer cancel()
-	if !a.gate.Answers(a.partition) {
+	if !a.gate.Available(a.partition) {
 		go a.shorten(ctx, cancel, regained)
 	}
 	began := time.Now()
--- a/internal/ledgerlog/claim.go
+++ b/internal/ledgerlog/claim.go
@@ -27,12 +27,12 @@
 	if h.wantedSince == 0 {
 		h.wantedSince = now
 	}
-	if owner != "" && h.members.Lives(owner) && now-h.wantedSince < patience {
+	if owner != "" && h.members.IsAlive(owner) && now-h.wantedSince < patience {
 		return
 	}
 	h.leaving, h.wantedSince = false, 0
 	h.claimedAt = now
-	h.write(ledger.Own{Life: h.life})
+	h.write(ledger.OwnershipClaim{Incarnation: h.life})
 }
 
 // learnOwner reads the partition for the first time, in the background, and claims
@@ -64,7 +64,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if owner == h.life && !h.claiming {
-		h.write(ledger.Release{Life: h.life})
+		h.write(ledger.OwnershipRelease{Incarnation: h.life})
 	}
 }
 
--- a/internal/ledgerlog/confirm_test.go
+++ b/internal/ledgerlog/confirm_test.go
@@ -33,12 +33,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		reads := newFollower(store.New())
-		time.Sleep(ledger.SureAfter + time.Second)
-		owned := [][]byte{ledger.Encode(ledger.Own{Life: "a"})}
-		reads.applyOwn(0, owned, ledger.ConfirmWithin+time.Millisecond)
-		is.Equal(reads.owner(), ledger.LifeID("a"))
+		time.Sleep(ledger.TakeoverDelay + time.Second)
+		owned := [][]byte{ledger.Encode(ledger.OwnershipClaim{Incarnation: "a"})}
+		reads.applyOwn(0, owned, ledger.ConfirmationTTL+time.Millisecond)
+		is.Equal(reads.owner(), ledger.IncarnationID("a"))
 		is.True(!reads.sure("a"))
-		reads.applyOwn(1, [][]byte{ledger.Encode(ledger.Settle{Program: "p"})}, time.Millisecond)
+		reads.applyOwn(1, [][]byte{ledger.Encode(ledger.Settlement{Program: "p"})}, time.Millisecond)
 		is.True(reads.sure("a")) // nobody else had written by then
 	})
 }
--- a/internal/ledgerlog/gather_test.go
+++ b/internal/ledgerlog/gather_test.go
@@ -79,8 +79,8 @@
 		time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Second) / float64(perSecond)))
 		running.Go(func() {
 			began := time.Now()
-			turn := ledger.Keep{Program: "p", Turn: ledger.TurnID(fmt.Sprint(i)), For: time.Minute}
-			if _, err := l.KeepText(ctx, turn, []byte(smallText), false); err != nil {
+			turn := ledger.IndexEntry{Program: "p", Turn: ledger.TurnID(fmt.Sprint(i)), Retention: time.Minute}
+			if _, err := l.PersistTurnWithText(ctx, turn, []byte(smallText), false); err != nil {
 				t.Error(err)
 			}
 			took[i] = time.Since(began)
--- a/internal/ledgerlog/holder.go
+++ b/internal/ledgerlog/holder.go
@@ -26,7 +26,7 @@
 	releasePatience = 4 * time.Second
 	// standInPatience is how long a stand-in leaves the ownership to an owner that lives. It
 	// would not be sure before, and the owner not when it comes back.
-	standInPatience = ledger.SureAfter
+	standInPatience = ledger.TakeoverDelay
 	// learnTimeout bounds the first read of a partition.
 	learnTimeout = 2 * time.Second
 	// awayPause is the time between two looks whether the store still answers.
@@ -43,8 +43,8 @@
 // holder holds this node's credits of one partition's programs and its ownership.
 type holder struct {
 	partition *partition
-	gate      Gate
-	life      ledger.LifeID
+	gate      Availability
+	life      ledger.IncarnationID
 	// members is set before the first turn.
 	members Members
 	clock   func() time.Duration
@@ -83,8 +83,8 @@
 	ID      ledger.GrantID
 	// Charged is what was known to stand against the budget before, in tokens.
 	Charged uint64
-	// Ahead tells that the log does not hold it yet.
-	Ahead bool
+	// Unlogged tells that the log does not hold it yet.
+	Unlogged bool
 	// First tells that the program has been handed out nothing before.
 	First bool
 }
@@ -111,7 +111,7 @@
 		}
 		err := h.refusal(request.Program)
 		refused++
-		if !errors.Is(err, ErrReserved) || refused >= reserveTries || wait.For(ctx, releasePause) != nil {
+		if !errors.Is(err, ErrBudgetReserved) || refused >= reserveTries || wait.For(ctx, releasePause) != nil {
 			return Grant{}, err
 		}
 	}
@@ -128,8 +128,8 @@
 			return nil
 		default:
 		}
-		if !h.gate.Answers(h.partition.appender.partition) {
-			return ErrStoreAway
+		if !h.gate.Available(h.partition.appender.partition) {
+			return ErrStoreUnavailable
 		}
 		select {
 		case <-call.done:
@@ -156,9 +156,9 @@
 // tryTake begins a turn if it fits. Otherwise it returns the reservation to wait
 // for; own tells that this turn has asked for it.
 func (h *holder) tryTake(request TurnRequest) (grant Grant, call *reservationCall, own bool) {
-	program, most, home := request.Program, request.Most, request.Home
+	program, most, home := request.Program, request.MaxTurnTokens, request.Coordinator
 	sure := h.sure()
-	reserves := home || sure || h.gate.Answers(h.partition.appender.partition)
+	reserves := home || sure || h.gate.Available(h.partition.appender.partition)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	held, known := h.credits[program]
@@ -173,14 +173,14 @@
 		own = true
 	}
 	if held.credit.Fits(most, held.ahead && sure) {
-		grant = Grant{Program: program, ID: request.ID, Charged: held.credit.Charged, Ahead: held.asking != nil, First: held.credit.Fresh()}
+		grant = Grant{Program: program, ID: request.ID, Charged: held.credit.Charged, Unlogged: held.asking != nil, First: held.credit.Fresh()}
 		held.credit.Open(grant.ID, most, h.clock())
 		if home && held.asking == nil && !held.dry && held.credit.Low() {
 			h.ask(held, most, true)
 		}
 		return grant, nil, false
 	}
-	if held.asking == nil && held.credit.Spent(most) {
+	if held.asking == nil && held.credit.Exhausted(most) {
 		return Grant{}, refusedCall, true
 	}
 	if held.asking == nil {
@@ -193,13 +193,13 @@
 // ask reserves more for a credit, in the background. It needs the mutex.
 func (h *holder) ask(held *heldCredit, most uint32, ample bool) {
 	attempt := ledger.AttemptID(rand.Uint64())
-	record := held.credit.Next(attempt, most, held.ahead, ample)
+	record := held.credit.NextReservation(attempt, most, held.ahead, ample)
 	h.reserve(held, record)
 }
 
 // reserve submits a reservation for a credit and takes its verdict, in the background. It
 // needs the mutex.
-func (h *holder) reserve(held *heldCredit, record ledger.Reserve) {
+func (h *holder) reserve(held *heldCredit, record ledger.Reservation) {
 	call, attempt := &reservationCall{done: make(chan struct{})}, record.Attempt
 	held.asking = call
 	h.partition.follower.expect(attempt)
@@ -209,7 +209,7 @@
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
 		if err == nil {
-			held.credit.Decided(verdict, h.settles)
+			held.credit.ApplyVerdict(verdict, h.settles)
 			call.granted = verdict.Granted > 0
 			held.dry = !call.granted
 		}
@@ -222,7 +222,7 @@
 // rebase reserves what a program's next turns need in place of what is reserved, with the
 // partition's next call. While the store is away, what is reserved stays.
 func (h *holder) rebase(program ledger.ProgramID) {
-	if !h.gate.Answers(h.partition.appender.partition) {
+	if !h.gate.Available(h.partition.appender.partition) {
 		return
 	}
 	h.mutex.Lock()
@@ -240,7 +240,9 @@
 }
 
 // settles tells whether a life may give back what it has reserved.
-func (h *holder) settles(life ledger.LifeID) bool { return life == h.life || h.members.MayLive(life) }
+func (h *holder) settles(life ledger.IncarnationID) bool {
+	return life == h.life || h.members.MayBeAlive(life)
+}
 
 // decide waits until a reservation stands in the log, however long that takes, and
 // returns the verdict.
@@ -251,7 +253,7 @@
 		return ledger.Verdict{}, outcome.err
 	}
 	for {
-		regained := h.gate.Regained()
+		regained := h.gate.Recovered()
 		err := h.partition.follower.readTo(context.Background(), outcome.first)
 		if verdict, known := h.partition.follower.verdict(attempt); known {
 			return verdict, nil
@@ -320,11 +322,11 @@
 	held, known := h.credits[program]
 	switch {
 	case !known:
-		return &SpentError{}
+		return &BudgetExhaustedError{}
 	case held.credit.Blocked():
-		return fmt.Errorf("%w: %d tokens are charged", ErrReserved, held.credit.Charged)
+		return fmt.Errorf("%w: %d tokens are charged", ErrBudgetReserved, held.credit.Charged)
 	}
-	return &SpentError{Charged: held.credit.Charged}
+	return &BudgetExhaustedError{Charged: held.credit.Charged}
 }
 
 // tidy settles credits that rest. Where this node is not the home, or stops, it
@@ -334,7 +336,7 @@
 	switch {
 	case !home:
 		rest = 0
-	case !h.gate.Answers(h.partition.appender.partition):
+	case !h.gate.Available(h.partition.appender.partition):
 		// Turns that can't be kept come back, and nothing can be reserved for them anew.
 		rest = grantLife
 	}
--- a/internal/ledgerlog/keeptext.go
+++ b/internal/ledgerlog/keeptext.go
@@ -18,21 +18,21 @@
 )
 
 // textRule returns the bounds of texts in a partition of the index.
-func (c *Config) textRule() ledger.TextRule {
+func (c *Config) textRule() ledger.TextLimits {
 	if c.Partitions > ledger.IndexPartitions {
-		return ledger.TextRule{}
+		return ledger.TextLimits{}
 	}
-	return ledger.TextRule{
+	return ledger.TextLimits{
 		Retain: c.Retain, WindowBytes: c.IndexTextBytes, TextBytes: min(c.IndexTextBytes/indexTexts, c.RecordBytes-textKindBytes),
 	}
 }
 
-// KeepText makes a turn and its text durable, where turn.Chain holds the turns before,
+// PersistTurnWithText makes a turn and its text durable, where turn.Chain holds the turns before,
 // and returns where the text stands. A small text goes before its place in the index, in
 // one call of the store, unless apart: the index is read by nodes that may not read the
 // text. Else the text goes to its own topic first. It tries until ctx ends. Errors wrap
 // ErrUnavailable.
-func (l *Ledger) KeepText(ctx context.Context, turn ledger.Keep, text []byte, apart bool) (ledger.Location, error) {
+func (l *Ledger) PersistTurnWithText(ctx context.Context, turn ledger.IndexEntry, text []byte, apart bool) (ledger.Location, error) {
 	number := l.Partition(turn.Program)
 	tried := 0
 	if !apart && l.mayHoldText(number, len(text)) {
@@ -59,12 +59,12 @@
 // answers there, as far as is known, and the partition has room.
 func (l *Ledger) mayHoldText(number, size int) bool {
 	p := l.partitions[number]
-	return l.config.Gate.Answers(p.appender.partition) && p.follower.takesText(size)
+	return l.config.Availability.Available(p.appender.partition) && p.follower.takesText(size)
 }
 
 // keepTogether writes a text and its turn in one call. Where the outcome is not known, the
 // turn may be kept again elsewhere.
-func (l *Ledger) keepTogether(ctx context.Context, number int, turn ledger.Keep, text []byte) (ledger.Location, error) {
+func (l *Ledger) keepTogether(ctx context.Context, number int, turn ledger.IndexEntry, text []byte) (ledger.Location, error) {
 	p := l.partitions[number]
 	turn.Chain = withLocation(turn.Chain, ledger.TextBefore(number, len(text)))
 	p.holder.rebase(turn.Program)
@@ -93,7 +93,7 @@
 		return false
 	}
 	now := f.clock()
-	takes := f.state.TakesText(size, now)
+	takes := f.state.AcceptsText(size, now)
 	f.tellRoom(now)
 	return takes
 }
@@ -102,9 +102,9 @@
 // largest again. It needs the mutex.
 func (f *follower) tellRoom(now time.Duration) {
 	const smallest = 1
-	room := f.state.TakesText(smallest, now)
+	room := f.state.AcceptsText(smallest, now)
 	if f.textsApart {
-		room = f.state.TakesText(f.largestText, now)
+		room = f.state.AcceptsText(f.largestText, now)
 	}
 	if room != f.textsApart {
 		return
@@ -136,7 +136,7 @@
 
 // indexText reads a text that stands in the index.
 func (t *textStore) indexText(ctx context.Context, location ledger.Location, partition int) ([]byte, error) {
-	if !location.Readable() {
+	if !location.Resolved() {
 		return nil, errTextShort
 	}
 	call, cancel := context.WithTimeout(ctx, readTimeout)
--- a/internal/ledgerlog/keeptext_test.go
+++ b/internal/ledgerlog/keeptext_test.go
@@ -22,7 +22,7 @@
 const smallText = "a small text"
 
 func keepText(ctx context.Context, l *Ledger, turn ledger.TurnID, chain []ledger.Location, text string) error {
-	_, err := l.KeepText(ctx, ledger.Keep{Program: "p", Turn: turn, Chain: chain, For: time.Minute}, []byte(text), false)
+	_, err := l.PersistTurnWithText(ctx, ledger.IndexEntry{Program: "p", Turn: turn, Chain: chain, Retention: time.Minute}, []byte(text), false)
 	return err
 }
 
@@ -49,7 +49,7 @@
 		l := newLedger(log, "a")
 		calls := func(turn ledger.TurnID, text string, apart bool) int {
 			before := log.Calls("append")
-			_, err := l.KeepText(within(t, time.Second), ledger.Keep{Program: "p", Turn: turn, For: 10 * time.Minute}, []byte(text), apart)
+			_, err := l.PersistTurnWithText(within(t, time.Second), ledger.IndexEntry{Program: "p", Turn: turn, Retention: 10 * time.Minute}, []byte(text), apart)
 			is.NoErr(err)
 			return log.Calls("append") - before
 		}
@@ -89,7 +89,7 @@
 		other := newLedger(log, "b")
 		kept, err := findTurn(within(t, time.Second), other, "p", ledger.TurnID(fmt.Sprint("t", turns-1)))
 		is.NoErr(err)
-		texts, all := other.Remembered(kept.Chain)
+		texts, all := other.CachedTexts(kept.Chain)
 		is.True(all)
 		is.Equal(string(texts[0]), fmt.Sprint("text of the turn ", turns-1))
 		is.True(other.texts.cached <= other.config.CacheBytes)
@@ -135,7 +135,7 @@
 		records := log.Records(l.of("p").follower.partition)
 		decoded, err := ledger.Decode(records[len(records)-1])
 		is.NoErr(err)
-		before := decoded.(ledger.Keep).Chain[0] // what a build before takes the chain for
+		before := decoded.(ledger.IndexEntry).Chain[0] // what a build before takes the chain for
 		is.True(int(before.Partition) >= l.Partitions())
 		result, err := log.Read(within(t, time.Second), logstore.ReadRequest{
 			Partition: logstore.Partition{Topic: "texts", Number: int(before.Partition)}, From: logstore.Offset(before.Offset),
@@ -168,7 +168,7 @@
 	}
 	turn := ledger.TurnID(fmt.Sprint("t", k.step))
 	text := strings.Repeat(fmt.Sprint(k.step, "."), draw/7%20)
-	_, err := node.KeepText(within(k.t, 900*time.Millisecond), ledger.Keep{Program: "p", Turn: turn, Chain: chain, For: time.Hour}, []byte(text), draw%17 == 0)
+	_, err := node.PersistTurnWithText(within(k.t, 900*time.Millisecond), ledger.IndexEntry{Program: "p", Turn: turn, Chain: chain, Retention: time.Hour}, []byte(text), draw%17 == 0)
 	if err == nil {
 		k.kept[turn], k.last = append(texts, text), turn
 	}
@@ -226,7 +226,7 @@
 	is := is.New(t)
 	lines := &strings.Builder{}
 	f := &follower{logger: slog.New(slog.NewTextHandler(lines, nil)), state: ledger.NewPartition(), largestText: 50}
-	f.state.LimitTexts(ledger.TextRule{Retain: time.Minute, WindowBytes: 100, TextBytes: 50})
+	f.state.SetTextLimits(ledger.TextLimits{Retain: time.Minute, WindowBytes: 100, TextBytes: 50})
 	f.tellRoom(0)
 	is.Equal(lines.String(), "")
 	f.state.NoteText(60, 0)
--- a/internal/ledgerlog/ledgerlog.go
+++ b/internal/ledgerlog/ledgerlog.go
@@ -23,51 +23,51 @@
 	// ErrUnavailable tells that the store could not be asked in time. Nothing may
 	// be concluded about budget or history.
 	ErrUnavailable = errors.New("ledgerlog: the ledger can't be reached")
-	// ErrStoreAway tells that the store takes nothing from this node for now. It wraps
+	// ErrStoreUnavailable tells that the store takes nothing from this node for now. It wraps
 	// ErrUnavailable.
-	ErrStoreAway = fmt.Errorf("%w: the store answers nothing", ErrUnavailable)
+	ErrStoreUnavailable = fmt.Errorf("%w: the store answers nothing", ErrUnavailable)
 	// ErrNoSuchTurn tells that the log holds no such turn, for certain.
 	ErrNoSuchTurn = errors.New("ledgerlog: no such turn")
-	// ErrReserved tells that what is left of the budget is reserved by other nodes,
+	// ErrBudgetReserved tells that what is left of the budget is reserved by other nodes,
 	// which may give some of it back.
-	ErrReserved = errors.New("ledgerlog: the rest of the budget is reserved elsewhere")
+	ErrBudgetReserved = errors.New("ledgerlog: the rest of the budget is reserved elsewhere")
 	// ErrAbandoned tells that whoever asked for the turn has said meanwhile that it
 	// does not take place.
 	ErrAbandoned = errors.New("ledgerlog: the turn was abandoned")
 )
 
-// SpentError tells that the budget does not hold one more attempt.
-type SpentError struct {
+// BudgetExhaustedError tells that the budget does not hold one more attempt.
+type BudgetExhaustedError struct {
 	// Charged is what stands against the budget, in tokens.
 	Charged uint64
 }
 
 // Error gives the charges.
-func (e *SpentError) Error() string {
+func (e *BudgetExhaustedError) Error() string {
 	return fmt.Sprintf("ledgerlog: budget spent, %d tokens are charged", e.Charged)
 }
 
 // tidyPause is the time between two looks for what rests.
 const tidyPause = 500 * time.Millisecond
 
-// Gate tells when calls of the store may go out. Reads need not wait: the store fails
+// Availability tells when calls of the store may go out. Reads need not wait: the store fails
 // those that may not go out at once.
-type Gate interface {
+type Availability interface {
 	// Await returns once an append to a partition may go out, or an error when ctx ends.
 	Await(ctx context.Context, place logstore.Partition) error
-	// Answers tells whether calls on a partition are answered, as far as is known.
-	Answers(place logstore.Partition) bool
-	// Regained returns a channel that is closed once the store, or a part of it, answers
+	// Available tells whether calls on a partition are answered, as far as is known.
+	Available(place logstore.Partition) bool
+	// Recovered returns a channel that is closed once the store, or a part of it, answers
 	// again.
-	Regained() <-chan struct{}
+	Recovered() <-chan struct{}
 }
 
 // openGate lets all calls out.
 type openGate struct{}
 
 func (openGate) Await(context.Context, logstore.Partition) error { return nil }
-func (openGate) Answers(logstore.Partition) bool                 { return true }
-func (openGate) Regained() <-chan struct{}                       { return nil }
+func (openGate) Available(logstore.Partition) bool               { return true }
+func (openGate) Recovered() <-chan struct{}                      { return nil }
 
 // Config is what a Ledger is made from. All fields but Gate and Registerer are required.
 type Config struct {
@@ -87,10 +87,10 @@
 	IndexTextBytes int
 	// CacheBytes bounds the texts of turns in memory.
 	CacheBytes int
-	// Gate is that of Store; nil lets all calls out.
-	Gate       Gate
-	Logger     *slog.Logger
-	Registerer prometheus.Registerer
+	// Availability is that of Store; nil lets all calls out.
+	Availability Availability
+	Logger       *slog.Logger
+	Registerer   prometheus.Registerer
 }
 
 // Ledger reserves and settles budgets and keeps turns. It is safe for concurrent use.
@@ -114,8 +114,8 @@
 
 // New returns a ledger that has read nothing yet.
 func New(config Config) *Ledger {
-	if config.Gate == nil {
-		config.Gate = openGate{}
+	if config.Availability == nil {
+		config.Availability = openGate{}
 	}
 	counted := newMetrics(config.Registerer)
 	began := time.Now()
@@ -130,17 +130,17 @@
 			clock: clock, state: ledger.NewPartition(), verdicts: map[ledger.AttemptID]*ledger.Verdict{},
 			logger: config.Logger, onText: built.texts.remember, largestText: rule.TextBytes,
 		}
-		reads.state.LimitTexts(rule)
+		reads.state.SetTextLimits(rule)
 		added := &partition{
 			follower: reads,
 			appender: &appender{
-				store: config.Store, gate: config.Gate, partition: place, producer: config.Producer, callBytes: config.CallBytes,
+				store: config.Store, gate: config.Availability, partition: place, producer: config.Producer, callBytes: config.CallBytes,
 				logger: config.Logger, metrics: counted, pacer: pace, retransmission: resend,
 				written: reads.applyOwn, epoch: 1,
 			},
 		}
 		added.holder = &holder{
-			partition: added, gate: config.Gate, life: ledger.LifeID(config.Producer), members: unknownMembers{}, clock: clock,
+			partition: added, gate: config.Availability, life: ledger.IncarnationID(config.Producer), members: unknownMembers{}, clock: clock,
 			credits: map[ledger.ProgramID]*heldCredit{}, abandoned: map[ledger.GrantID]time.Duration{},
 		}
 		built.partitions = append(built.partitions, added)
@@ -150,17 +150,17 @@
 
 // Members tells which lives of nodes go on.
 type Members interface {
-	// Lives tells whether a life is known to go on.
-	Lives(life ledger.LifeID) bool
-	// MayLive tells whether a life may go on, as far as that can be known yet.
-	MayLive(life ledger.LifeID) bool
+	// IsAlive tells whether a life is known to go on.
+	IsAlive(life ledger.IncarnationID) bool
+	// MayBeAlive tells whether a life may go on, as far as that can be known yet.
+	MayBeAlive(life ledger.IncarnationID) bool
 }
 
 // unknownMembers are those of a node that nobody tells of others.
 type unknownMembers struct{}
 
-func (unknownMembers) Lives(ledger.LifeID) bool   { return false }
-func (unknownMembers) MayLive(ledger.LifeID) bool { return true }
+func (unknownMembers) IsAlive(ledger.IncarnationID) bool    { return false }
+func (unknownMembers) MayBeAlive(ledger.IncarnationID) bool { return true }
 
 // SetMembers tells which lives go on. It is called at most once, before the first
 // turn; without it other nodes may live, but none is waited for.
@@ -180,22 +180,22 @@
 	// ID is chosen by whoever asks, so that it can end the turn without having
 	// heard of its beginning.
 	ID ledger.GrantID
-	// Budget is the program's, Most what the turn hands out at most, in tokens.
-	Budget, Most uint32
-	// Home tells whether this node should own the program's partition; StandIn that it does so
+	// Budget is the program's, MaxTurnTokens what the turn hands out at most, in tokens.
+	Budget, MaxTurnTokens uint32
+	// Coordinator tells whether this node should own the program's partition; Substitute that it does so
 	// in place of one that lives and may come back soon.
-	Home, StandIn bool
+	Coordinator, Substitute bool
 }
 
 // NewGrantID returns an id that no other turn has.
 func NewGrantID() ledger.GrantID { return ledger.GrantID(rand.Uint64()) }
 
-// Take begins a turn. Errors: a *SpentError, or one that wraps ErrUnavailable,
+// BeginTurn begins a turn. Errors: a *SpentError, or one that wraps ErrUnavailable,
 // ErrReserved or ErrAbandoned.
-func (l *Ledger) Take(ctx context.Context, request TurnRequest) (Grant, error) {
+func (l *Ledger) BeginTurn(ctx context.Context, request TurnRequest) (Grant, error) {
 	holder := l.of(request.Program).holder
-	if request.Home {
-		holder.claim(request.StandIn)
+	if request.Coordinator {
+		holder.claim(request.Substitute)
 	}
 	return holder.take(ctx, request)
 }
@@ -206,9 +206,9 @@
 	_ = l.partitions[partition].follower.readToEnd(ctx)
 }
 
-// Finish ends a turn that handed out used tokens. One that has not begun yet will
+// FinishTurn ends a turn that handed out used tokens. One that has not begun yet will
 // not begin any more.
-func (l *Ledger) Finish(program ledger.ProgramID, grant ledger.GrantID, used uint32) {
+func (l *Ledger) FinishTurn(program ledger.ProgramID, grant ledger.GrantID, used uint32) {
 	l.of(program).holder.finish(program, grant, used)
 }
 
@@ -224,15 +224,15 @@
 	for {
 		select {
 		case <-ticker.C:
-			l.Tidy(home)
+			l.SettleIdle(home)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Tidy settles what rests and gives up partitions that are at home elsewhere.
-func (l *Ledger) Tidy(home func(partition int) bool) {
+// SettleIdle settles what rests and gives up partitions that are at home elsewhere.
+func (l *Ledger) SettleIdle(home func(partition int) bool) {
 	for number, p := range l.partitions {
 		p.holder.tidy(home(number))
 	}
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -35,7 +35,7 @@
 	answers func() bool
 }
 
-func (g answeringGate) Answers(logstore.Partition) bool { return g.answers() }
+func (g answeringGate) Available(logstore.Partition) bool { return g.answers() }
 
 func within(t *testing.T, limit time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
@@ -44,7 +44,7 @@
 }
 
 // findTurn looks for a turn in its program's partition first, then in all.
-func findTurn(ctx context.Context, l *Ledger, program ledger.ProgramID, turn ledger.TurnID) (ledger.KeptTurn, error) {
+func findTurn(ctx context.Context, l *Ledger, program ledger.ProgramID, turn ledger.TurnID) (ledger.IndexedTurn, error) {
 	var partitions []int
 	for i := range l.Partitions() {
 		partitions = append(partitions, (l.Partition(program)+i)%l.Partitions())
@@ -54,7 +54,7 @@
 
 // take begins a turn under an id of its own.
 func take(ctx context.Context, l *Ledger, program ledger.ProgramID, budget, most uint32, home bool) (Grant, error) {
-	return l.Take(ctx, TurnRequest{Program: program, ID: NewGrantID(), Budget: budget, Most: most, Home: home})
+	return l.BeginTurn(ctx, TurnRequest{Program: program, ID: NewGrantID(), Budget: budget, MaxTurnTokens: most, Coordinator: home})
 }
 
 func TestBudgetIsSharedByAllNodes(t *testing.T) {
@@ -67,15 +67,15 @@
 			is.NoErr(err)
 			// Whether the budget is spent shows when the first turn ends.
 			_, err = take(within(t, time.Second), second, "p", 100, 60, false)
-			is.True(errors.Is(err, ErrReserved))
-			first.Finish(grant.Program, grant.ID, used)
+			is.True(errors.Is(err, ErrBudgetReserved))
+			first.FinishTurn(grant.Program, grant.ID, used)
 			is.NoErr(first.Stop(within(t, time.Second)))
 			_, err = take(within(t, time.Second), second, "p", 100, 60, false)
 			if used == 30 {
 				is.NoErr(err)
 				return
 			}
-			var spent *SpentError
+			var spent *BudgetExhaustedError
 			is.True(errors.As(err, &spent))
 			is.Equal(spent.Charged, uint64(60))
 		})
@@ -87,18 +87,18 @@
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			l := newLedger(store.New(), "a")
-			request := TurnRequest{Program: "p", ID: NewGrantID(), Budget: 100, Most: 60, Home: true}
+			request := TurnRequest{Program: "p", ID: NewGrantID(), Budget: 100, MaxTurnTokens: 60, Coordinator: true}
 			if early {
-				l.Finish(request.Program, request.ID, 0) // overtakes the request
+				l.FinishTurn(request.Program, request.ID, 0) // overtakes the request
 			}
-			_, err := l.Take(within(t, time.Second), request)
+			_, err := l.BeginTurn(within(t, time.Second), request)
 			is.Equal(errors.Is(err, ErrAbandoned), early)
-			l.Finish(request.Program, request.ID, 0)
+			l.FinishTurn(request.Program, request.ID, 0)
 			grant, err := take(within(t, time.Second), l, "p", 100, 60, true)
 			is.NoErr(err)
-			l.Finish(grant.Program, grant.ID, 60)
+			l.FinishTurn(grant.Program, grant.ID, 60)
 			_, err = take(within(t, time.Second), l, "p", 100, 60, true)
-			var spent *SpentError
+			var spent *BudgetExhaustedError
 			is.True(errors.As(err, &spent))
 		})
 	}
@@ -120,7 +120,7 @@
 		grant, err := take(within(t, time.Second), l, "p", 100, 60, false)
 		is.NoErr(err) // from the reservation that nobody waited for
 		is.Equal(log.Calls("append"), appends)
-		l.Finish(grant.Program, grant.ID, 40)
+		l.FinishTurn(grant.Program, grant.ID, 40)
 		_, err = take(within(t, time.Second), l, "p", 100, 60, false)
 		is.NoErr(err)
 	})
@@ -135,11 +135,11 @@
 		var away atomic.Bool
 		l := New(Config{
 			Store: log, Topic: "ledger", TextTopic: "texts", Partitions: 3, Producer: "a", RecordBytes: 64, CallBytes: 1 << 20,
-			CacheBytes: 1 << 10, Logger: slog.New(slog.DiscardHandler), Gate: answeringGate{answers: func() bool { return !away.Load() }},
+			CacheBytes: 1 << 10, Logger: slog.New(slog.DiscardHandler), Availability: answeringGate{answers: func() bool { return !away.Load() }},
 		})
 		grant, err := take(within(t, time.Second), l, "p", 1000, 60, true)
 		is.NoErr(err)
-		l.Finish(grant.Program, grant.ID, 40)
+		l.FinishTurn(grant.Program, grant.ID, 40)
 		time.Sleep(time.Second)
 		log.Fail(store.Fault{Busy: true})
 		began := time.Now()
@@ -148,19 +148,19 @@
 			away.Store(true)
 		}()
 		_, err = take(within(t, 5*time.Second), l, "q", 100, 60, false)
-		is.True(errors.Is(err, ErrStoreAway) && errors.Is(err, ErrUnavailable))
+		is.True(errors.Is(err, ErrStoreUnavailable) && errors.Is(err, ErrUnavailable))
 		is.True(time.Since(began) <= 360*time.Millisecond)
 		began = time.Now()
 		_, err = take(within(t, 5*time.Second), l, "r", 100, 60, false)
-		is.True(errors.Is(err, ErrStoreAway))
+		is.True(errors.Is(err, ErrStoreUnavailable))
 		is.Equal(time.Since(began), time.Duration(0))
 		for range 8 { // as long as its reservation lasts
 			if grant, err = take(within(t, 2*time.Second), l, "p", 1000, 60, true); err != nil {
 				break
 			}
-			l.Finish(grant.Program, grant.ID, 60)
+			l.FinishTurn(grant.Program, grant.ID, 60)
 		}
-		is.True(errors.Is(err, ErrStoreAway))
+		is.True(errors.Is(err, ErrStoreUnavailable))
 		is.Equal(time.Since(began), time.Duration(0))
 		log.Fail(store.Fault{})
 		away.Store(false)
@@ -178,7 +178,7 @@
 		for range 4 {
 			grant, err := take(within(t, time.Second), l, "p", 1000, 60, true)
 			is.NoErr(err)
-			l.Finish(grant.Program, grant.ID, 25)
+			l.FinishTurn(grant.Program, grant.ID, 25)
 		}
 		appends := log.Calls("append")
 		time.Sleep(time.Second)        // the first look, in the background, may come after the turns
@@ -214,7 +214,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Finish(grant.Program, grant.ID, 0)
+	l.FinishTurn(grant.Program, grant.ID, 0)
 	time.Sleep(time.Second)
 	if !l.of("p").holder.sure() {
 		t.Fatal("not a sure owner")
@@ -247,8 +247,8 @@
 				is.True(errors.Is(err, ErrUnavailable))
 				break
 			}
-			is.True(grant.Ahead)
-			l.Finish(grant.Program, grant.ID, 80)
+			is.True(grant.Unlogged)
+			l.FinishTurn(grant.Program, grant.ID, 80)
 			handedOut += 80
 		}
 		is.Equal(handedOut, uint32(320)) // 350 ahead of the log
@@ -264,12 +264,12 @@
 		time.Sleep(2 * time.Second) // the call under way ends
 		grant, err := take(within(t, time.Second), l, program, 1000, 100, true)
 		is.NoErr(err)
-		is.True(!grant.Ahead)
-		l.Finish(grant.Program, grant.ID, 100)
+		is.True(!grant.Unlogged)
+		l.FinishTurn(grant.Program, grant.ID, 100)
 		is.NoErr(l.Stop(within(t, time.Second)))
 		is.NoErr(other.Stop(within(t, time.Second))) // it has reserved for the turn that it refused
 		_, err = take(within(t, time.Second), other, program, 1000, 600, true)
-		var spent *SpentError
+		var spent *BudgetExhaustedError
 		is.True(errors.As(err, &spent))
 		is.Equal(spent.Charged, uint64(420)) // nothing is forgotten
 	})
@@ -284,7 +284,7 @@
 func (c *cutStore) Append(ctx context.Context, request logstore.AppendRequest) (logstore.AppendResult, error) {
 	if c.silent.Load() {
 		<-ctx.Done()
-		return logstore.AppendResult{}, fmt.Errorf("%w: %w", logstore.ErrAnswerLost, ctx.Err())
+		return logstore.AppendResult{}, fmt.Errorf("%w: %w", logstore.ErrOutcomeUnknown, ctx.Err())
 	}
 	return c.Store.Append(ctx, request)
 }
@@ -301,7 +301,7 @@
 		_, err := take(within(t, time.Second), third, "p", 1000, 1, true)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		is.Equal(third.of("p").follower.owner(), ledger.LifeID("c"))
+		is.Equal(third.of("p").follower.owner(), ledger.IncarnationID("c"))
 		is.True(!third.of("p").holder.sure())
 		_, err = take(within(t, time.Second), second, samePartition(second, 1)[0], 1000, 1, true)
 		is.NoErr(err)
@@ -332,9 +332,9 @@
 		keep := func(turn ledger.TurnID, chain []ledger.Location, text string) {
 			location, err := first.WriteText(within(t, time.Second), []byte(text))
 			is.NoErr(err)
-			is.NoErr(first.Keep(within(t, time.Second), ledger.Keep{
-				Program: "p", Turn: turn, Chain: append(chain, location), For: time.Minute,
-				Resident: ledger.Resident{Instance: "replica", Tokens: 150},
+			is.NoErr(first.PersistTurn(within(t, time.Second), ledger.IndexEntry{
+				Program: "p", Turn: turn, Chain: append(chain, location), Retention: time.Minute,
+				CacheLocation: ledger.CacheLocation{Instance: "replica", Tokens: 150},
 			}))
 		}
 		keep("t1", nil, text)
@@ -346,7 +346,7 @@
 		for _, program := range []ledger.ProgramID{"p", "other", "third"} {
 			kept, err = findTurn(within(t, time.Second), restarted, program, "t2")
 			is.NoErr(err)
-			is.Equal(kept.Resident, ledger.Resident{Instance: "replica", Tokens: 150})
+			is.Equal(kept.CacheLocation, ledger.CacheLocation{Instance: "replica", Tokens: 150})
 			texts, err := restarted.Texts(within(t, time.Second), kept.Chain)
 			is.NoErr(err)
 			is.Equal(string(texts[0])+string(texts[1]), text+"y")
@@ -365,7 +365,7 @@
 			log.Fail(store.Fault{Silent: true, Partition: &down})
 			location, err := l.WriteText(within(t, 2*time.Second), []byte("text"))
 			is.NoErr(err)
-			is.NoErr(l.Keep(within(t, 2*time.Second), ledger.Keep{Program: "p", Turn: "t", Chain: []ledger.Location{location}, For: time.Minute}))
+			is.NoErr(l.PersistTurn(within(t, 2*time.Second), ledger.IndexEntry{Program: "p", Turn: "t", Chain: []ledger.Location{location}, Retention: time.Minute}))
 			// A node without any memory finds it as well, but proves no absence.
 			other := newLedger(log, "b")
 			kept, err := findTurn(within(t, 30*time.Second), other, "p", "t")
@@ -475,12 +475,12 @@
 		_, _ = take(within(s.t, 400*time.Millisecond), node, "p", 1<<20, 1, true)
 		return
 	}
-	request := TurnRequest{Program: s.program, ID: NewGrantID(), Budget: sharedBudget, Most: sharedMost, Home: draw/5%2 == 0}
+	request := TurnRequest{Program: s.program, ID: NewGrantID(), Budget: sharedBudget, MaxTurnTokens: sharedMost, Coordinator: draw/5%2 == 0}
 	abandoned := draw%11 == 0
 	if abandoned {
-		node.Finish(s.program, request.ID, 0) // overtakes the beginning
+		node.FinishTurn(s.program, request.ID, 0) // overtakes the beginning
 	}
-	grant, err := node.Take(within(s.t, 400*time.Millisecond), request)
+	grant, err := node.BeginTurn(within(s.t, 400*time.Millisecond), request)
 	if err != nil {
 		return
 	}
@@ -493,7 +493,7 @@
 	}
 	s.handedOut += used
 	if draw%13 != 0 {
-		node.Finish(grant.Program, grant.ID, used)
+		node.FinishTurn(grant.Program, grant.ID, used)
 	}
 	if draw%4 != 0 {
 		s.keep(node, draw)
@@ -502,8 +502,8 @@
 
 // keep keeps a turn, with which the program's credit is rebased, or fails to.
 func (s *schedule) keep(node *Ledger, draw int) {
-	turn := ledger.Keep{Program: s.program, Turn: ledger.TurnID(fmt.Sprint("t", draw)), For: time.Minute}
-	_ = node.Keep(within(s.t, 300*time.Millisecond), turn)
+	turn := ledger.IndexEntry{Program: s.program, Turn: ledger.TurnID(fmt.Sprint("t", draw)), Retention: time.Minute}
+	_ = node.PersistTurn(within(s.t, 300*time.Millisecond), turn)
 }
 
 // TestNodesNeverOverspendTogether lets several nodes take turns of one program
--- a/internal/ledgerlog/outage_test.go
+++ b/internal/ledgerlog/outage_test.go
@@ -33,7 +33,7 @@
 func gatedLedger(log logstore.Store, name string, partitions int) *Ledger {
 	gated := gatedstore.New(gatedstore.Config{Store: log, Logger: slog.New(slog.DiscardHandler)})
 	return New(Config{
-		Store: gated, Gate: gated, Topic: "ledger", TextTopic: "texts", Partitions: partitions, Producer: name,
+		Store: gated, Availability: gated, Topic: "ledger", TextTopic: "texts", Partitions: partitions, Producer: name,
 		RecordBytes: 64, CallBytes: 1 << 20, CacheBytes: 1 << 10, Logger: slog.New(slog.DiscardHandler),
 	})
 }
@@ -98,10 +98,10 @@
 		location, err := l.WriteText(within(t, time.Second), []byte("text"))
 		is.NoErr(err)
 		is.True(int(location.Partition) != l.Partition("p"))
-		is.NoErr(l.Keep(within(t, time.Second), ledger.Keep{Program: "p", Turn: "t", Chain: []ledger.Location{location}, For: time.Minute}))
+		is.NoErr(l.PersistTurn(within(t, time.Second), ledger.IndexEntry{Program: "p", Turn: "t", Chain: []ledger.Location{location}, Retention: time.Minute}))
 		is.Equal(time.Since(began), time.Duration(0))
 		_, err = take(within(t, 5*time.Second), l, "p", 100, 60, true)
-		is.True(errors.Is(err, ErrStoreAway))
+		is.True(errors.Is(err, ErrStoreUnavailable))
 		is.Equal(time.Since(began), time.Duration(0))
 		other := ledger.ProgramID("q")
 		for i := 0; l.Partition(other) == l.Partition("p"); i++ {
@@ -113,7 +113,7 @@
 		time.Sleep(time.Second)
 		grant, err := take(within(t, time.Second), l, "p", 100, 60, true)
 		is.NoErr(err) // by the reservation that was kept
-		l.Finish(grant.Program, grant.ID, 60)
+		l.FinishTurn(grant.Program, grant.ID, 60)
 		is.NoErr(l.Stop(within(t, time.Second)))
 	})
 }
@@ -156,13 +156,13 @@
 		l.of("p").submitNow([]byte{1})
 		time.Sleep(time.Second)
 		_, err = take(within(t, time.Second), l, "known", 100, 60, false)
-		is.True(errors.Is(err, ErrStoreAway))
+		is.True(errors.Is(err, ErrStoreUnavailable))
 		for i := range 100 {
 			_, err := take(within(t, time.Second), l, ledger.ProgramID(fmt.Sprint(i)), 100, 60, false)
-			is.True(errors.Is(err, ErrStoreAway))
+			is.True(errors.Is(err, ErrStoreUnavailable))
 		}
 		_, err = take(within(t, time.Second), l, "own", 100, 60, true)
-		is.True(errors.Is(err, ErrStoreAway))
+		is.True(errors.Is(err, ErrStoreUnavailable))
 		log.Fail(store.Fault{})
 		appends := log.Calls("append")
 		time.Sleep(time.Second)
@@ -170,9 +170,9 @@
 		for i := range 100 {
 			begun, err := take(within(t, time.Second), l, ledger.ProgramID(fmt.Sprint(i)), 100, 60, false)
 			is.NoErr(err)
-			l.Finish(begun.Program, begun.ID, 60)
+			l.FinishTurn(begun.Program, begun.ID, 60)
 		}
-		l.Finish(grant.Program, grant.ID, 60)
+		l.FinishTurn(grant.Program, grant.ID, 60)
 		is.NoErr(l.Stop(within(t, time.Second)))
 	})
 }
@@ -219,22 +219,22 @@
 		var away atomic.Bool
 		home := New(Config{
 			Store: store.New(), Topic: "ledger", TextTopic: "texts", Partitions: 1, Producer: "a", RecordBytes: 64, CallBytes: 1 << 20,
-			CacheBytes: 1 << 10, Gate: answeringGate{answers: func() bool { return !away.Load() }}, Logger: slog.New(slog.DiscardHandler),
+			CacheBytes: 1 << 10, Availability: answeringGate{answers: func() bool { return !away.Load() }}, Logger: slog.New(slog.DiscardHandler),
 		})
 		atHome := func(int) bool { return true }
 		begun, err := take(within(t, time.Second), home, "p", 1000, 100, true)
 		is.NoErr(err)
 		time.Sleep(time.Second) // the reservation stands
 		away.Store(true)
-		home.Finish(begun.Program, begun.ID, 10)
+		home.FinishTurn(begun.Program, begun.ID, 10)
 		for range 6 {
 			time.Sleep(time.Second)
-			home.Tidy(atHome)
+			home.SettleIdle(atHome)
 		}
 		again, err := take(within(t, time.Second), home, "p", 1000, 100, true)
 		is.NoErr(err)
 		away.Store(false)
-		home.Finish(again.Program, again.ID, 10)
+		home.FinishTurn(again.Program, again.ID, 10)
 		is.NoErr(home.Stop(within(t, time.Second)))
 	})
 }
--- a/internal/ledgerlog/reader.go
+++ b/internal/ledgerlog/reader.go
@@ -99,7 +99,7 @@
 }
 
 // owner returns the life that owns the partition, as far as it has been read.
-func (f *follower) owner() ledger.LifeID {
+func (f *follower) owner() ledger.IncarnationID {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.state.Owner()
@@ -113,10 +113,10 @@
 }
 
 // sure tells whether life may hand out tokens ahead of the log.
-func (f *follower) sure(life ledger.LifeID) bool {
+func (f *follower) sure(life ledger.IncarnationID) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.state.Sure(life, f.confirmed, f.clock())
+	return f.state.MayGrantUnlogged(life, f.confirmed, f.clock())
 }
 
 // apply needs the mutex.
@@ -221,7 +221,7 @@
 }
 
 // turn returns a kept turn, as far as the partition has been read.
-func (f *follower) turn(turn ledger.TurnID) (ledger.KeptTurn, bool) {
+func (f *follower) turn(turn ledger.TurnID) (ledger.IndexedTurn, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.state.Turn(turn)
@@ -229,12 +229,12 @@
 
 // find returns a kept turn, for which it reads the partition to its end unless the turn
 // is known.
-func (f *follower) find(ctx context.Context, turn ledger.TurnID) (kept ledger.KeptTurn, found bool, err error) {
+func (f *follower) find(ctx context.Context, turn ledger.TurnID) (kept ledger.IndexedTurn, found bool, err error) {
 	if kept, found = f.turn(turn); found {
 		return kept, true, nil
 	}
 	if err = f.readToEnd(ctx); err != nil {
-		return ledger.KeptTurn{}, false, err
+		return ledger.IndexedTurn{}, false, err
 	}
 	kept, found = f.turn(turn)
 	return kept, found, nil
--- a/internal/ledgerlog/rebase_test.go
+++ b/internal/ledgerlog/rebase_test.go
@@ -19,8 +19,8 @@
 		return err
 	}
 	time.Sleep(400 * time.Millisecond) // the turn runs
-	l.Finish(grant.Program, grant.ID, used)
-	return l.Keep(within(t, time.Second), ledger.Keep{Program: program, Turn: ledger.TurnID(fmt.Sprint("t", number)), For: time.Minute})
+	l.FinishTurn(grant.Program, grant.ID, used)
+	return l.PersistTurn(within(t, time.Second), ledger.IndexEntry{Program: program, Turn: ledger.TurnID(fmt.Sprint("t", number)), Retention: time.Minute})
 }
 
 // TestRebaseCostsNoCall: each kept turn is one call, which settles and reserves too. One more
--- a/internal/ledgerlog/release_test.go
+++ b/internal/ledgerlog/release_test.go
@@ -15,8 +15,8 @@
 // liveMembers are those of nodes that all live.
 type liveMembers struct{}
 
-func (liveMembers) Lives(ledger.LifeID) bool   { return true }
-func (liveMembers) MayLive(ledger.LifeID) bool { return true }
+func (liveMembers) IsAlive(ledger.IncarnationID) bool    { return true }
+func (liveMembers) MayBeAlive(ledger.IncarnationID) bool { return true }
 
 // turnAtAHelper begins a turn at a node that is no home, where both live.
 func turnAtAHelper(t *testing.T) (home, helper *Ledger, begun Grant) {
@@ -24,7 +24,7 @@
 	home, helper = newLedger(log, "a"), newLedger(log, "b")
 	home.SetMembers(liveMembers{})
 	helper.SetMembers(liveMembers{})
-	helper.Tidy(func(int) bool { return false })
+	helper.SettleIdle(func(int) bool { return false })
 	begun, err := take(within(t, time.Second), helper, "p", 100, 60, false)
 	is.New(t).NoErr(err)
 	return home, helper, begun
@@ -36,7 +36,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		home, helper, begun := turnAtAHelper(t)
-		helper.Finish(begun.Program, begun.ID, 10)
+		helper.FinishTurn(begun.Program, begun.ID, 10)
 		_, err := take(within(t, time.Second), home, "p", 100, 60, true)
 		is.NoErr(err)
 		time.Sleep(2 * time.Second) // what is written in the background ends
@@ -51,11 +51,11 @@
 			home, helper, begun := turnAtAHelper(t)
 			go func() {
 				time.Sleep(after)
-				helper.Finish(begun.Program, begun.ID, 0)
+				helper.FinishTurn(begun.Program, begun.ID, 0)
 			}()
 			asked := time.Now()
 			_, err := take(within(t, time.Second), home, "p", 100, 60, true)
-			is.Equal(errors.Is(err, ErrReserved), after == time.Second)
+			is.Equal(errors.Is(err, ErrBudgetReserved), after == time.Second)
 			is.True(time.Since(asked) < reserveTries*releasePause)
 			time.Sleep(2 * time.Second)
 		})
--- a/internal/ledgerlog/reservationcall.go
+++ b/internal/ledgerlog/reservationcall.go
@@ -19,7 +19,7 @@
 // leaves it to the home while the store is away. Else all nodes that clients come back to
 // would write a record for each turn that they refuse, and read its whole partition for the
 // verdict, in the first second after the store's return.
-var notReserved = ended(ErrStoreAway)
+var notReserved = ended(ErrStoreUnavailable)
 
 // refusedCall stands for a reservation that need not be asked for: the log would refuse it.
 var refusedCall = ended(nil)
--- a/internal/ledgerlog/texts.go
+++ b/internal/ledgerlog/texts.go
@@ -48,7 +48,7 @@
 func (t *textStore) answering(from int) int {
 	for i := range t.config.Partitions {
 		number := (from + i) % t.config.Partitions
-		if t.config.Gate.Answers(logstore.Partition{Topic: t.config.TextTopic, Number: number}) {
+		if t.config.Availability.Available(logstore.Partition{Topic: t.config.TextTopic, Number: number}) {
 			return number
 		}
 	}
@@ -63,7 +63,7 @@
 	used, known := t.appenders[t.partition]
 	if !known {
 		used = &appender{
-			store: t.config.Store, gate: t.config.Gate, partition: logstore.Partition{Topic: t.config.TextTopic, Number: t.partition},
+			store: t.config.Store, gate: t.config.Availability, partition: logstore.Partition{Topic: t.config.TextTopic, Number: t.partition},
 			producer: t.config.Producer, callBytes: t.config.CallBytes, logger: t.config.Logger, metrics: t.metrics,
 			pacer: t.pacer, retransmission: t.retransmission, epoch: 1,
 		}
--- a/internal/ledgerlog/timeout_test.go
+++ b/internal/ledgerlog/timeout_test.go
@@ -35,7 +35,7 @@
 			before := log.Calls("append")
 			grant, err := take(within(t, 10*time.Second), l, "p", 1<<20, 60, false)
 			is.NoErr(err)
-			l.Finish(grant.Program, grant.ID, 60)
+			l.FinishTurn(grant.Program, grant.ID, 60)
 			return log.Calls("append") - before
 		}
 		turn()
--- a/internal/ledgerlog/turns.go
+++ b/internal/ledgerlog/turns.go
@@ -18,14 +18,16 @@
 	return location, nil
 }
 
-// Keep adds a turn to the index. When it returns without an error, every node
+// PersistTurn adds a turn to the index. When it returns without an error, every node
 // finds the turn. While the program's own partition does not answer, another one
 // holds the record; a turn that is kept twice is kept. It tries until ctx ends.
 // Errors wrap ErrUnavailable.
-func (l *Ledger) Keep(ctx context.Context, turn ledger.Keep) error { return l.keepFrom(ctx, turn, 0) }
+func (l *Ledger) PersistTurn(ctx context.Context, turn ledger.IndexEntry) error {
+	return l.keepFrom(ctx, turn, 0)
+}
 
 // keepFrom is Keep where some partitions, from the program's own on, have been tried.
-func (l *Ledger) keepFrom(ctx context.Context, turn ledger.Keep, tried int) error {
+func (l *Ledger) keepFrom(ctx context.Context, turn ledger.IndexEntry, tried int) error {
 	record := [][]byte{ledger.Encode(turn)}
 	own := l.Partition(turn.Program)
 	for next := tried; ; {
@@ -48,7 +50,7 @@
 func (l *Ledger) keepPlace(own, try int) (*partition, int) {
 	at := func(i int) *partition { return l.partitions[(own+i%keepPartitions)%len(l.partitions)] }
 	for i := try; i < try+keepPartitions; i++ {
-		if place := at(i); l.config.Gate.Answers(place.appender.partition) {
+		if place := at(i); l.config.Availability.Available(place.appender.partition) {
 			return place, i + 1
 		}
 	}
@@ -75,21 +77,21 @@
 // Partitions returns how many partitions the ledger has.
 func (l *Ledger) Partitions() int { return len(l.partitions) }
 
-// Recall returns a kept turn that this node has read of, in whichever partition.
-func (l *Ledger) Recall(turn ledger.TurnID) (ledger.KeptTurn, bool) {
+// CachedTurn returns a kept turn that this node has read of, in whichever partition.
+func (l *Ledger) CachedTurn(turn ledger.TurnID) (ledger.IndexedTurn, bool) {
 	for _, p := range l.partitions {
 		if kept, found := p.follower.turn(turn); found {
 			return kept, true
 		}
 	}
-	return ledger.KeptTurn{}, false
+	return ledger.IndexedTurn{}, false
 }
 
 // Find returns a kept turn, from the first of the given partitions that holds it; each
 // is read to its end first unless the turn is known. One that can't be read only matters
 // if the turn is found in no other, since then it may stand there; numbers of no
 // partition are passed over. Errors wrap ErrNoSuchTurn or ErrUnavailable.
-func (l *Ledger) Find(ctx context.Context, turn ledger.TurnID, partitions ...int) (ledger.KeptTurn, error) {
+func (l *Ledger) Find(ctx context.Context, turn ledger.TurnID, partitions ...int) (ledger.IndexedTurn, error) {
 	absent := fmt.Errorf("%w: %s", ErrNoSuchTurn, turn)
 	for _, number := range partitions {
 		if number < 0 || number >= len(l.partitions) {
@@ -103,14 +105,14 @@
 			absent = fmt.Errorf("%w: look for turn %s: %w", ErrUnavailable, turn, err)
 		}
 	}
-	return ledger.KeptTurn{}, absent
+	return ledger.IndexedTurn{}, absent
 }
 
-// Remember keeps the text at a location in memory.
-func (l *Ledger) Remember(location ledger.Location, text []byte) { l.texts.remember(location, text) }
+// CacheText keeps the text at a location in memory.
+func (l *Ledger) CacheText(location ledger.Location, text []byte) { l.texts.remember(location, text) }
 
-// Remembered returns the texts of a chain if all of them are in memory.
-func (l *Ledger) Remembered(chain []ledger.Location) ([][]byte, bool) {
+// CachedTexts returns the texts of a chain if all of them are in memory.
+func (l *Ledger) CachedTexts(chain []ledger.Location) ([][]byte, bool) {
 	texts := make([][]byte, 0, len(chain))
 	for _, location := range chain {
 		text, found := l.texts.recall(location)
--- a/internal/limits/allot.go
+++ b/internal/limits/allot.go
@@ -77,7 +77,7 @@
 // allocatorOf returns the node that allots a tenant, or whether that is this one;
 // neither where this node does not know the others yet.
 func (s *Service) allocatorOf(tenant string) (identity.Node, bool) {
-	if s.config.Peers == nil || s.config.Way == WayShares {
+	if s.config.Peers == nil || s.config.Strategy == StrategyStaticShares {
 		return identity.Node{}, true
 	}
 	now := s.config.Now()
@@ -155,7 +155,7 @@
 // share is the part of each limit that this node may grant.
 func (s *Service) share(now time.Duration) float64 {
 	live, all := s.placement.counts(now)
-	if s.config.Way == WayShares {
+	if s.config.Strategy == StrategyStaticShares {
 		live = 1
 	}
 	return float64(live) / float64(all)
@@ -180,17 +180,17 @@
 	switch {
 	case len(left) > 0:
 		for _, one := range left {
-			s.allocator.Take(tenant, one, limit, now)
+			s.allocator.Import(tenant, one, limit, now)
 		}
 	case s.allocator.Has(tenant) && reached:
 		s.allocator.Verify(tenant, now)
 	case steady:
 		s.allocator.Fill(tenant, limit, now)
 	default:
-		s.allocator.Presume(tenant, limit, now)
+		s.allocator.FillConservatively(tenant, limit, now)
 	}
 	// Members may have come while others were asked.
-	s.allocator.Leave(func(other string) bool { return other == tenant && s.allottedElsewhere(tenant) }, s.limit, now)
+	s.allocator.Relinquish(func(other string) bool { return other == tenant && s.allottedElsewhere(tenant) }, s.limit, now)
 	delete(s.settling, tenant)
 	close(done)
 }
@@ -201,7 +201,7 @@
 func (s *Service) beginSettling(tenant string) (done chan struct{}, steady bool) {
 	for {
 		s.mutex.Lock()
-		if s.allocator.Settled(tenant) {
+		if s.allocator.Synchronized(tenant) {
 			s.mutex.Unlock()
 			return nil, false
 		}
@@ -215,7 +215,7 @@
 	defer s.mutex.Unlock()
 	done = make(chan struct{})
 	s.settling[tenant] = done
-	return done, s.config.Way == WayShares || s.config.Now()-s.changedAt > s.config.Policy.Span()
+	return done, s.config.Strategy == StrategyStaticShares || s.config.Now()-s.changedAt > s.config.Policy.Span()
 }
 
 // takeOver asks the nodes that may have allotted a tenant for what they have left. reached
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -53,39 +53,39 @@
 // OverLimitError tells that a tenant's limit holds no more for now.
 type OverLimitError struct {
 	Tenant string
-	// After is when there may be room again.
-	After time.Duration
-	// Begins tells that only requests that begin a program are refused.
-	Begins bool
+	// RetryAfter is when there may be room again.
+	RetryAfter time.Duration
+	// ProgramStart tells that only requests that begin a program are refused.
+	ProgramStart bool
 }
 
 // Error gives the tenant and when there may be room.
 func (e *OverLimitError) Error() string {
 	what := "requests"
-	if e.Begins {
+	if e.ProgramStart {
 		what = "programs"
 	}
-	return fmt.Sprintf("limits: tenant %s is at its limit of %s, room in %s", e.Tenant, what, e.After)
+	return fmt.Sprintf("limits: tenant %s is at its limit of %s, room in %s", e.Tenant, what, e.RetryAfter)
 }
 
-// Way is how a limit is shared among the nodes.
-type Way string
+// Strategy is how a limit is shared among the nodes.
+type Strategy string
 
 // The ways.
 const (
-	// WayAllocator lets one node a tenant hand out tokens.
-	WayAllocator Way = "allocator"
-	// WayShares gives each node an equal part of every limit. It needs no messages and
+	// StrategyAllocator lets one node a tenant hand out tokens.
+	StrategyAllocator Strategy = "allocator"
+	// StrategyStaticShares gives each node an equal part of every limit. It needs no messages and
 	// refuses what is under the limit where a tenant's clients are at few nodes.
-	WayShares Way = "shares"
+	StrategyStaticShares Strategy = "shares"
 )
 
 // Config is what a Service is made from. Peers is nil where there are no other nodes.
 type Config struct {
-	Self   identity.NodeName
-	Policy quota.Policy
-	Way    Way
-	Peers  peer.Client
+	Self     identity.NodeName
+	Policy   quota.Policy
+	Strategy Strategy
+	Peers    peer.Client
 	// Now is a monotonic reading.
 	Now        func() time.Duration
 	Logger     *slog.Logger
@@ -95,7 +95,7 @@
 // Service grants and asks for tokens. It is safe for concurrent use.
 type Service struct {
 	config    Config
-	source    quota.Source
+	source    quota.AllocatorID
 	placement *placement
 	metrics   *metrics
 	startedAt time.Duration
@@ -121,7 +121,7 @@
 // New returns a service that knows no other nodes.
 func New(config Config) *Service {
 	return &Service{
-		config: config, source: quota.Source(rand.Uint64()), placement: newPlacement(config.Self),
+		config: config, source: quota.AllocatorID(rand.Uint64()), placement: newPlacement(config.Self),
 		metrics: newMetrics(config.Registerer), startedAt: config.Now(), stocks: map[string]*stock{},
 		allocator: quota.NewAllocator(config.Policy), changedAt: config.Now(), settling: map[string]chan struct{}{},
 	}
@@ -139,9 +139,9 @@
 	defer s.mutex.Unlock()
 	s.changedAt = now
 	if returned {
-		s.allocator.Unsettle()
+		s.allocator.InvalidateAll()
 	}
-	s.allocator.Leave(s.allottedElsewhere, s.limit, now)
+	s.allocator.Relinquish(s.allottedElsewhere, s.limit, now)
 }
 
 // allottedElsewhere tells whether this node knows of another one that allots a tenant.
@@ -201,7 +201,7 @@
 		return
 	}
 	s.changedAt = now
-	s.allocator.StoodStill()
+	s.allocator.ProcessPaused()
 }
 
 // patience is how long a request waits for tokens now.
@@ -256,7 +256,7 @@
 	defer s.stocksMutex.Unlock()
 	found := s.stocks[tenant]
 	if found == nil {
-		found = &stock{service: s, tenant: tenant, quota: quota.NewStock(s.config.Policy, s.config.Now())}
+		found = &stock{service: s, tenant: tenant, quota: quota.NewTokenCache(s.config.Policy, s.config.Now())}
 		s.stocks[tenant] = found
 	}
 	return found
@@ -269,8 +269,8 @@
 	token quota.Token
 }
 
-// Begin asks for the right to begin a program. Errors: an *OverLimitError.
-func (p Permit) Begin(ctx context.Context) error {
+// StartProgram asks for the right to begin a program. Errors: an *OverLimitError.
+func (p Permit) StartProgram(ctx context.Context) error {
 	if p.stock == nil {
 		return nil
 	}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -232,7 +232,7 @@
 	is := is.New(t)
 	now := time.Duration(0)
 	service := New(Config{
-		Self: "a", Policy: sitePolicy, Way: WayAllocator, Peers: nobody{}, Now: func() time.Duration { return now }, Logger: slog.New(slog.DiscardHandler),
+		Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Peers: nobody{}, Now: func() time.Duration { return now }, Logger: slog.New(slog.DiscardHandler),
 	})
 	service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
 	service.SetView(twoOf("a"))
@@ -240,7 +240,7 @@
 		service.beat(now)
 	}
 	plenty := &ask{Tenant: siteTenant.Name, Request: quota.Request{Needed: quota.Amount{Requests: 999}}}
-	for _, most := range []float64{sitePolicy.Capacity(LimitOf(siteTenant)), sitePolicy.Spare(LimitOf(siteTenant))} {
+	for _, most := range []float64{sitePolicy.Capacity(LimitOf(siteTenant)), sitePolicy.Reserve(LimitOf(siteTenant))} {
 		answer, err := service.grant(t.Context(), plenty)
 		is.NoErr(err)
 		is.True(answer.Grant.Amount.Requests > 0)
@@ -263,7 +263,7 @@
 	is := is.New(t)
 	peers := &newcomer{}
 	service := New(Config{
-		Self: "a", Policy: sitePolicy, Way: WayAllocator, Peers: peers, Now: func() time.Duration { return 0 }, Logger: slog.New(slog.DiscardHandler),
+		Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Peers: peers, Now: func() time.Duration { return 0 }, Logger: slog.New(slog.DiscardHandler),
 	})
 	service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
 	view := twoOf("b")
@@ -310,7 +310,7 @@
 		began := time.Now()
 		peers := &lateAnswers{}
 		service := New(Config{
-			Self: "a", Policy: sitePolicy, Way: WayAllocator, Peers: peers, Now: func() time.Duration { return time.Since(began) },
+			Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Peers: peers, Now: func() time.Duration { return time.Since(began) },
 			Logger: slog.New(slog.DiscardHandler),
 		})
 		service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
@@ -457,14 +457,14 @@
 	is := is.New(t)
 	for _, sent := range []peer.Message{
 		&ask{Tenant: "acme", Source: 8, Request: quota.Request{
-			Needed: quota.Amount{Requests: 1, Begins: 2}, Wanted: quota.Amount{Requests: 3}, Spent: quota.Amount{Begins: 4},
+			Needed: quota.Amount{Requests: 1, ProgramStarts: 2}, Wanted: quota.Amount{Requests: 3}, Spent: quota.Amount{ProgramStarts: 4},
 			Returned: quota.Amount{Requests: 5},
 		}},
 		&granted{Elsewhere: true, Allocator: identity.Node{Name: "n", Incarnation: 3, PeerAddress: netip.MustParseAddrPort("10.0.0.1:7")}, Source: 9, Grant: quota.Grant{
-			Amount: quota.Amount{Requests: 7}, Roomy: true, RequestAfter: time.Second, BeginAfter: 2 * time.Second,
+			Amount: quota.Amount{Requests: 7}, BelowLimit: true, RequestAfter: time.Second, ProgramStartAfter: 2 * time.Second,
 		}},
 		&takeOver{Tenant: "acme"},
-		&takenOver{Known: true, Account: quota.Account{Requests: -1.5, Begins: 2, PerProgram: 7}},
+		&takenOver{Known: true, Account: quota.Account{Requests: -1.5, ProgramStarts: 2, PerProgram: 7}},
 	} {
 		encoder := wire.NewEncoder(nil)
 		sent.Encode(encoder)
@@ -514,7 +514,7 @@
 			message.Decode(wire.NewDecoder(encoded))
 		}
 		for _, amount := range []quota.Amount{asked.Request.Needed, asked.Request.Wanted, asked.Request.Returned, answered.Grant.Amount} {
-			if amount.Requests < 0 || amount.Requests > maxAmount || amount.Begins < 0 || amount.Begins > maxAmount {
+			if amount.Requests < 0 || amount.Requests > maxAmount || amount.ProgramStarts < 0 || amount.ProgramStarts > maxAmount {
 				t.Fatalf("%+v", amount)
 			}
 		}
@@ -531,10 +531,10 @@
 func BenchmarkAdmit(b *testing.B) {
 	now := time.Duration(0)
 	tenant := &routing.Tenant{Name: "acme", RatePerSecond: 1 << 20, Burst: 1 << 20}
-	service := New(Config{Self: "a", Policy: sitePolicy, Way: WayAllocator, Now: func() time.Duration { return now }, Logger: slog.New(slog.DiscardHandler)})
+	service := New(Config{Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Now: func() time.Duration { return now }, Logger: slog.New(slog.DiscardHandler)})
 	service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(tenant), true })
 	one := service.stock("acme")
-	one.quota.Granted(1, quota.Request{}, quota.Grant{Amount: quota.Amount{Requests: 1 << 30, Begins: 1 << 30}}, 0, 0)
+	one.quota.ApplyGrant(1, quota.Request{}, quota.Grant{Amount: quota.Amount{Requests: 1 << 30, ProgramStarts: 1 << 30}}, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		permit, err := service.Admit(b.Context(), tenant)
--- a/internal/limits/message.go
+++ b/internal/limits/message.go
@@ -21,7 +21,7 @@
 // ask asks the allocator of a tenant for tokens. What is returned was granted by Source.
 type ask struct {
 	Tenant  string
-	Source  quota.Source
+	Source  quota.AllocatorID
 	Request quota.Request
 }
 
@@ -50,7 +50,7 @@
 func (m *ask) Decode(d *wire.Decoder) {
 	m.Tenant = d.String()
 	m.Request.Needed, m.Request.Wanted, m.Request.Spent = decodeAmount(d), decodeAmount(d), decodeAmount(d)
-	m.Source, m.Request.Returned = quota.Source(d.Uint64()), decodeAmount(d)
+	m.Source, m.Request.Returned = quota.AllocatorID(d.Uint64()), decodeAmount(d)
 }
 
 // granted answers ask. Elsewhere tells that the answering node takes Allocator for the
@@ -58,7 +58,7 @@
 type granted struct {
 	Elsewhere bool
 	Allocator identity.Node
-	Source    quota.Source
+	Source    quota.AllocatorID
 	Grant     quota.Grant
 }
 
@@ -73,9 +73,9 @@
 	e.AddrPort(m.Allocator.PeerAddress)
 	e.Uint64(uint64(m.Source))
 	encodeAmount(e, m.Grant.Amount)
-	e.Bool(m.Grant.Roomy)
+	e.Bool(m.Grant.BelowLimit)
 	e.Duration(m.Grant.RequestAfter)
-	e.Duration(m.Grant.BeginAfter)
+	e.Duration(m.Grant.ProgramStartAfter)
 }
 
 // Decode implements peer.Message.
@@ -84,9 +84,9 @@
 	m.Allocator = identity.Node{
 		Name: identity.NodeName(d.String()), Incarnation: identity.Incarnation(d.Uint64()), PeerAddress: d.AddrPort(),
 	}
-	m.Source = quota.Source(d.Uint64())
-	m.Grant.Amount, m.Grant.Roomy = decodeAmount(d), d.Bool()
-	m.Grant.RequestAfter, m.Grant.BeginAfter = decodePause(d), decodePause(d)
+	m.Source = quota.AllocatorID(d.Uint64())
+	m.Grant.Amount, m.Grant.BelowLimit = decodeAmount(d), d.Bool()
+	m.Grant.RequestAfter, m.Grant.ProgramStartAfter = decodePause(d), decodePause(d)
 }
 
 // maxPause bounds what another node may ask this one to wait.
@@ -121,14 +121,14 @@
 func (m *takenOver) Encode(e *wire.Encoder) {
 	e.Bool(m.Known)
 	e.Float64(m.Account.Requests)
-	e.Float64(m.Account.Begins)
+	e.Float64(m.Account.ProgramStarts)
 	e.Float64(m.Account.PerProgram)
 }
 
 // Decode implements peer.Message.
 func (m *takenOver) Decode(d *wire.Decoder) {
 	m.Known = d.Bool()
-	m.Account = quota.Account{Requests: decodeTokens(d), Begins: decodeTokens(d), PerProgram: decodeTokens(d)}
+	m.Account = quota.Account{Requests: decodeTokens(d), ProgramStarts: decodeTokens(d), PerProgram: decodeTokens(d)}
 }
 
 // maxAmount bounds what one message may tell of a tenant.
@@ -144,9 +144,9 @@
 
 func encodeAmount(e *wire.Encoder, amount quota.Amount) {
 	e.Uint32(uint32(min(max(amount.Requests, 0), maxAmount)))
-	e.Uint32(uint32(min(max(amount.Begins, 0), maxAmount)))
+	e.Uint32(uint32(min(max(amount.ProgramStarts, 0), maxAmount)))
 }
 
 func decodeAmount(d *wire.Decoder) quota.Amount {
-	return quota.Amount{Requests: int(min(d.Uint32(), maxAmount)), Begins: int(min(d.Uint32(), maxAmount))}
+	return quota.Amount{Requests: int(min(d.Uint32(), maxAmount)), ProgramStarts: int(min(d.Uint32(), maxAmount))}
 }
--- a/internal/limits/metrics.go
+++ b/internal/limits/metrics.go
@@ -37,7 +37,7 @@
 	}
 	var over *OverLimitError
 	switch {
-	case errors.As(err, &over) && over.Begins:
+	case errors.As(err, &over) && over.ProgramStart:
 		m.programOverLimit.Inc()
 	case errors.As(err, &over):
 		m.overLimit.Inc()
--- a/internal/limits/network_test.go
+++ b/internal/limits/network_test.go
@@ -66,12 +66,12 @@
 	ran     []used
 	refused int
 	// sources names the lives that have given permits, events holds what decided who did.
-	sources map[quota.Source]string
+	sources map[quota.AllocatorID]string
 	events  []event
 }
 
 func newSite(ctx context.Context, seed uint64, count int) *site {
-	made := &site{random: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), sources: map[quota.Source]string{}}
+	made := &site{random: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), sources: map[quota.AllocatorID]string{}}
 	for number := range count {
 		made.nodes = append(made.nodes, &simulated{site: made})
 		made.start(ctx, number)
@@ -93,7 +93,7 @@
 	one.condition, one.leaving, one.end = sound, false, end
 	s.mutex.Unlock()
 	one.service = New(Config{
-		Self: one.node.Name, Policy: sitePolicy, Way: WayAllocator, Peers: carrier{one}, Now: s.now, Logger: slog.New(slog.DiscardHandler),
+		Self: one.node.Name, Policy: sitePolicy, Strategy: StrategyAllocator, Peers: carrier{one}, Now: s.now, Logger: slog.New(slog.DiscardHandler),
 	})
 	one.service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
 	s.mutex.Lock()
@@ -149,7 +149,7 @@
 	case err == nil && s.random.IntN(20) == 0:
 		go permit.Refund() // it was not run
 	case err == nil:
-		source, granted := permit.token.Source()
+		source, granted := permit.token.AllocatorID()
 		s.ran = append(s.ran, used{at: s.now(), node: slices.Index(s.nodes, one), source: source, own: !granted})
 	case ctx.Err() == nil:
 		s.refused++
--- a/internal/limits/status.go
+++ b/internal/limits/status.go
@@ -26,12 +26,12 @@
 	Burst         float64 `json:"burst"`
 	// Allocator is the node that hands out what may run.
 	Allocator string `json:"allocator"`
-	// Pace is what this node has lately served, in requests a second, and Refused what it
+	// RequestRate is what this node has lately served, in requests a second, and Refused what it
 	// has refused for the limit since the tenant was used first.
-	Pace    float64 `json:"pace"`
-	Refused uint64  `json:"refused"`
-	// Left is what the node's bucket holds, only where it is the allocator.
-	Left *float64 `json:"left,omitempty"`
+	RequestRate float64 `json:"pace"`
+	Refused     uint64  `json:"refused"`
+	// Remaining is what the node's bucket holds, only where it is the allocator.
+	Remaining *float64 `json:"left,omitempty"`
 }
 
 // Status returns the tenants that this node has served lately or allots, by name.
@@ -50,7 +50,7 @@
 	var found []TenantStatus
 	for tenant, account := range accounts {
 		status := s.describe(tenant)
-		status.Left = &account.Requests
+		status.Remaining = &account.Requests
 		if one := stocks[tenant]; one != nil {
 			one.describe(&status, now)
 		}
--- a/internal/limits/stock.go
+++ b/internal/limits/stock.go
@@ -16,13 +16,13 @@
 
 	// mutex guards all below; it is held for no call.
 	mutex sync.Mutex
-	quota *quota.Stock
+	quota *quota.TokenCache
 	// waiting counts the requests that wait for tokens.
 	waiting quota.Amount
 	// asking is closed once the question under way has been answered; nil if there is none.
 	asking chan struct{}
 	// source is the allocator that answered last.
-	source quota.Source
+	source quota.AllocatorID
 	// unansweredUntil is how long requests don't wait for an answer.
 	unansweredUntil time.Duration
 	// lastError is why; it wraps ErrNoAllocator.
@@ -36,7 +36,7 @@
 func (s *stock) describe(status *TenantStatus, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	status.Pace, status.Refused = s.quota.Pace(now), s.refused
+	status.RequestRate, status.Refused = s.quota.Rate(now), s.refused
 }
 
 // rounds bounds how often a request waits for an answer whose tokens others have taken.
@@ -53,7 +53,7 @@
 
 // takeBegin spends the right to begin a program, for which it waits where there is none.
 func (s *stock) takeBegin(ctx context.Context) error {
-	return s.acquire(ctx, quota.Amount{Begins: 1}, func() (<-chan struct{}, error) { return s.tryBegin(ctx) })
+	return s.acquire(ctx, quota.Amount{ProgramStarts: 1}, func() (<-chan struct{}, error) { return s.tryBegin(ctx) })
 }
 
 // acquire tries to spend what is needed, again after each answer that try has asked for.
@@ -66,7 +66,7 @@
 		s.await(ctx, asked)
 		s.endWait(needed)
 	}
-	return &OverLimitError{Tenant: s.tenant, After: s.service.config.Policy.Life(), Begins: needed.Begins > 0}
+	return &OverLimitError{Tenant: s.tenant, RetryAfter: s.service.config.Policy.TokenTTL(), ProgramStart: needed.ProgramStarts > 0}
 }
 
 // tryTake spends a token or tells why not; an answer that is asked for is to be waited for.
@@ -83,11 +83,11 @@
 	}
 	if after := s.quota.Refused(now); after > 0 {
 		s.refused++
-		return quota.Token{}, nil, &OverLimitError{Tenant: s.tenant, After: after}
+		return quota.Token{}, nil, &OverLimitError{Tenant: s.tenant, RetryAfter: after}
 	}
 	if now < s.unansweredUntil {
 		_, nodes := s.service.placement.counts(now)
-		if token, taken := s.quota.TakeAlone(limit, nodes, now); taken {
+		if token, taken := s.quota.TakeWithoutAllocator(limit, nodes, now); taken {
 			return token, nil, nil
 		}
 		return quota.Token{}, nil, s.lastError
@@ -99,17 +99,17 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.service.config.Now()
-	if s.quota.TakeBegin(now) {
+	if s.quota.TakeProgramStart(now) {
 		return nil, nil
 	}
-	if after := s.quota.BeginsRefused(now); after > 0 {
+	if after := s.quota.ProgramStartsRefused(now); after > 0 {
 		s.refused++
-		return nil, &OverLimitError{Tenant: s.tenant, After: after, Begins: true}
+		return nil, &OverLimitError{Tenant: s.tenant, RetryAfter: after, ProgramStart: true}
 	}
 	if now < s.unansweredUntil {
 		return nil, nil // the request has a token; without an allocator that will do
 	}
-	return s.waitLocked(ctx, quota.Amount{Begins: 1}, now), nil
+	return s.waitLocked(ctx, quota.Amount{ProgramStarts: 1}, now), nil
 }
 
 // waitLocked returns what is closed with the answer to wait for. endWait must be called
@@ -145,7 +145,7 @@
 	asked := make(chan struct{})
 	s.asking = asked
 	source := s.source
-	request := s.quota.Ask(source, s.waiting, now)
+	request := s.quota.NewRequest(source, s.waiting, now)
 	go func() {
 		answer, err := s.service.ask(context.WithoutCancel(ctx), &ask{Tenant: s.tenant, Source: source, Request: request})
 		s.mutex.Lock()
@@ -160,14 +160,14 @@
 func (s *stock) answered(request quota.Request, answer *granted, err error, asked time.Duration) {
 	now := s.service.config.Now()
 	if err != nil {
-		s.quota.Untold(request)
+		s.quota.RequestFailed(request)
 		if !errors.Is(err, errNoLimit) {
 			s.unansweredUntil, s.lastError = now+unansweredPause, err
 		}
 		return
 	}
 	s.source, s.unansweredUntil = answer.Source, 0
-	s.quota.Granted(answer.Source, request, answer.Grant, asked, now)
+	s.quota.ApplyGrant(answer.Source, request, answer.Grant, asked, now)
 }
 
 func (s *stock) refund(token quota.Token) {
--- a/internal/limits/trace_test.go
+++ b/internal/limits/trace_test.go
@@ -14,7 +14,7 @@
 type used struct {
 	at     time.Duration
 	node   int
-	source quota.Source
+	source quota.AllocatorID
 	// own tells that the node took it without an allocator.
 	own bool
 }
--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -21,16 +21,16 @@
 	form = 0x4c02
 	// headBytes and entryBytes are the sizes of a datagram's parts.
 	headBytes  = 2 + 2
-	entryBytes = 4 + Bytes
+	entryBytes = 4 + EncodedSize
 	// maxEntries keeps a datagram within the usual path MTU.
 	maxEntries = 170
-	// Pause is the time between two datagrams to one node.
-	Pause = 200 * time.Millisecond
+	// SendInterval is the time between two datagrams to one node.
+	SendInterval = 200 * time.Millisecond
 	// fanout is how many nodes get a datagram each time, so that the cost of a node
 	// does not grow with the site.
 	fanout = 16
-	// Life is how long what a node has told counts.
-	Life = time.Second
+	// ReportTTL is how long what a node has told counts.
+	ReportTTL = time.Second
 )
 
 // leastCoverage is the part of the other nodes from which on what is heard stands for all.
@@ -45,25 +45,25 @@
 		return 1
 	}
 	missed := 1 - float64(fanout)/float64(others)
-	return 1 - math.Pow(missed, float64(Life/Pause))
+	return 1 - math.Pow(missed, float64(ReportTTL/SendInterval))
 }
 
 // errForm tells that a datagram is not of this package.
 var errForm = errors.New("loads: unreadable datagram")
 
-// Key stands for a replica in a datagram. Two replicas may share one, which only
+// ReplicaKey stands for a replica in a datagram. Two replicas may share one, which only
 // makes both look busier.
-type Key uint32
+type ReplicaKey uint32
 
 // Load is what a node tells of one replica.
 type Load struct {
-	// UnderWay is how many of its requests are there; more than maxUnderWay count as
+	// InFlight is how many of its requests are there; more than maxUnderWay count as
 	// that many.
-	UnderWay int
-	// UnreadTokens is how much of its requests' prompts the replica has yet to read,
+	InFlight int
+	// PendingTokens is how much of its requests' prompts the replica has yet to read,
 	// rounded up to whole units of unreadUnit; more than maxUnread units count as that
 	// many.
-	UnreadTokens int
+	PendingTokens int
 	// Failing tells that requests have failed there lately.
 	Failing bool
 }
@@ -77,24 +77,24 @@
 	maxUnread   = 1<<16 - 1
 )
 
-// Bytes is the size of an encoded load.
-const Bytes = 2 + 2
+// EncodedSize is the size of an encoded load.
+const EncodedSize = 2 + 2
 
-// Plus adds up two loads of one replica.
-func (l Load) Plus(other Load) Load {
+// Add adds up two loads of one replica.
+func (l Load) Add(other Load) Load {
 	return Load{
-		UnderWay: l.UnderWay + other.UnderWay, UnreadTokens: l.UnreadTokens + other.UnreadTokens,
+		InFlight: l.InFlight + other.InFlight, PendingTokens: l.PendingTokens + other.PendingTokens,
 		Failing: l.Failing || other.Failing,
 	}
 }
 
 // Append encodes the load behind what is encoded already.
 func (l Load) Append(encoded []byte) []byte {
-	underWay := uint16(min(l.UnderWay, maxUnderWay))
+	underWay := uint16(min(l.InFlight, maxUnderWay))
 	if l.Failing {
 		underWay |= failingBit
 	}
-	unread := min((l.UnreadTokens+unreadUnit-1)/unreadUnit, maxUnread)
+	unread := min((l.PendingTokens+unreadUnit-1)/unreadUnit, maxUnread)
 	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(encoded, underWay), uint16(unread))
 }
 
@@ -102,16 +102,16 @@
 func DecodeLoad(encoded []byte) Load {
 	underWay := binary.BigEndian.Uint16(encoded)
 	return Load{
-		UnderWay: int(underWay & maxUnderWay), Failing: underWay&failingBit != 0,
-		UnreadTokens: int(binary.BigEndian.Uint16(encoded[2:])) * unreadUnit,
+		InFlight: int(underWay & maxUnderWay), Failing: underWay&failingBit != 0,
+		PendingTokens: int(binary.BigEndian.Uint16(encoded[2:])) * unreadUnit,
 	}
 }
 
-// KeyOf returns the key of a replica's instance.
-func KeyOf(instance string) Key { return Key(xxhash.Sum64String(instance)) }
+// HashReplica returns the key of a replica's instance.
+func HashReplica(instance string) ReplicaKey { return ReplicaKey(xxhash.Sum64String(instance)) }
 
 // Encode returns a datagram of the loads by replica.
-func Encode(told map[Key]Load) []byte {
+func Encode(told map[ReplicaKey]Load) []byte {
 	encoded := binary.BigEndian.AppendUint16(nil, form)
 	encoded = binary.BigEndian.AppendUint16(encoded, uint16(min(len(told), maxEntries)))
 	left := maxEntries
@@ -127,7 +127,7 @@
 }
 
 // Decode reads a datagram.
-func Decode(encoded []byte) (map[Key]Load, error) {
+func Decode(encoded []byte) (map[ReplicaKey]Load, error) {
 	if len(encoded) < headBytes || binary.BigEndian.Uint16(encoded) != form {
 		return nil, errForm
 	}
@@ -135,42 +135,42 @@
 	if len(encoded) != headBytes+count*entryBytes {
 		return nil, errForm
 	}
-	told := make(map[Key]Load, count)
+	told := make(map[ReplicaKey]Load, count)
 	for rest := encoded[headBytes:]; len(rest) > 0; rest = rest[entryBytes:] {
-		told[Key(binary.BigEndian.Uint32(rest))] = DecodeLoad(rest[4:])
+		told[ReplicaKey(binary.BigEndian.Uint32(rest))] = DecodeLoad(rest[4:])
 	}
 	return told, nil
 }
 
-// Exchange sends this node's loads and takes the others'.
-type Exchange struct {
+// Gossiper sends this node's loads and takes the others'.
+type Gossiper struct {
 	Conn *net.UDPConn
-	// Targets returns where the other nodes take datagrams, in a slice that may be changed.
-	Targets func() []netip.AddrPort
-	// Own returns this node's loads, Heard takes another's.
-	Own   func() map[Key]Load
-	Heard func(from netip.AddrPort, told map[Key]Load)
+	// Peers returns where the other nodes take datagrams, in a slice that may be changed.
+	Peers func() []netip.AddrPort
+	// Local returns this node's loads, Heard takes another's.
+	Local    func() map[ReplicaKey]Load
+	OnReport func(from netip.AddrPort, told map[ReplicaKey]Load)
 }
 
 // Run exchanges loads until ctx ends; then it closes the socket.
-func (e *Exchange) Run(ctx context.Context) {
+func (e *Gossiper) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = e.Conn.Close() })
 	defer stop()
 	go e.receive()
 	idle := false
 	for {
-		timer := time.NewTimer(Pause)
+		timer := time.NewTimer(SendInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		}
-		targets := e.Targets()
+		targets := e.Peers()
 		if Coverage(len(targets)) < leastCoverage {
 			continue
 		}
-		told := e.Own()
+		told := e.Local()
 		if idle && len(told) == 0 {
 			continue // it has been told already
 		}
@@ -188,14 +188,14 @@
 	return targets[:fanout]
 }
 
-func (e *Exchange) send(targets []netip.AddrPort, datagram []byte) {
+func (e *Gossiper) send(targets []netip.AddrPort, datagram []byte) {
 	for _, target := range targets {
 		// A datagram that can't be sent is a lost one.
 		_, _ = e.Conn.WriteToUDPAddrPort(datagram, target)
 	}
 }
 
-func (e *Exchange) receive() {
+func (e *Gossiper) receive() {
 	buffer := make([]byte, headBytes+(maxEntries+1)*entryBytes)
 	for {
 		size, from, err := e.Conn.ReadFromUDPAddrPort(buffer)
@@ -206,7 +206,7 @@
 			continue // such as the refusal of an earlier datagram by a node that is gone
 		}
 		if told, err := Decode(buffer[:size]); err == nil {
-			e.Heard(from, told)
+			e.OnReport(from, told)
 		}
 	}
 }
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -13,10 +13,10 @@
 
 func TestCountsSurviveADatagram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		counts := rapid.MapOfN(rapid.Custom(func(t *rapid.T) Key { return Key(rapid.Uint32().Draw(t, "key")) }), rapid.Custom(func(t *rapid.T) Load {
+		counts := rapid.MapOfN(rapid.Custom(func(t *rapid.T) ReplicaKey { return ReplicaKey(rapid.Uint32().Draw(t, "key")) }), rapid.Custom(func(t *rapid.T) Load {
 			return Load{
-				UnderWay: rapid.IntRange(0, maxUnderWay).Draw(t, "count"), Failing: rapid.Bool().Draw(t, "failing"),
-				UnreadTokens: unreadUnit * rapid.IntRange(0, maxUnread).Draw(t, "unread"),
+				InFlight: rapid.IntRange(0, maxUnderWay).Draw(t, "count"), Failing: rapid.Bool().Draw(t, "failing"),
+				PendingTokens: unreadUnit * rapid.IntRange(0, maxUnread).Draw(t, "unread"),
 			}
 		}), 0, maxEntries).Draw(t, "counts")
 		decoded, err := Decode(Encode(counts))
@@ -51,12 +51,12 @@
 	address := func(conn *net.UDPConn) netip.AddrPort { return netip.MustParseAddrPort(conn.LocalAddr().String()) }
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	heard := make(chan map[Key]Load, 10)
-	start := func(own, other *net.UDPConn, counts map[Key]Load) {
-		exchange := &Exchange{
-			Conn: own, Targets: func() []netip.AddrPort { return []netip.AddrPort{address(other)} },
-			Own: func() map[Key]Load { return counts },
-			Heard: func(from netip.AddrPort, counts map[Key]Load) {
+	heard := make(chan map[ReplicaKey]Load, 10)
+	start := func(own, other *net.UDPConn, counts map[ReplicaKey]Load) {
+		exchange := &Gossiper{
+			Conn: own, Peers: func() []netip.AddrPort { return []netip.AddrPort{address(other)} },
+			Local: func() map[ReplicaKey]Load { return counts },
+			OnReport: func(from netip.AddrPort, counts map[ReplicaKey]Load) {
 				if from == address(first) {
 					heard <- counts
 				}
@@ -64,11 +64,11 @@
 		}
 		go exchange.Run(ctx)
 	}
-	start(first, second, map[Key]Load{KeyOf("a"): {UnderWay: 3, UnreadTokens: 2 * unreadUnit, Failing: true}})
+	start(first, second, map[ReplicaKey]Load{HashReplica("a"): {InFlight: 3, PendingTokens: 2 * unreadUnit, Failing: true}})
 	start(second, first, nil)
 	select {
 	case counts := <-heard:
-		is.Equal(counts, map[Key]Load{KeyOf("a"): {UnderWay: 3, UnreadTokens: 2 * unreadUnit, Failing: true}})
+		is.Equal(counts, map[ReplicaKey]Load{HashReplica("a"): {InFlight: 3, PendingTokens: 2 * unreadUnit, Failing: true}})
 	case <-time.After(5 * time.Second):
 		t.Fatal("nothing heard")
 	}
@@ -85,7 +85,7 @@
 	is.Equal(Coverage(fanout), 1.0)
 	const others = 380
 	told := map[netip.AddrPort]bool{}
-	for range int(Life / Pause) {
+	for range int(ReportTTL / SendInterval) {
 		targets := make([]netip.AddrPort, 0, others)
 		for i := range others {
 			targets = append(targets, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 1))
