--- a/internal/loads/recorded_test.go
+++ b/internal/loads/recorded_test.go
@@ -10,7 +10,7 @@
 // TestRecordedBytesOfADatagram: what builds tell each other of loads stays as it is.
 func TestRecordedBytesOfADatagram(t *testing.T) {
 	is := is.New(t)
-	told := map[Key]Load{7: {UnderWay: 3, UnreadTokens: 2 * unreadUnit, Failing: true}}
+	told := map[ReplicaKey]Load{7: {InFlight: 3, PendingTokens: 2 * unreadUnit, Failing: true}}
 	const written = "4c0200010000000780030002"
 	is.Equal(hex.EncodeToString(Encode(told)), written)
 	encoded, err := hex.DecodeString(written)
@@ -21,6 +21,6 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(map[Key]Load{7: {UnderWay: 3}}))
+	f.Add(Encode(map[ReplicaKey]Load{7: {InFlight: 3}}))
 	f.Fuzz(func(_ *testing.T, encoded []byte) { _, _ = Decode(encoded) })
 }
--- a/internal/logstore/logstore.go
+++ b/internal/logstore/logstore.go
@@ -14,8 +14,8 @@
 var (
 	// ErrUnavailable tells that the call had no effect, for certain.
 	ErrUnavailable = errors.New("logstore: unavailable, nothing was done")
-	// ErrAnswerLost tells that the call may have had its effect, or may have it later.
-	ErrAnswerLost = errors.New("logstore: answer lost, the effect is unknown")
+	// ErrOutcomeUnknown tells that the call may have had its effect, or may have it later.
+	ErrOutcomeUnknown = errors.New("logstore: answer lost, the effect is unknown")
 	// ErrFenced tells that a higher epoch of the producer has been seen.
 	ErrFenced = errors.New("logstore: producer is fenced")
 	// ErrSequence tells that the producer's sequence number is not the next one.
--- a/internal/membership/announce_test.go
+++ b/internal/membership/announce_test.go
@@ -46,7 +46,7 @@
 			s.loss = 0.05
 			for i, n := range s.nodes {
 				if announced(i) {
-					s.send(n, n.state.AnnounceInfo(1, 700, true))
+					s.send(n, n.state.BroadcastInfo(1, 700, true))
 				}
 			}
 			told := (count + 2) / 3
@@ -69,5 +69,5 @@
 	s := newSimulation(3, 1, 5)
 	is.True(s.run(time.Minute, s.agreed))
 	s.nodes[0].state.Leave()
-	is.Equal(len(s.nodes[0].state.AnnounceInfo(1, 700, true)), 0)
+	is.Equal(len(s.nodes[0].state.BroadcastInfo(1, 700, true)), 0)
 }
--- a/internal/membership/contract.go
+++ b/internal/membership/contract.go
@@ -26,9 +26,9 @@
 	// life it only rises. Of a routed node, it is how often the store has ceased or begun to
 	// answer it, see homes.LacksStore.
 	TableVersion uint64
-	// Figure is what the node tells of itself: the shards that a site's node owns, or the
+	// Load is what the node tells of itself: the shards that a site's node owns, or the
 	// processor of a routed node in thousandths of a core; 0 where it tells nothing.
-	Figure uint32
+	Load uint32
 }
 
 // Reachable tells whether a member takes work as far as is known: it lives, or is suspected
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -126,9 +126,9 @@
 	r.state.SetInfo(tableVersion, figure)
 }
 
-// AnnounceInfo tells the others of this node without delay, see State.AnnounceInfo.
-func (r *Runner) AnnounceInfo(tableVersion uint64, figure uint32, everybody bool) {
-	r.act(func(time.Time) []Datagram { return r.state.AnnounceInfo(tableVersion, figure, everybody) })
+// BroadcastInfo tells the others of this node without delay, see State.BroadcastInfo.
+func (r *Runner) BroadcastInfo(tableVersion uint64, figure uint32, everybody bool) {
+	r.act(func(time.Time) []Datagram { return r.state.BroadcastInfo(tableVersion, figure, everybody) })
 }
 
 // AnnounceLeaving tells the others that this node wants no shards any more.
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -133,10 +133,10 @@
 	}
 }
 
-// AnnounceInfo is SetInfo for news that others act on: it is passed on like a change of this
+// BroadcastInfo is SetInfo for news that others act on: it is passed on like a change of this
 // node's condition, so that it does not wait until each has been probed. With everybody, all
 // live members are told at once.
-func (s *State) AnnounceInfo(tableVersion uint64, figure uint32, everybody bool) []Datagram {
+func (s *State) BroadcastInfo(tableVersion uint64, figure uint32, everybody bool) []Datagram {
 	if s.self.condition.gone() {
 		return nil
 	}
@@ -214,7 +214,7 @@
 			Node:         known.node,
 			Status:       known.condition.status(),
 			TableVersion: known.tableVersion,
-			Figure:       known.figure,
+			Load:         known.figure,
 		})
 	}
 	return view
--- a/internal/node/providers.go
+++ b/internal/node/providers.go
@@ -139,7 +139,7 @@
 		Board:      do.MustInvoke[*blackboard.Board](injector),
 		OwnerHint:  manager.OwnerHint,
 		Ranks: func(shard identity.ShardID, view membership.View, n int) []identity.Node {
-			return cache.For(view).Ranks(shard, n)
+			return cache.Get(view).Ranks(shard, n)
 		},
 		Logger: componentLogger(injector, "forwarding"),
 	}, do.MustInvoke[*peer.Registry](injector)), nil
@@ -209,7 +209,7 @@
 		Board:      do.MustInvoke[*blackboard.Board](injector),
 		Directory:  do.MustInvoke[backend.Directory](injector),
 		Weights:    do.MustInvoke[siteservices.WeightStore](injector),
-		Held:       do.MustInvoke[*journal.Manager](injector).Held,
+		OwnedEpoch: do.MustInvoke[*journal.Manager](injector).Held,
 		Demand:     do.MustInvoke[*models.Demand](injector),
 		Logger:     componentLogger(injector, "models"),
 		Registerer: do.MustInvoke[*prometheus.Registry](injector),
--- a/internal/nodestatus/nodestatus.go
+++ b/internal/nodestatus/nodestatus.go
@@ -10,8 +10,8 @@
 	Zone string `json:"zone"`
 	// Members is how many nodes it knows to live, itself among them.
 	Members int `json:"members"`
-	// Thousandths is its processor in thousandths of a core, by its settings.
-	Thousandths uint32 `json:"thousandths"`
+	// Millicores is its processor in thousandths of a core, by its settings.
+	Millicores uint32 `json:"thousandths"`
 	// Partitions are those of the ledger that it keeps.
 	Partitions []int `json:"partitions"`
 	// ReplicasKept is on how many replicas other nodes report to it.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,7 +28,7 @@
 func (outcomes) History() []table.Entry { return nil }
 
 func (outcomes) Version(context.Context, table.Version) (table.Record, error) {
-	return table.Record{}, tables.ErrForgotten
+	return table.Record{}, tables.ErrVersionNotRetained
 }
 
 func (o outcomes) Publish(_ context.Context, p tables.Publication) (table.Entry, error) {
@@ -85,10 +85,10 @@
 		notRun bool
 	}{
 		api.CodeInvalid:           {invalid, http.StatusUnprocessableEntity, true},
-		api.CodeTableConflict:     {&tables.LostError{Base: 4}, http.StatusConflict, true},
+		api.CodeTableConflict:     {&tables.ConflictError{Base: 4}, http.StatusConflict, true},
 		api.CodeConflict:          {tables.ErrIDReused, http.StatusConflict, true},
 		api.CodeLogUnavailable:    {tables.ErrNotPublished, http.StatusServiceUnavailable, true},
-		operator.CodeTableUnknown: {&tables.UnknownError{ID: "x"}, http.StatusServiceUnavailable, false},
+		operator.CodeTableUnknown: {&tables.OutcomeUnknownError{ID: "x"}, http.StatusServiceUnavailable, false},
 	} {
 		t.Run(string(code), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/operator/site.go
+++ b/internal/operator/site.go
@@ -124,7 +124,7 @@
 		status := NodeStatus{
 			Name: string(answer.member.Node.Name), Zone: string(answer.member.Node.Zone),
 			Region: string(answer.member.Node.Region), Incarnation: uint64(answer.member.Node.Incarnation),
-			TableInForce: table.Version(answer.member.TableVersion), Shards: int(answer.member.Figure),
+			TableInForce: table.Version(answer.member.TableVersion), Shards: int(answer.member.Load),
 		}
 		if reply, reached := answer.message.(*statusReply); reached {
 			status = reply.status
--- a/internal/operator/versions.go
+++ b/internal/operator/versions.go
@@ -33,7 +33,7 @@
 	}
 	record, err := o.config.Tables.Version(ctx, wanted)
 	switch {
-	case errors.Is(err, tables.ErrForgotten):
+	case errors.Is(err, tables.ErrVersionNotRetained):
 		return Table{}, refusal(http.StatusNotFound, CodeUnknownVersion, "version %d is not among the versions remembered; the newest is %d", wanted, state.Known)
 	case err != nil:
 		return Table{}, refusal(http.StatusServiceUnavailable, api.CodeLogUnavailable, "version %d stands in the log only, which cannot be read: %s", wanted, err)
@@ -66,9 +66,9 @@
 
 func publishProblem(asked Publication, err error) error {
 	var invalid *table.InvalidError
-	var lost *tables.LostError
+	var lost *tables.ConflictError
 	var base *tables.BaseError
-	var unknown *tables.UnknownError
+	var unknown *tables.OutcomeUnknownError
 	switch {
 	case errors.As(err, &invalid):
 		made := api.NewProblem(api.CodeInvalid, "the table has %d finding(s)", len(invalid.Findings))
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -14,32 +14,32 @@
 
 // The outcomes. Their numbers are sent to keepers.
 const (
-	// Served tells that the replica has answered as it should.
-	Served Outcome = 1 + iota
-	// Errors tells that it has answered with a failure of its own.
-	Errors
-	// Torn tells that its answer broke off or could not be read.
-	Torn
-	// Silent tells that nothing has come from it within patience, or that it closed the
+	// Success tells that the replica has answered as it should.
+	Success Outcome = 1 + iota
+	// ErrorResponse tells that it has answered with a failure of its own.
+	ErrorResponse
+	// BrokenResponse tells that its answer broke off or could not be read.
+	BrokenResponse
+	// NoResponse tells that nothing has come from it within patience, or that it closed the
 	// connection without an answer.
-	Silent
+	NoResponse
 	// Unreachable tells that no connection could be made.
 	Unreachable
 )
 
 // Failed tells whether the replica is at fault.
-func (o Outcome) Failed() bool { return o >= Errors && o <= Unreachable }
+func (o Outcome) Failed() bool { return o >= ErrorResponse && o <= Unreachable }
 
 // String returns a word for logs and metrics.
 func (o Outcome) String() string {
 	switch o {
-	case Served:
+	case Success:
 		return "served"
-	case Errors:
+	case ErrorResponse:
 		return "errors"
-	case Torn:
+	case BrokenResponse:
 		return "torn"
-	case Silent:
+	case NoResponse:
 		return "silent"
 	case Unreachable:
 		return "unreachable"
@@ -79,9 +79,9 @@
 	safeFirst = 300 * time.Millisecond
 )
 
-// Record is what outcomes say of one replica. Its zero value is a sound one. It is not
+// Detector is what outcomes say of one replica. Its zero value is a sound one. It is not
 // safe for concurrent use. All times are monotonic readings.
-type Record struct {
+type Detector struct {
 	// score is the sum of the logarithms of how much likelier each outcome is at a failing
 	// replica than at a sound one, never below 0 (a CUSUM test).
 	score float64
@@ -112,45 +112,45 @@
 const (
 	Unchanged Change = iota
 	NowEjected
-	NowReturned
+	NowReinstated
 )
 
-// Judgement is what an outcome has changed, and by what.
-type Judgement struct {
+// Transition is what an outcome has changed, and by what.
+type Transition struct {
 	Change Change
 	// Reason is the kind of the failure that ejected the replica.
 	Reason Outcome
-	// Failures of Of outcomes ejected it, where the others' share of failures is Usual.
-	Failures, Of int
-	Usual        float64
+	// Failures of Outcomes outcomes ejected it, where the others' share of failures is Usual.
+	Failures, Outcomes  int
+	BaselineFailureRate float64
 }
 
-// Judge is Add, and tells what has led to the change.
-func (r *Record) Judge(outcome Outcome, usual float64, now time.Duration) Judgement {
+// Observe is Add, and tells what has led to the change.
+func (r *Detector) Observe(outcome Outcome, usual float64, now time.Duration) Transition {
 	change := r.Add(outcome, usual, now)
-	return Judgement{Change: change, Reason: r.reason, Failures: r.failures, Of: r.of, Usual: usual}
+	return Transition{Change: change, Reason: r.reason, Failures: r.failures, Outcomes: r.of, BaselineFailureRate: usual}
 }
 
 // Ejected tells whether the replica is left alone but for probes.
-func (r *Record) Ejected() bool { return r.ejected }
+func (r *Detector) Ejected() bool { return r.ejected }
 
 // Reason returns the kind of the failure that ejected the replica.
-func (r *Record) Reason() Outcome { return r.reason }
+func (r *Detector) Reason() Outcome { return r.reason }
 
 // Add counts an outcome. usual is the share of failures at the service's replicas, this one
 // among them.
-func (r *Record) Add(outcome Outcome, usual float64, now time.Duration) Change {
+func (r *Detector) Add(outcome Outcome, usual float64, now time.Duration) Change {
 	switch {
 	case r.ejected:
 		return r.probed(outcome, now)
-	case outcome == Served || outcome.Failed():
+	case outcome == Success || outcome.Failed():
 		return r.count(outcome, usual, now)
 	}
 	return Unchanged
 }
 
 // count counts an outcome at a replica that is not ejected.
-func (r *Record) count(outcome Outcome, usual float64, now time.Duration) Change {
+func (r *Detector) count(outcome Outcome, usual float64, now time.Duration) Change {
 	if saysNothing(usual) {
 		return Unchanged
 	}
@@ -172,7 +172,7 @@
 }
 
 // eject leaves the replica alone from now on, longer the oftener it was ejected lately.
-func (r *Record) eject(reason Outcome, now time.Duration) {
+func (r *Detector) eject(reason Outcome, now time.Duration) {
 	if now-r.returnedAt > memory {
 		r.ejections = 0
 	}
@@ -188,11 +188,11 @@
 
 // probed counts an outcome at an ejected replica. Those of requests that were there before
 // the first probe count for nothing.
-func (r *Record) probed(outcome Outcome, now time.Duration) Change {
+func (r *Detector) probed(outcome Outcome, now time.Duration) Change {
 	switch {
 	case !r.tried:
 		return Unchanged
-	case outcome == Served:
+	case outcome == Success:
 		r.servedInRow++
 	case outcome.Failed():
 		if r.granted || r.servedInRow > 0 {
@@ -211,7 +211,7 @@
 	r.returnedAt = now
 	r.score = 0
 	r.failures, r.of = 0, 0
-	return NowReturned
+	return NowReinstated
 }
 
 // saysNothing tells whether the replicas of a service fail as much, for the node that tells an
@@ -244,7 +244,7 @@
 // Probe returns which request may probe now, where underWay requests of all nodes are at
 // the replica: one at a time after a failure, one more with each that was served. Those that
 // are stuck there do not count.
-func (r *Record) Probe(underWay int, now time.Duration) Probe {
+func (r *Detector) Probe(underWay int, now time.Duration) Probe {
 	pause := r.spreadPause()
 	if r.servedInRow > 0 {
 		pause = provingPause
@@ -266,29 +266,29 @@
 
 // spreadPause returns the pause or up to half as much more, another part after each probe, so
 // that probes do not fall into step with a replica that is down and up by turns.
-func (r *Record) spreadPause() time.Duration {
+func (r *Detector) spreadPause() time.Duration {
 	const goldenPart = math.Phi - 1
 	_, part := math.Modf(float64(r.probes) * goldenPart)
 	return r.pause + time.Duration(part/2*float64(r.pause))
 }
 
-// Grant notes that a right to probe is given out.
-func (r *Record) Grant(now time.Duration) { r.granted, r.tried, r.grantedAt = true, true, now }
+// StartProbe notes that a right to probe is given out.
+func (r *Detector) StartProbe(now time.Duration) { r.granted, r.tried, r.grantedAt = true, true, now }
 
-// Restore makes the record that of a sound replica, as a keeper that has heard of all nodes
+// Reset makes the record that of a sound replica, as a keeper that has heard of all nodes
 // tells.
-func (r *Record) Restore() { *r = Record{} }
+func (r *Detector) Reset() { *r = Detector{} }
 
 // usualWeight is the weight of the newest outcome in a service's usual share of failures.
 const usualWeight = 1.0 / 128
 
-// Usual learns the share of failures of a service's replicas. Its zero value knows none.
-type Usual struct {
+// Baseline learns the share of failures of a service's replicas. Its zero value knows none.
+type Baseline struct {
 	share float64
 }
 
 // Add counts an outcome of a request that was no probe.
-func (u *Usual) Add(outcome Outcome) {
+func (u *Baseline) Add(outcome Outcome) {
 	failed := 0.0
 	if outcome.Failed() {
 		failed = 1
@@ -296,12 +296,12 @@
 	u.share += usualWeight * (failed - u.share)
 }
 
-// Share returns the share of failures.
-func (u *Usual) Share() float64 { return u.share }
+// FailureRate returns the share of failures.
+func (u *Baseline) FailureRate() float64 { return u.share }
 
 // mostEjected is the part of a service's replicas beyond which none is left alone: the
 // service fails as a whole, or the rest could not bear the work.
 const mostEjected = 0.4
 
-// TooMany tells whether ejected of all replicas are more than may be left alone.
-func TooMany(ejected, all int) bool { return float64(ejected) > mostEjected*float64(all) }
+// ExceedsEjectionLimit tells whether ejected of all replicas are more than may be left alone.
+func ExceedsEjectionLimit(ejected, all int) bool { return float64(ejected) > mostEjected*float64(all) }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -11,14 +11,14 @@
 
 // play gives a replica outcomes every step and returns how many of them it got and how
 // many failed: it gets each unless it is ejected, then only probes.
-func play(record *Record, count int, step time.Duration, usual float64, outcome func(now time.Duration) Outcome) (got, failed, ejections int) {
+func play(record *Detector, count int, step time.Duration, usual float64, outcome func(now time.Duration) Outcome) (got, failed, ejections int) {
 	for i := range count {
 		now := time.Second + time.Duration(i)*step
 		if record.Ejected() {
 			if record.Probe(0, now) == NoProbe {
 				continue
 			}
-			record.Grant(now)
+			record.StartProbe(now)
 		}
 		became := outcome(now)
 		got++
@@ -35,37 +35,37 @@
 func failingWith(share float64, random *rand.Rand) func(time.Duration) Outcome {
 	return func(time.Duration) Outcome {
 		if random.Float64() < share {
-			return Errors
+			return ErrorResponse
 		}
-		return Served
+		return Success
 	}
 }
 
 // TestAReplicaThatFailsAllIsLeftAlone after its first few failures, but for rare probes.
 func TestAReplicaThatFailsAllIsLeftAlone(t *testing.T) {
 	is := is.New(t)
-	record := &Record{}
-	got, failed, ejections := play(record, 1000, 10*time.Millisecond, 0.01, func(time.Duration) Outcome { return Errors })
+	record := &Detector{}
+	got, failed, ejections := play(record, 1000, 10*time.Millisecond, 0.01, func(time.Duration) Outcome { return ErrorResponse })
 	is.Equal(got, failed)
 	is.Equal(ejections, 1)
 	is.True(failed <= 3+8) // of 1,000 in 10 s
 	failures, of := record.failures, record.of
 	is.Equal(failures, 3)
 	is.Equal(of, 3)
-	is.Equal(record.Reason(), Errors)
+	is.Equal(record.Reason(), ErrorResponse)
 }
 
 // TestANodeWhoseOwnWayFailsHidesNothing: its outcomes say nothing of one replica, and leave what
 // the others have told.
 func TestANodeWhoseOwnWayFailsHidesNothing(t *testing.T) {
 	is := is.New(t)
-	record := &Record{}
+	record := &Detector{}
 	const sick = 0.9
 	for number := range 2 {
-		is.Equal(record.Add(Errors, 0.01, time.Duration(number)), Unchanged)
-		is.Equal(record.Add(Errors, sick, time.Duration(number)), Unchanged)
+		is.Equal(record.Add(ErrorResponse, 0.01, time.Duration(number)), Unchanged)
+		is.Equal(record.Add(ErrorResponse, sick, time.Duration(number)), Unchanged)
 	}
-	is.Equal(record.Add(Errors, 0.01, 2), NowEjected)
+	is.Equal(record.Add(ErrorResponse, 0.01, 2), NowEjected)
 }
 
 // TestGreyReplicasGetFewRequests: they fail 45 % of their work.
@@ -73,7 +73,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		const offered = 2000 // in 40 s
-		_, failed, _ := play(&Record{}, offered, 20*time.Millisecond, 0.01, failingWith(0.45, random))
+		_, failed, _ := play(&Detector{}, offered, 20*time.Millisecond, 0.01, failingWith(0.45, random))
 		if failed > offered*0.45/4 {
 			t.Fatalf("%d of %d requests failed", failed, offered)
 		}
@@ -88,7 +88,7 @@
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		total := 0
 		for range 35 {
-			_, _, ejections := play(&Record{}, 300, 20*time.Millisecond, share, failingWith(share, random))
+			_, _, ejections := play(&Detector{}, 300, 20*time.Millisecond, share, failingWith(share, random))
 			total += ejections
 		}
 		if total > 1 {
@@ -101,17 +101,17 @@
 func TestOnePercentEjectsNobody(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	usual := &Usual{}
+	usual := &Baseline{}
 	for range 35 {
-		record := &Record{}
+		record := &Detector{}
 		for i := range 600 {
 			outcome := failingWith(0.01, random)(0)
-			record.Add(outcome, usual.Share(), time.Duration(i)*10*time.Millisecond)
+			record.Add(outcome, usual.FailureRate(), time.Duration(i)*10*time.Millisecond)
 			usual.Add(outcome)
 			is.True(!record.Ejected())
 		}
 	}
-	is.True(usual.Share() < 0.05)
+	is.True(usual.FailureRate() < 0.05)
 }
 
 // TestAServiceThatFailsAsAWholeEjectsNobody, once that is known.
@@ -119,7 +119,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.3, 1).Draw(t, "share")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		_, _, ejections := play(&Record{}, 1000, 10*time.Millisecond, share, failingWith(share, random))
+		_, _, ejections := play(&Detector{}, 1000, 10*time.Millisecond, share, failingWith(share, random))
 		if ejections > 0 {
 			t.Fatalf("%d ejections", ejections)
 		}
@@ -129,9 +129,9 @@
 // TestAReplicaReturnsByServing: first probes one at a time, then more at once.
 func TestAReplicaReturnsByServing(t *testing.T) {
 	is := is.New(t)
-	record := &Record{}
+	record := &Detector{}
 	for range 3 {
-		record.Add(Silent, 0, time.Second)
+		record.Add(NoResponse, 0, time.Second)
 	}
 	is.True(record.Ejected())
 	now := time.Second + firstPause - 1
@@ -139,28 +139,28 @@
 	now++
 	is.Equal(record.Probe(1, now), NoProbe) // another one is under way
 	is.Equal(record.Probe(0, now), SafeProbe)
-	record.Grant(now)
+	record.StartProbe(now)
 	is.Equal(record.Probe(0, now), NoProbe)
 	is.Equal(record.Probe(0, now+safeFirst), AnyProbe)
-	is.Equal(record.Add(Served, 0, now), Unchanged)
+	is.Equal(record.Add(Success, 0, now), Unchanged)
 	now += provingPause
 	is.Equal(record.Probe(1, now), SafeProbe)
 	for range returnAfter - 2 {
-		is.Equal(record.Add(Served, 0, now), Unchanged)
+		is.Equal(record.Add(Success, 0, now), Unchanged)
 	}
-	is.Equal(record.Add(Served, 0, now), NowReturned)
+	is.Equal(record.Add(Success, 0, now), NowReinstated)
 	is.True(!record.Ejected())
 }
 
 // TestRefusalsSayNothing: an outcome of no known kind changes nothing.
 func TestRefusalsSayNothing(t *testing.T) {
 	is := is.New(t)
-	record := &Record{}
+	record := &Detector{}
 	for range 100 {
 		is.Equal(record.Add(0, 0, 0), Unchanged)
 		is.Equal(record.Add(99, 0, 0), Unchanged)
 	}
-	is.Equal(*record, Record{})
+	is.Equal(*record, Detector{})
 }
 
 // TestFlappingReplicasGetLessOfTheirBadTimes: down and up by turns.
@@ -171,10 +171,10 @@
 			if now/period%2 == 1 {
 				return Unreachable
 			}
-			return Served
+			return Success
 		}
 		const offered = 2000 // in 20 s, half of them in bad times
-		got, failed, _ := play(&Record{}, offered, 10*time.Millisecond, 0, down)
+		got, failed, _ := play(&Detector{}, offered, 10*time.Millisecond, 0, down)
 		if failed > offered/2/8 || got == failed {
 			t.Fatalf("%d of %d requests failed", failed, got)
 		}
@@ -184,27 +184,27 @@
 // TestOnlyAPartIsLeftAlone, whatever the number.
 func TestOnlyAPartIsLeftAlone(t *testing.T) {
 	is := is.New(t)
-	is.True(!TooMany(0, 0))
-	is.True(!TooMany(14, 35))
-	is.True(TooMany(15, 35))
-	is.True(TooMany(1, 1))
-	is.True(TooMany(1, 2))
-	is.True(!TooMany(1, 3))
+	is.True(!ExceedsEjectionLimit(0, 0))
+	is.True(!ExceedsEjectionLimit(14, 35))
+	is.True(ExceedsEjectionLimit(15, 35))
+	is.True(ExceedsEjectionLimit(1, 1))
+	is.True(ExceedsEjectionLimit(1, 2))
+	is.True(!ExceedsEjectionLimit(1, 3))
 }
 
 // TestStuckRequestsHoldProbesOffForAShortTime: a mute replica keeps them until their time is
 // over, which may be long after it has come back.
 func TestStuckRequestsHoldProbesOffForAShortTime(t *testing.T) {
 	is := is.New(t)
-	record := &Record{}
+	record := &Detector{}
 	for range 3 {
-		record.Add(Silent, 0, time.Second)
+		record.Add(NoResponse, 0, time.Second)
 	}
 	const left = 8
 	is.Equal(record.Probe(left, time.Second+stuck-1), NoProbe)
 	now := time.Second + stuck
 	is.True(record.Probe(left, now) != NoProbe)
-	record.Grant(now)
+	record.StartProbe(now)
 	is.Equal(record.Probe(left+1, now+stuck-1), NoProbe)
 	is.True(record.Probe(left+1, now+stuck) != NoProbe)
 }
@@ -213,12 +213,12 @@
 // are served to their end.
 func TestRequestsFromBeforeTheEjectionDoNotEndIt(t *testing.T) {
 	is := is.New(t)
-	record := &Record{}
+	record := &Detector{}
 	for range 3 {
-		record.Add(Errors, 0, time.Second)
+		record.Add(ErrorResponse, 0, time.Second)
 	}
 	for range 2 * longestReturn {
-		is.Equal(record.Add(Served, 0, time.Second), Unchanged)
+		is.Equal(record.Add(Success, 0, time.Second), Unchanged)
 	}
 	is.True(record.Ejected())
 }
@@ -228,15 +228,15 @@
 func TestAReplicaIsTriedOftenEnough(t *testing.T) {
 	const most = longestPause + longestPause/2 + safeFirst
 	is := is.New(t)
-	record := &Record{}
+	record := &Detector{}
 	for range 3 {
-		record.Add(Errors, 0, time.Second)
+		record.Add(ErrorResponse, 0, time.Second)
 	}
 	now := time.Second
 	for range 100 {
 		is.Equal(record.Probe(0, now+most), AnyProbe)
 		now += most
-		record.Grant(now)
-		record.Add(Errors, 0, now)
+		record.StartProbe(now)
+		record.Add(ErrorResponse, 0, now)
 	}
 }
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -17,9 +17,9 @@
 	placement *Placement
 }
 
-// For returns the placement of view, the remembered one if view has the version
+// Get returns the placement of view, the remembered one if view has the version
 // of the last call's.
-func (c *Cache) For(view membership.View) *Placement {
+func (c *Cache) Get(view membership.View) *Placement {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.placement == nil || c.version != view.Version || c.self != view.Self {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -169,10 +169,10 @@
 	is := is.New(t)
 	var cache Cache
 	view := site(6, 1, 3)
-	first := cache.For(view)
-	is.Equal(cache.For(view), first)
+	first := cache.Get(view)
+	is.Equal(cache.Get(view), first)
 	view.Version++
-	is.True(cache.For(view) != first)
+	is.True(cache.Get(view) != first)
 }
 
 // TestInheritedChoicesAreThoseFromScratch puts a cache through changes of the
@@ -195,7 +195,7 @@
 					view.Members = append(view.Members, all[node])
 				}
 			}
-			cached, fresh := cache.For(view), New(view)
+			cached, fresh := cache.Get(view), New(view)
 			for shard := range identity.ShardID(64) {
 				got, gotFound := cached.Desired(shard)
 				want, wantFound := fresh.Desired(shard)
@@ -224,7 +224,7 @@
 		version++
 		view := views[version%2]
 		view.Version = version
-		placement := cache.For(view)
+		placement := cache.Get(view)
 		for shard := range identity.ShardID(4096) {
 			placement.Owner(shard)
 		}
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -40,11 +40,11 @@
 		return p.applyRetry(r)
 	case NotRun:
 		p.applyNotRun(r)
-	case Dropped:
+	case Withdrawn:
 		p.applyDropped(r)
 	case Result:
 		p.applyResult(r)
-	case Repeated:
+	case Deduplicated:
 		return p.applyRepeated(r)
 	case Ended:
 		p.applyEnded(r)
@@ -84,8 +84,8 @@
 	call := &Call{Request: r.Request, Open: true}
 	b.calls = append(b.calls, call)
 	p.calls++
-	if r.Request.Key != "" {
-		p.keys[r.Request.Key] = r.Request.ID
+	if r.Request.IdempotencyKey != "" {
+		p.keys[r.Request.IdempotencyKey] = r.Request.ID
 	}
 	p.start(b, call, r.Attempt)
 	return nil
@@ -127,7 +127,7 @@
 		return
 	}
 	call.Pending = false
-	call.Lost = true
+	call.HasLostAttempt = true
 	p.reserved -= call.Attempt.Reserved
 	p.spent += call.Attempt.Reserved
 	held := p.placements[placementKey{backend: call.Attempt.Backend, branch: call.Request.ID.Branch}]
@@ -158,7 +158,7 @@
 	p.reserved -= call.Attempt.Reserved
 }
 
-func (p *Program) applyDropped(r Dropped) {
+func (p *Program) applyDropped(r Withdrawn) {
 	call := p.Call(r.Call)
 	if call == nil || !call.Open {
 		return
@@ -166,13 +166,13 @@
 	p.lose(call)
 	b := p.branches[r.Call.Branch]
 	b.calls = b.calls[:len(b.calls)-1]
-	if call.Lost {
+	if call.HasLostAttempt {
 		b.mayHaveRun = true
 	} else {
 		p.calls-- // it never ran, so it does not count against the limit
 	}
-	if call.Request.Key != "" {
-		delete(p.keys, call.Request.Key)
+	if call.Request.IdempotencyKey != "" {
+		delete(p.keys, call.Request.IdempotencyKey)
 	}
 	p.touch(r.At)
 }
@@ -272,7 +272,7 @@
 	})
 }
 
-func (p *Program) applyRepeated(r Repeated) error {
+func (p *Program) applyRepeated(r Deduplicated) error {
 	b, err := p.follows(r.ID)
 	if err != nil {
 		return err
--- a/internal/program/commands.go
+++ b/internal/program/commands.go
@@ -31,17 +31,19 @@
 	ActionRefuse
 )
 
-// Verdict is the answer to the arrival of a call.
-type Verdict struct {
+// Evaluation is the answer to the arrival of a call.
+type Evaluation struct {
 	Action  Action
 	Call    *Call
 	Problem *api.Problem
 }
 
-func refuse(problem *api.Problem) Verdict { return Verdict{Action: ActionRefuse, Problem: problem} }
+func refuse(problem *api.Problem) Evaluation {
+	return Evaluation{Action: ActionRefuse, Problem: problem}
+}
 
-// Arrive says what to do with a call. It changes nothing.
-func (p *Program) Arrive(now time.Time, request Request) Verdict {
+// Evaluate says what to do with a call. It changes nothing.
+func (p *Program) Evaluate(now time.Time, request Request) Evaluation {
 	verdict := p.arrive(now, request)
 	if verdict.Problem != nil && p.MayHaveRun(request.ID) {
 		verdict.Problem.WithNotRun(false)
@@ -49,15 +51,15 @@
 	return verdict
 }
 
-func (p *Program) arrive(now time.Time, request Request) Verdict {
+func (p *Program) arrive(now time.Time, request Request) Evaluation {
 	if call := p.Call(request.ID); call != nil {
 		return p.arriveAgain(call, request)
 	}
 	if !p.Running() {
 		return refuse(p.endedProblem())
 	}
-	if request.Key != "" {
-		if original, found := p.keys[request.Key]; found {
+	if request.IdempotencyKey != "" {
+		if original, found := p.keys[request.IdempotencyKey]; found {
 			return p.arriveRepeated(p.Call(original), request)
 		}
 	}
@@ -65,12 +67,12 @@
 		return refuse(problem)
 	}
 	if !p.isNext(request.ID) {
-		return Verdict{Action: ActionWait}
+		return Evaluation{Action: ActionWait}
 	}
-	if _, problem := p.Resolve(request); problem != nil {
+	if _, problem := p.Normalize(request); problem != nil {
 		return refuse(problem)
 	}
-	return Verdict{Action: ActionRun}
+	return Evaluation{Action: ActionRun}
 }
 
 func (p *Program) isNext(id identity.CallID) bool {
@@ -78,26 +80,26 @@
 	return p.Next(id.Branch) == id.Sequence && (b == nil || b.open() == nil)
 }
 
-func (p *Program) arriveAgain(call *Call, request Request) Verdict {
+func (p *Program) arriveAgain(call *Call, request Request) Evaluation {
 	if call.Request.Digest != request.Digest {
 		return refuse(api.NewProblem(api.CodeConflict,
 			"call %s stands with another body; a new call takes the next sequence", request.ID))
 	}
 	if call.Open {
-		return Verdict{Action: ActionJoin, Call: call}
+		return Evaluation{Action: ActionJoin, Call: call}
 	}
-	return Verdict{Action: ActionReplay, Call: p.Resolved(call)}
+	return Evaluation{Action: ActionReplay, Call: p.Original(call)}
 }
 
-func (p *Program) arriveRepeated(original *Call, request Request) Verdict {
+func (p *Program) arriveRepeated(original *Call, request Request) Evaluation {
 	if original.Request.Digest != request.Digest {
 		return refuse(api.NewProblem(api.CodeConflict,
-			"idempotency key %q stands with another body at call %s", request.Key, original.Request.ID))
+			"idempotency key %q stands with another body at call %s", request.IdempotencyKey, original.Request.ID))
 	}
 	if !p.isNext(request.ID) || original.Open {
-		return Verdict{Action: ActionWait}
+		return Evaluation{Action: ActionWait}
 	}
-	return Verdict{Action: ActionRepeat, Call: original}
+	return Evaluation{Action: ActionRepeat, Call: original}
 }
 
 func (p *Program) endedProblem() *api.Problem {
@@ -121,9 +123,9 @@
 	return nil
 }
 
-// Resolve fills in what the class sets and cuts a repeated history off, so that
+// Normalize fills in what the class sets and cuts a repeated history off, so that
 // Messages are the new turns. The request must be next in its branch.
-func (p *Program) Resolve(request Request) (Request, *api.Problem) {
+func (p *Program) Normalize(request Request) (Request, *api.Problem) {
 	if request.Kind != api.CallModel {
 		return request, nil
 	}
@@ -155,9 +157,9 @@
 	Backend string
 	Address netip.AddrPort
 	Epoch   identity.Epoch
-	// Reserve replaces the rule of the worst case; nil takes WorstCase. Only
+	// ReservationRule replaces the rule of the worst case; nil takes WorstCase. Only
 	// checkers that prove themselves set it.
-	Reserve func(prompt, answer int64) int64
+	ReservationRule func(prompt, answer int64) int64
 }
 
 // WorstCase is the reservation of a call: its prompt's bound and all the tokens
@@ -166,11 +168,11 @@
 
 // Begin opens request, which Arrive found runnable, with its first attempt.
 func (p *Program) Begin(now time.Time, request Request, dispatch Dispatch) (Intent, *api.Problem) {
-	verdict := p.Arrive(now, request)
+	verdict := p.Evaluate(now, request)
 	if verdict.Action != ActionRun {
 		return Intent{}, p.notRunnable(verdict, request)
 	}
-	resolved, problem := p.Resolve(request)
+	resolved, problem := p.Normalize(request)
 	if problem != nil {
 		return Intent{}, problem
 	}
@@ -181,7 +183,7 @@
 	return Intent{Request: resolved, Attempt: attempt}, nil
 }
 
-func (p *Program) notRunnable(verdict Verdict, request Request) *api.Problem {
+func (p *Program) notRunnable(verdict Evaluation, request Request) *api.Problem {
 	if verdict.Problem != nil {
 		return verdict.Problem
 	}
@@ -220,7 +222,7 @@
 	if request.Kind != api.CallModel {
 		return 0, nil
 	}
-	rule := dispatch.Reserve
+	rule := dispatch.ReservationRule
 	if rule == nil {
 		rule = WorstCase
 	}
@@ -233,9 +235,9 @@
 	return need, nil
 }
 
-// Unresolved returns the attempt of call that may have run, for one that was
+// PendingAttempt returns the attempt of call that may have run, for one that was
 // found open by a new owner.
-func (c *Call) Unresolved() (Attempt, bool) { return c.Attempt, c.Open && c.Pending }
+func (c *Call) PendingAttempt() (Attempt, bool) { return c.Attempt, c.Open && c.Pending }
 
 // End ends the program. It returns false if it has ended already.
 func (p *Program) End(now time.Time, state api.ProgramState) (Ended, bool) {
@@ -260,7 +262,7 @@
 	return idle && len(p.OpenCalls()) == 0
 }
 
-// Forgettable tells that an ended program owes nothing to anybody.
-func (p *Program) Forgettable() bool {
+// Removable tells that an ended program owes nothing to anybody.
+func (p *Program) Removable() bool {
 	return !p.Running() && len(p.outbox) == 0 && len(p.OpenCalls()) == 0
 }
--- a/internal/program/machine_test.go
+++ b/internal/program/machine_test.go
@@ -105,13 +105,13 @@
 func (m *machine) Begin(t *rapid.T) {
 	request := m.drawCall(t)
 	branch := m.branches[request.ID.Branch]
-	verdict := m.program().Arrive(m.now, request)
+	verdict := m.program().Evaluate(m.now, request)
 	next := identity.Sequence(branch.answered + 1)
 	if verdict.Action == program.ActionRun && (request.ID.Sequence != next || branch.open != nil) {
 		t.Fatalf("call %s may run while %d is next", request.ID, next)
 	}
 	if verdict.Action == program.ActionRepeat {
-		m.commit(t, program.Repeated{ID: request.ID, Digest: request.Digest, Of: verdict.Call.Request.ID, At: m.now})
+		m.commit(t, program.Deduplicated{ID: request.ID, Digest: request.Digest, Of: verdict.Call.Request.ID, At: m.now})
 		branch.answered++
 		return
 	}
@@ -125,12 +125,12 @@
 	m.commit(t, intent)
 	opened := intent.Request
 	branch.open = &opened
-	m.sent(intent.Attempt, request.Key)
+	m.sent(intent.Attempt, request.IdempotencyKey)
 }
 
 func (m *machine) dispatch(t *rapid.T) program.Dispatch {
 	name := rapid.SampledFrom([]string{"e1", "e2"}).Draw(t, "backend")
-	return program.Dispatch{Backend: name, Epoch: 1, Reserve: m.reserve}
+	return program.Dispatch{Backend: name, Epoch: 1, ReservationRule: m.reserve}
 }
 
 func (m *machine) sent(attempt program.Attempt, key string) {
@@ -207,7 +207,7 @@
 	}
 	m.commit(t, retry)
 	attempt.resolved = true
-	m.sent(retry.Attempt, call.Request.Key)
+	m.sent(retry.Attempt, call.Request.IdempotencyKey)
 }
 
 // LateAnswer brings the answer of an attempt that was replaced.
@@ -230,7 +230,7 @@
 func (m *machine) Drop(t *rapid.T) {
 	call, attempt := m.drawOpen(t)
 	branch := call.Request.ID.Branch
-	m.commit(t, program.Dropped{Call: call.Request.ID, At: m.now})
+	m.commit(t, program.Withdrawn{Call: call.Request.ID, At: m.now})
 	attempt.resolved = true
 	m.branches[branch].open = nil
 }
@@ -314,7 +314,7 @@
 // the outbox, until a confirmed release has cancelled the stream.
 func (m *machine) checkPlacements(t *rapid.T) {
 	for _, call := range m.program().OpenCalls() {
-		if call.Pending && !m.program().Holds(call.Attempt.Backend) && !m.cancelled[call.Attempt.Stream] {
+		if call.Pending && !m.program().MayHoldCache(call.Attempt.Backend) && !m.cancelled[call.Attempt.Stream] {
 			t.Fatalf("%s runs at %s, which is no placement", call.Request.ID, call.Attempt.Backend)
 		}
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -59,8 +59,8 @@
 	// Attempt is the last dispatch; Pending is true until it is resolved.
 	Attempt Attempt
 	Pending bool
-	// Lost is true once an attempt stayed charged without a result.
-	Lost bool
+	// HasLostAttempt is true once an attempt stayed charged without a result.
+	HasLostAttempt bool
 	// Answer stands once Open is false, unless RepeatOf is set.
 	Answer Answer
 	// RepeatOf names the call whose answer this one replays; zero if none.
@@ -130,8 +130,8 @@
 // Calls returns the number of calls that were opened.
 func (p *Program) Calls() int { return p.calls }
 
-// Service returns the time that back ends spent on its answered calls.
-func (p *Program) Service() time.Duration { return p.service }
+// ServiceTime returns the time that back ends spent on its answered calls.
+func (p *Program) ServiceTime() time.Duration { return p.service }
 
 // Outbox returns the releases that no engine has confirmed yet.
 func (p *Program) Outbox() []Release { return slices.Clone(p.outbox) }
@@ -220,9 +220,9 @@
 	return open
 }
 
-// Resolved returns the call whose answer stands for call: call itself, or the
+// Original returns the call whose answer stands for call: call itself, or the
 // one that it repeats.
-func (p *Program) Resolved(call *Call) *Call {
+func (p *Program) Original(call *Call) *Call {
 	if call.RepeatOf.Sequence == 0 {
 		return call
 	}
@@ -292,8 +292,8 @@
 	Branch identity.BranchID
 	// Since is when its last model call was answered.
 	Since time.Time
-	// Held tells that an engine may hold its conversation.
-	Held bool
+	// Cached tells that an engine may hold its conversation.
+	Cached bool
 }
 
 // Paused returns the branches of a running program that have been answered and
@@ -312,7 +312,7 @@
 			continue
 		}
 		if since := p.LastAnswered(id); !since.IsZero() {
-			paused = append(paused, Paused{Branch: id, Since: since, Held: held[id]})
+			paused = append(paused, Paused{Branch: id, Since: since, Cached: held[id]})
 		}
 	}
 	return paused
@@ -324,8 +324,8 @@
 	Bound int64
 	// Expected is the best estimate, for decisions.
 	Expected int64
-	// Settled is the part that an engine has counted, at LastBackend.
-	Settled int64
+	// Counted is the part that an engine has counted, at LastBackend.
+	Counted int64
 }
 
 // PromptSize returns the size of request's prompt. The history counts as the
@@ -337,15 +337,15 @@
 	switch {
 	case branch == nil:
 	case branch.settledModel == modelKey(request.Model, request.Adapter):
-		size.Settled = branch.settledTokens
+		size.Counted = branch.settledTokens
 		earlier := historyOf(branch.calls[branch.settledCalls:])
 		rest = append(earlier, request.Messages...)
 	default:
 		rest = append(historyOf(branch.calls), request.Messages...)
 	}
-	size.Bound += size.Settled + boundTokens(rest)
-	size.Expected = size.Settled + estimateTokens(rest)
-	if size.Settled > 0 {
+	size.Bound += size.Counted + boundTokens(rest)
+	size.Expected = size.Counted + estimateTokens(rest)
+	if size.Counted > 0 {
 		size.Bound += messageOverheadTokens
 	}
 	return size
@@ -353,8 +353,8 @@
 
 func modelKey(model, adapter string) string { return model + "\x00" + adapter }
 
-// Holds tells that the back end may hold cache of the program.
-func (p *Program) Holds(backend string) bool {
+// MayHoldCache tells that the back end may hold cache of the program.
+func (p *Program) MayHoldCache(backend string) bool {
 	for key := range p.placements {
 		if key.backend == backend {
 			return true
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -58,7 +58,7 @@
 }
 
 func (f *fixture) refusal(call api.CallRequest) api.Code {
-	verdict := f.program().Arrive(f.now, program.NewRequest(programID, call))
+	verdict := f.program().Evaluate(f.now, program.NewRequest(programID, call))
 	if verdict.Problem == nil {
 		return ""
 	}
@@ -72,13 +72,13 @@
 	f.run(keyed, "a1", "")
 
 	f.is.Equal(f.refusal(modelCall(1, "other")), api.CodeConflict)
-	replay := f.program().Arrive(f.now, program.NewRequest(programID, modelCall(1, "hello")))
+	replay := f.program().Evaluate(f.now, program.NewRequest(programID, modelCall(1, "hello")))
 	f.is.Equal(replay.Action, program.ActionReplay)
 	f.is.Equal(replay.Call.Answer.Text, "hi")
 
 	repeat := keyed
 	repeat.Sequence, repeat.Input = 3, []byte(`{"a":1}`) // white space makes no other body
-	f.is.Equal(f.program().Arrive(f.now, program.NewRequest(programID, repeat)).Action, program.ActionRepeat)
+	f.is.Equal(f.program().Evaluate(f.now, program.NewRequest(programID, repeat)).Action, program.ActionRepeat)
 	repeat.Input = []byte(`{"a":2}`)
 	f.is.Equal(f.refusal(repeat), api.CodeConflict)
 
@@ -87,11 +87,11 @@
 	f.is.Equal(f.refusal(whole), api.CodeHistoryMismatch)
 	whole.Messages = []api.Message{{Role: "user", Content: "hello"}, {Role: "assistant", Content: "hi"}, {Role: "user", Content: "and now?"}}
 	f.is.Equal(f.refusal(whole), api.Code(""))
-	resolved, problem := f.program().Resolve(program.NewRequest(programID, whole))
+	resolved, problem := f.program().Normalize(program.NewRequest(programID, whole))
 	f.is.True(problem == nil)
 	f.is.Equal(len(resolved.Messages), 1)
 
-	f.is.Equal(f.program().Arrive(f.now, program.NewRequest(programID, modelCall(5, "early"))).Action, program.ActionWait)
+	f.is.Equal(f.program().Evaluate(f.now, program.NewRequest(programID, modelCall(5, "early"))).Action, program.ActionWait)
 	branch := modelCall(1, "sub-agent")
 	for _, name := range []string{"b", "c"} {
 		branch.Branch = name
@@ -125,7 +125,7 @@
 		intent, problem := f.begin(modelCall(1, "hello"), "e1")
 		f.is.True(problem == nil)
 		f.apply(program.NotRun{Stream: intent.Attempt.Stream})
-		f.apply(program.Dropped{Call: intent.Request.ID, At: f.now})
+		f.apply(program.Withdrawn{Call: intent.Request.ID, At: f.now})
 	}
 	f.is.Equal(f.program().Calls(), 0)
 	intent, problem := f.begin(modelCall(1, "hello"), "e1")
@@ -139,7 +139,7 @@
 	f.run(long, "e1", "ok")
 	f.is.Equal(f.program().Spent(), int64(23))
 	size := f.program().PromptSize(program.Request{ID: identity.CallID{Program: programID, Branch: "main", Sequence: 2}, Model: "m"})
-	f.is.True(size.Settled == 23 && size.Bound < 100) // not by bytes any more
+	f.is.True(size.Counted == 23 && size.Bound < 100) // not by bytes any more
 	_, problem := f.begin(modelCall(2, strings.Repeat("y", 600)), "e1")
 	f.is.Equal(problem.Code, api.CodeBudget)
 	f.is.True(problem.NotRun)
@@ -161,12 +161,12 @@
 	outbox := f.program().Outbox()
 	f.is.Equal(len(outbox), 2)
 	f.is.Equal(outbox[0].Streams, []identity.StreamID{intent.Attempt.Stream})
-	f.is.True(!f.program().Forgettable())
-	f.apply(program.Dropped{Call: intent.Request.ID, At: f.now})
+	f.is.True(!f.program().Removable())
+	f.apply(program.Withdrawn{Call: intent.Request.ID, At: f.now})
 	for _, release := range outbox {
 		f.apply(program.Released{ID: programID, Backend: release.Backend, Branch: release.Branch})
 	}
-	f.is.True(f.program().Forgettable())
+	f.is.True(f.program().Removable())
 }
 
 func TestTokensOfAStoredAnswerGoOnFromAnyIndex(t *testing.T) {
--- a/internal/program/record.go
+++ b/internal/program/record.go
@@ -72,8 +72,8 @@
 // NotRun tells that an attempt certainly did not run; it frees the reservation.
 type NotRun struct{ Stream identity.StreamID }
 
-// Dropped takes an unanswered call back: its sequence may be sent again.
-type Dropped struct {
+// Withdrawn takes an unanswered call back: its sequence may be sent again.
+type Withdrawn struct {
 	Call identity.CallID
 	At   time.Time
 }
@@ -84,9 +84,9 @@
 	Answer Answer
 }
 
-// Repeated answers a call with the answer of the earlier call Of, which carried
+// Deduplicated answers a call with the answer of the earlier call Of, which carried
 // the same idempotency key.
-type Repeated struct {
+type Deduplicated struct {
 	ID     identity.CallID
 	Digest Digest
 	Of     identity.CallID
@@ -114,8 +114,8 @@
 	Branch identity.BranchID
 }
 
-// Forgotten removes an ended program.
-type Forgotten struct{ ID identity.ProgramID }
+// Removed removes an ended program.
+type Removed struct{ ID identity.ProgramID }
 
 // Program implements Record.
 func (r Created) Program() identity.ProgramID { return r.ID }
@@ -130,13 +130,13 @@
 func (r NotRun) Program() identity.ProgramID { return r.Stream.Call.Program }
 
 // Program implements Record.
-func (r Dropped) Program() identity.ProgramID { return r.Call.Program }
+func (r Withdrawn) Program() identity.ProgramID { return r.Call.Program }
 
 // Program implements Record.
 func (r Result) Program() identity.ProgramID { return r.Stream.Call.Program }
 
 // Program implements Record.
-func (r Repeated) Program() identity.ProgramID { return r.ID.Program }
+func (r Deduplicated) Program() identity.ProgramID { return r.ID.Program }
 
 // Program implements Record.
 func (r Ended) Program() identity.ProgramID { return r.ID }
@@ -148,19 +148,19 @@
 func (r Evicted) Program() identity.ProgramID { return r.ID }
 
 // Program implements Record.
-func (r Forgotten) Program() identity.ProgramID { return r.ID }
-
-func (Created) kind() recordKind   { return kindCreated }
-func (Intent) kind() recordKind    { return kindIntent }
-func (Retry) kind() recordKind     { return kindRetry }
-func (NotRun) kind() recordKind    { return kindNotRun }
-func (Dropped) kind() recordKind   { return kindDropped }
-func (Result) kind() recordKind    { return kindResult }
-func (Repeated) kind() recordKind  { return kindRepeated }
-func (Ended) kind() recordKind     { return kindEnded }
-func (Released) kind() recordKind  { return kindReleased }
-func (Forgotten) kind() recordKind { return kindForgotten }
-func (Evicted) kind() recordKind   { return kindEvicted }
+func (r Removed) Program() identity.ProgramID { return r.ID }
+
+func (Created) kind() recordKind      { return kindCreated }
+func (Intent) kind() recordKind       { return kindIntent }
+func (Retry) kind() recordKind        { return kindRetry }
+func (NotRun) kind() recordKind       { return kindNotRun }
+func (Withdrawn) kind() recordKind    { return kindDropped }
+func (Result) kind() recordKind       { return kindResult }
+func (Deduplicated) kind() recordKind { return kindRepeated }
+func (Ended) kind() recordKind        { return kindEnded }
+func (Released) kind() recordKind     { return kindReleased }
+func (Removed) kind() recordKind      { return kindForgotten }
+func (Evicted) kind() recordKind      { return kindEvicted }
 
 func (r Created) encode(e *wire.Encoder) {
 	e.String(string(r.ID))
@@ -186,7 +186,7 @@
 func (r Retry) encode(e *wire.Encoder)  { r.Attempt.encode(e) }
 func (r NotRun) encode(e *wire.Encoder) { encodeStreamID(e, r.Stream) }
 
-func (r Dropped) encode(e *wire.Encoder) {
+func (r Withdrawn) encode(e *wire.Encoder) {
 	encodeCallID(e, r.Call)
 	e.Time(r.At)
 }
@@ -196,7 +196,7 @@
 	r.Answer.encode(e)
 }
 
-func (r Repeated) encode(e *wire.Encoder) {
+func (r Deduplicated) encode(e *wire.Encoder) {
 	encodeCallID(e, r.ID)
 	e.Blob(r.Digest[:])
 	encodeCallID(e, r.Of)
@@ -220,7 +220,7 @@
 	e.String(string(r.Branch))
 }
 
-func (r Forgotten) encode(e *wire.Encoder) { e.String(string(r.ID)) }
+func (r Removed) encode(e *wire.Encoder) { e.String(string(r.ID)) }
 
 // Encode returns record in its binary form: one byte of kind, then its fields.
 func Encode(record Record) []byte {
@@ -240,8 +240,8 @@
 	}
 }
 
-func decodeRepeated(d *wire.Decoder) Repeated {
-	r := Repeated{ID: decodeCallID(d)}
+func decodeRepeated(d *wire.Decoder) Deduplicated {
+	r := Deduplicated{ID: decodeCallID(d)}
 	copy(r.Digest[:], d.Blob())
 	r.Of = decodeCallID(d)
 	r.At = d.Time()
@@ -276,7 +276,7 @@
 	case kindNotRun:
 		return NotRun{Stream: decodeStreamID(d)}
 	case kindDropped:
-		return Dropped{Call: decodeCallID(d), At: d.Time()}
+		return Withdrawn{Call: decodeCallID(d), At: d.Time()}
 	case kindResult:
 		return Result{Stream: decodeStreamID(d), Answer: decodeAnswer(d)}
 	case kindRepeated:
@@ -288,7 +288,7 @@
 	case kindEvicted:
 		return Evicted{ID: identity.ProgramID(d.String()), Branch: identity.BranchID(d.String())}
 	case kindForgotten:
-		return Forgotten{ID: identity.ProgramID(d.String())}
+		return Removed{ID: identity.ProgramID(d.String())}
 	default:
 		return nil
 	}
--- a/internal/program/request.go
+++ b/internal/program/request.go
@@ -25,13 +25,13 @@
 	Adapter   string
 	MaxTokens int
 	// Messages are the turns as sent; after Resolve only the new ones.
-	Messages     []api.Message
-	WholeHistory bool
-	Application  string
-	Operation    string
-	Input        []byte
-	Key          string
-	Unrepeatable bool
+	Messages       []api.Message
+	WholeHistory   bool
+	Application    string
+	Operation      string
+	Input          []byte
+	IdempotencyKey string
+	Unrepeatable   bool
 }
 
 // NewRequest returns call as a request of program.
@@ -41,17 +41,17 @@
 		branch = identity.MainBranch
 	}
 	request := Request{
-		ID:           identity.CallID{Program: program, Branch: branch, Sequence: identity.Sequence(call.Sequence)},
-		Kind:         call.Kind,
-		Model:        call.Model,
-		MaxTokens:    call.MaxTokens,
-		Messages:     call.Messages,
-		WholeHistory: call.WholeHistory,
-		Application:  call.Application,
-		Operation:    call.Operation,
-		Input:        compact(call.Input),
-		Key:          call.IdempotencyKey,
-		Unrepeatable: call.Unrepeatable,
+		ID:             identity.CallID{Program: program, Branch: branch, Sequence: identity.Sequence(call.Sequence)},
+		Kind:           call.Kind,
+		Model:          call.Model,
+		MaxTokens:      call.MaxTokens,
+		Messages:       call.Messages,
+		WholeHistory:   call.WholeHistory,
+		Application:    call.Application,
+		Operation:      call.Operation,
+		Input:          compact(call.Input),
+		IdempotencyKey: call.IdempotencyKey,
+		Unrepeatable:   call.Unrepeatable,
 	}
 	request.Digest = request.digest()
 	return request
@@ -86,7 +86,7 @@
 	e.String(r.Application)
 	e.String(r.Operation)
 	e.Blob(r.Input)
-	e.String(r.Key)
+	e.String(r.IdempotencyKey)
 	e.Bool(r.Unrepeatable)
 }
 
@@ -108,7 +108,7 @@
 	r.Application = d.String()
 	r.Operation = d.String()
 	r.Input = d.Blob()
-	r.Key = d.String()
+	r.IdempotencyKey = d.String()
 	r.Unrepeatable = d.Bool()
 	return r
 }
--- a/internal/program/set.go
+++ b/internal/program/set.go
@@ -45,7 +45,7 @@
 		}
 		s.programs[id] = newProgram(r)
 		return nil
-	case Forgotten:
+	case Removed:
 		delete(s.programs, id)
 		return nil
 	}
@@ -230,19 +230,19 @@
 	e.Bool(c.Open)
 	c.Attempt.encode(e)
 	e.Bool(c.Pending)
-	e.Bool(c.Lost)
+	e.Bool(c.HasLostAttempt)
 	c.Answer.encode(e)
 	encodeCallID(e, c.RepeatOf)
 }
 
 func decodeCall(d *wire.Decoder) *Call {
 	return &Call{
-		Request:  decodeRequest(d),
-		Open:     d.Bool(),
-		Attempt:  decodeAttempt(d),
-		Pending:  d.Bool(),
-		Lost:     d.Bool(),
-		Answer:   decodeAnswer(d),
-		RepeatOf: decodeCallID(d),
+		Request:        decodeRequest(d),
+		Open:           d.Bool(),
+		Attempt:        decodeAttempt(d),
+		Pending:        d.Bool(),
+		HasLostAttempt: d.Bool(),
+		Answer:         decodeAnswer(d),
+		RepeatOf:       decodeCallID(d),
 	}
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -7,16 +7,16 @@
 )
 
 // Amount counts requests and, among them, those that begin a program.
-type Amount struct{ Requests, Begins int }
+type Amount struct{ Requests, ProgramStarts int }
 
 // Plus adds two amounts.
 func (a Amount) Plus(other Amount) Amount {
-	return Amount{Requests: a.Requests + other.Requests, Begins: a.Begins + other.Begins}
+	return Amount{Requests: a.Requests + other.Requests, ProgramStarts: a.ProgramStarts + other.ProgramStarts}
 }
 
 // Minus subtracts other, down to nothing.
 func (a Amount) Minus(other Amount) Amount {
-	return Amount{Requests: max(a.Requests-other.Requests, 0), Begins: max(a.Begins-other.Begins, 0)}
+	return Amount{Requests: max(a.Requests-other.Requests, 0), ProgramStarts: max(a.ProgramStarts-other.ProgramStarts, 0)}
 }
 
 // Request asks an allocator for tokens of one tenant.
@@ -33,17 +33,17 @@
 // Grant answers a Request.
 type Grant struct {
 	Amount Amount
-	// Roomy tells that the tenant is well below its limit.
-	Roomy bool
-	// RequestAfter and BeginAfter tell when there may be room again, where less was
+	// BelowLimit tells that the tenant is well below its limit.
+	BelowLimit bool
+	// RequestAfter and ProgramStartAfter tell when there may be room again, where less was
 	// granted than needed.
-	RequestAfter, BeginAfter time.Duration
+	RequestAfter, ProgramStartAfter time.Duration
 }
 
 // Account is what is left of a tenant's limit, to be handed over to another allocator.
 type Account struct {
-	// Requests and Begins are tokens; Spent may have been more than there were.
-	Requests, Begins float64
+	// Requests and ProgramStarts are tokens; Spent may have been more than there were.
+	Requests, ProgramStarts float64
 	// PerProgram is the learned number of requests of a program; 0 if not known.
 	PerProgram float64
 }
@@ -97,8 +97,8 @@
 // SetShare sets the part of each limit that this node may grant, from 0 to 1.
 func (a *Allocator) SetShare(share float64) { a.share = share }
 
-// Settled tells whether what other nodes have granted of a tenant's limit counts here.
-func (a *Allocator) Settled(tenant string) bool {
+// Synchronized tells whether what other nodes have granted of a tenant's limit counts here.
+func (a *Allocator) Synchronized(tenant string) bool {
 	found := a.tenants[tenant]
 	return found != nil && found.settled
 }
@@ -109,17 +109,17 @@
 	opened.requests, opened.begins = a.policy.Capacity(limit)*a.share, a.beginCapacity(opened, limit)
 }
 
-// Take opens an account with what another node had left. It adds to what this node has left
+// Import opens an account with what another node had left. It adds to what this node has left
 // of its own part, which both have granted from at the same time, unless this one stood
 // still: then the other has granted all, and may grant on until it hears of this one.
-func (a *Allocator) Take(tenant string, account Account, limit Limit, now time.Duration) {
+func (a *Allocator) Import(tenant string, account Account, limit Limit, now time.Duration) {
 	if found := a.tenants[tenant]; found != nil && found.stale {
 		found.begins, found.filledAt = 0, now
 		found.requests = -a.policy.Refill(limit) * a.share * unheardFor.Seconds()
 	}
 	opened := a.open(tenant, now)
 	opened.requests += account.Requests
-	opened.begins += account.Begins
+	opened.begins += account.ProgramStarts
 	opened.learned.adopt(account.PerProgram)
 }
 
@@ -127,13 +127,13 @@
 // after it has handed over, since it has not heard yet that the other one is back.
 const unheardFor = 500 * time.Millisecond
 
-// Presume opens an account and takes the limit, but for a part of its spare, for used,
+// FillConservatively opens an account and takes the limit, but for a part of its spare, for used,
 // since what others have granted can't be learned.
-func (a *Allocator) Presume(tenant string, limit Limit, now time.Duration) {
+func (a *Allocator) FillConservatively(tenant string, limit Limit, now time.Duration) {
 	const takeOvers = 2 // in one window
-	most := a.policy.Spare(limit) / takeOvers * a.share
+	most := a.policy.Reserve(limit) / takeOvers * a.share
 	if !a.Has(tenant) {
-		a.Take(tenant, Account{Requests: most, Begins: most}, limit, now)
+		a.Import(tenant, Account{Requests: most, ProgramStarts: most}, limit, now)
 		return
 	}
 	opened := a.open(tenant, now)
@@ -147,9 +147,9 @@
 	return found != nil && !found.left
 }
 
-// Leave ends the filling of the accounts of tenants that another node grants from now on. They
+// Relinquish ends the filling of the accounts of tenants that another node grants from now on. They
 // are kept to be handed over.
-func (a *Allocator) Leave(leaves func(tenant string) bool, limit func(tenant string) (Limit, bool), now time.Duration) {
+func (a *Allocator) Relinquish(leaves func(tenant string) bool, limit func(tenant string) (Limit, bool), now time.Duration) {
 	for tenant, one := range a.tenants {
 		if one.left || !leaves(tenant) {
 			continue
@@ -164,18 +164,18 @@
 // Verify settles an account that no other node has granted from.
 func (a *Allocator) Verify(tenant string, now time.Duration) { a.open(tenant, now) }
 
-// Unsettle makes every account learn what others have granted before it grants again.
-func (a *Allocator) Unsettle() {
+// InvalidateAll makes every account learn what others have granted before it grants again.
+func (a *Allocator) InvalidateAll() {
 	for _, one := range a.tenants {
 		one.settled = false
 	}
 }
 
-// StoodStill makes every account learn what others have granted before it grants again, as
+// ProcessPaused makes every account learn what others have granted before it grants again, as
 // Unsettle does. What another node has left replaces what this one had, since the other has
 // granted in its place.
-func (a *Allocator) StoodStill() {
-	a.Unsettle()
+func (a *Allocator) ProcessPaused() {
+	a.InvalidateAll()
 	for _, one := range a.tenants {
 		one.stale = true
 	}
@@ -195,7 +195,7 @@
 	if found.stale {
 		return Account{}, false
 	}
-	return Account{Requests: found.requests, Begins: found.begins, PerProgram: found.learned.perProgram()}, true
+	return Account{Requests: found.requests, ProgramStarts: found.begins, PerProgram: found.learned.perProgram()}, true
 }
 
 // Forget drops the accounts that nobody has asked for lately.
@@ -210,7 +210,7 @@
 		if one.left {
 			continue
 		}
-		left[tenant] = Account{Requests: one.requests, Begins: one.begins, PerProgram: one.learned.perProgram()}
+		left[tenant] = Account{Requests: one.requests, ProgramStarts: one.begins, PerProgram: one.learned.perProgram()}
 	}
 	return left
 }
@@ -247,20 +247,20 @@
 	a.fill(asked, limit, now)
 	returned := request.Returned
 	asked.requests += float64(returned.Requests - request.Spent.Requests)
-	asked.begins += float64(returned.Begins - request.Spent.Begins)
+	asked.begins += float64(returned.ProgramStarts - request.Spent.ProgramStarts)
 	capacity := a.policy.Capacity(limit) * a.share
 	asked.requests = min(asked.requests, capacity)
 
 	var grant Grant
 	grant.Amount.Requests = part(request.Needed.Requests, request.Wanted.Requests, asked.requests, capacity)
 	if asked.requests >= beginLevel(asked, capacity) {
-		grant.Amount.Begins = part(request.Needed.Begins, request.Wanted.Begins, asked.begins, a.beginCapacity(asked, limit))
+		grant.Amount.ProgramStarts = part(request.Needed.ProgramStarts, request.Wanted.ProgramStarts, asked.begins, a.beginCapacity(asked, limit))
 	}
 	asked.requests -= float64(grant.Amount.Requests)
-	asked.begins -= float64(grant.Amount.Begins)
-	grant.Roomy = asked.requests >= roomyAbove*capacity
+	asked.begins -= float64(grant.Amount.ProgramStarts)
+	grant.BelowLimit = asked.requests >= roomyAbove*capacity
 	a.tellRoom(&grant, asked, limit, request.Needed)
-	binds := grant.RequestAfter > 0 || grant.BeginAfter > 0
+	binds := grant.RequestAfter > 0 || grant.ProgramStartAfter > 0
 	asked.learned.count(grant.Amount, returned, binds, a.policy.Span(), now)
 	return grant
 }
@@ -277,11 +277,11 @@
 	if grant.Amount.Requests < needed.Requests {
 		grant.RequestAfter = seconds((1 - asked.requests) / refill)
 	}
-	if grant.Amount.Begins < needed.Begins {
+	if grant.Amount.ProgramStarts < needed.ProgramStarts {
 		capacity := a.policy.Capacity(limit) * a.share
 		byRequests := (beginLevel(asked, capacity) - asked.requests) / refill
 		byBegins := (1 - asked.begins) * asked.learned.atLeastOne() / refill
-		grant.BeginAfter = seconds(max(byRequests, byBegins))
+		grant.ProgramStartAfter = seconds(max(byRequests, byBegins))
 	}
 }
 
--- a/internal/quota/learned.go
+++ b/internal/quota/learned.go
@@ -35,7 +35,7 @@
 		return
 	}
 	l.requests = max(l.requests+float64(granted.Requests-returned.Requests), 0)
-	l.begins = max(l.begins+float64(granted.Begins-returned.Begins), 0)
+	l.begins = max(l.begins+float64(granted.ProgramStarts-returned.ProgramStarts), 0)
 }
 
 // adopt begins with what another node has learned.
--- a/internal/quota/policy.go
+++ b/internal/quota/policy.go
@@ -41,11 +41,11 @@
 	leastCapacity = 1
 )
 
-// Life is how long a token may be spent after it was asked for.
-func (p Policy) Life() time.Duration { return p.Window / lifePart }
+// TokenTTL is how long a token may be spent after it was asked for.
+func (p Policy) TokenTTL() time.Duration { return p.Window / lifePart }
 
 // Span is how long a granted token may count against a window.
-func (p Policy) Span() time.Duration { return p.Window + p.Life() }
+func (p Policy) Span() time.Duration { return p.Window + p.TokenTTL() }
 
 // Allowed is what may run in a window at most.
 func (p Policy) Allowed(limit Limit) float64 {
@@ -56,20 +56,20 @@
 	return limit.RatePerSecond*p.Window.Seconds() + limit.Burst
 }
 
-// Spare is the part of Allowed that allocators may grant before they know what others
+// Reserve is the part of Allowed that allocators may grant before they know what others
 // have granted.
-func (p Policy) Spare(limit Limit) float64 {
+func (p Policy) Reserve(limit Limit) float64 {
 	return (p.Allowed(limit) - p.inWindow(limit)) / sparePart
 }
 
 // Capacity is how many tokens a bucket holds at most.
 func (p Policy) Capacity(limit Limit) float64 {
-	return max(p.Allowed(limit)-p.Spare(limit)-limit.RatePerSecond*p.Span().Seconds(), leastCapacity)
+	return max(p.Allowed(limit)-p.Reserve(limit)-limit.RatePerSecond*p.Span().Seconds(), leastCapacity)
 }
 
 // Refill is how many tokens a bucket gets in a second: the limit's rate, or a little less
 // where there is neither burst nor slack.
 func (p Policy) Refill(limit Limit) float64 {
-	left := p.Allowed(limit) - p.Spare(limit) - p.Capacity(limit)
+	left := p.Allowed(limit) - p.Reserve(limit) - p.Capacity(limit)
 	return min(limit.RatePerSecond, left/p.Span().Seconds())
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -48,12 +48,12 @@
 	allocator.Fill("t", testLimit, 0)
 	plenty := Request{Needed: Amount{Requests: 999}, Wanted: Amount{Requests: 999}}
 	allocator.Grant("t", testLimit, plenty, 0)
-	one := Request{Needed: Amount{Requests: 1, Begins: 1}, Wanted: Amount{Requests: 1, Begins: 1}}
+	one := Request{Needed: Amount{Requests: 1, ProgramStarts: 1}, Wanted: Amount{Requests: 1, ProgramStarts: 1}}
 	grant := allocator.Grant("t", testLimit, one, 0)
 	is.Equal(grant.Amount, Amount{})
 	is.True(grant.RequestAfter <= time.Second/40)
 	is.Equal(allocator.Grant("t", testLimit, one, grant.RequestAfter+time.Millisecond).Amount.Requests, 1)
-	is.Equal(allocator.Grant("t", testLimit, one, grant.BeginAfter+60*time.Millisecond).Amount.Begins, 1)
+	is.Equal(allocator.Grant("t", testLimit, one, grant.ProgramStartAfter+60*time.Millisecond).Amount.ProgramStarts, 1)
 }
 
 // TestTenantAtItsLimitBeginsOnlyWhatItCanEnd serves programs of ten requests to a tenant
@@ -66,7 +66,7 @@
 	var running []int // requests left of each program
 	begun, refused, ended := 0, 0, 0
 	one := Request{Needed: Amount{Requests: 1}, Wanted: Amount{Requests: 1}}
-	first := Request{Needed: Amount{Requests: 1, Begins: 1}, Wanted: Amount{Requests: 1, Begins: 1}}
+	first := Request{Needed: Amount{Requests: 1, ProgramStarts: 1}, Wanted: Amount{Requests: 1, ProgramStarts: 1}}
 	for now := time.Duration(0); now < 40*time.Second; now += step {
 		for i := range running {
 			if running[i] == 0 || now%(200*time.Millisecond) != 0 {
@@ -89,7 +89,7 @@
 				break
 			}
 			grant := allocator.Grant("t", testLimit, first, now)
-			if grant.Amount.Begins == 0 {
+			if grant.Amount.ProgramStarts == 0 {
 				allocator.Grant("t", testLimit, Request{Returned: grant.Amount}, now)
 				continue
 			}
@@ -106,10 +106,10 @@
 func TestSuccessorTakesForUsedWhatItCantLearn(t *testing.T) {
 	is := is.New(t)
 	allocator := NewAllocator(testPolicy)
-	allocator.Presume("t", testLimit, 0)
+	allocator.FillConservatively("t", testLimit, 0)
 	plenty := Request{Needed: Amount{Requests: 999}, Wanted: Amount{Requests: 999}}
 	at := func(now time.Duration) int { return allocator.Grant("t", testLimit, plenty, now).Amount.Requests }
-	is.True(float64(at(0)) <= testPolicy.Spare(testLimit)/2)
+	is.True(float64(at(0)) <= testPolicy.Reserve(testLimit)/2)
 	total := 0
 	for now := time.Duration(0); now < time.Second; now += 10 * time.Millisecond {
 		total += at(now)
@@ -129,30 +129,30 @@
 
 func TestTokensOfANodeExpireAndComeBack(t *testing.T) {
 	is := is.New(t)
-	stock := NewStock(testPolicy, 0)
-	request := stock.Ask(7, Amount{Requests: 1}, 0)
-	stock.Granted(7, request, Grant{Amount: Amount{Requests: 3}}, 0, 0)
+	stock := NewTokenCache(testPolicy, 0)
+	request := stock.NewRequest(7, Amount{Requests: 1}, 0)
+	stock.ApplyGrant(7, request, Grant{Amount: Amount{Requests: 3}}, 0, 0)
 	token, taken := stock.Take(0)
 	is.True(taken)
 	for range 2 {
-		_, taken = stock.Take(testPolicy.Life() - 1)
+		_, taken = stock.Take(testPolicy.TokenTTL() - 1)
 		is.True(taken)
 	}
-	_, taken = stock.Take(testPolicy.Life() - 1)
+	_, taken = stock.Take(testPolicy.TokenTTL() - 1)
 	is.True(!taken)
-	stock.Refund(token, testPolicy.Life()) // too late for another request
-	_, taken = stock.Take(testPolicy.Life())
+	stock.Refund(token, testPolicy.TokenTTL()) // too late for another request
+	_, taken = stock.Take(testPolicy.TokenTTL())
 	is.True(!taken)
-	is.Equal(stock.Ask(7, Amount{}, testPolicy.Life()).Returned, Amount{Requests: 1})
-	is.Equal(stock.Ask(7, Amount{}, testPolicy.Life()).Returned, Amount{})
+	is.Equal(stock.NewRequest(7, Amount{}, testPolicy.TokenTTL()).Returned, Amount{Requests: 1})
+	is.Equal(stock.NewRequest(7, Amount{}, testPolicy.TokenTTL()).Returned, Amount{})
 }
 
 func TestNodeWithoutAllocatorGoesOnAtItsOwnPace(t *testing.T) {
 	is := is.New(t)
-	stock := NewStock(testPolicy, 0)
+	stock := NewTokenCache(testPolicy, 0)
 	now := time.Duration(0)
 	for range 40 { // 20 a second for two seconds
-		stock.Granted(7, Request{}, Grant{Amount: Amount{Requests: 1}, Roomy: true}, now, now)
+		stock.ApplyGrant(7, Request{}, Grant{Amount: Amount{Requests: 1}, BelowLimit: true}, now, now)
 		_, taken := stock.Take(now)
 		is.True(taken)
 		now += 50 * time.Millisecond
@@ -160,7 +160,7 @@
 	taken := 0
 	alone := func(from, to time.Duration) int {
 		for taken = 0; from < to; from += 10 * time.Millisecond {
-			if _, got := stock.TakeAlone(testLimit, 10, from); got {
+			if _, got := stock.TakeWithoutAllocator(testLimit, 10, from); got {
 				taken++
 			}
 		}
@@ -170,13 +170,13 @@
 	is.True(inTrust >= 18 && inTrust <= 40)
 	later := alone(now+trustFor+time.Second, now+trustFor+3*time.Second)
 	is.True(later <= 2*6+1) // a tenth of the limit
-	is.True(stock.Ask(8, Amount{}, now+trustFor+3*time.Second).Spent.Requests == inTrust+later)
+	is.True(stock.NewRequest(8, Amount{}, now+trustFor+3*time.Second).Spent.Requests == inTrust+later)
 }
 
 func TestNodeThatNobodyAnsweredSpendsNothingAtFirst(t *testing.T) {
 	is := is.New(t)
-	stock := NewStock(testPolicy, 0)
-	_, taken := stock.TakeAlone(testLimit, 10, time.Hour)
+	stock := NewTokenCache(testPolicy, 0)
+	_, taken := stock.TakeWithoutAllocator(testLimit, 10, time.Hour)
 	is.True(!taken)
 }
 
@@ -203,14 +203,14 @@
 				if !known {
 					t.Fatal("no account")
 				}
-				allocator.Take("t", account, limit, now)
+				allocator.Import("t", account, limit, now)
 			case 1: // the allocator dies, at most once in a span
 				if now-unclean < testPolicy.Span() {
 					continue
 				}
 				unclean = now
 				allocator = NewAllocator(testPolicy)
-				allocator.Presume("t", limit, now)
+				allocator.FillConservatively("t", limit, now)
 			default:
 				wanted := Amount{Requests: rapid.IntRange(0, 900).Draw(t, "wanted")}
 				grant := allocator.Grant("t", limit, Request{Needed: wanted, Wanted: wanted}, now)
@@ -275,7 +275,7 @@
 }
 
 func (d *loweredDemand) begin(now time.Duration) {
-	first := Amount{Requests: 1, Begins: 1}
+	first := Amount{Requests: 1, ProgramStarts: 1}
 	granted := d.allocator.Grant("t", d.limit, Request{Needed: first, Wanted: first}, now).Amount
 	if granted != first {
 		d.allocator.Grant("t", d.limit, Request{Returned: granted}, now)
@@ -298,24 +298,24 @@
 		learn func(allocator *Allocator)
 		most  float64
 	}{
-		"another has granted": {func(a *Allocator) { a.Take("t", Account{Requests: 23}, testLimit, wakes) }, 3},
-		"nobody can tell":     {func(a *Allocator) { a.Presume("t", testLimit, wakes) }, testPolicy.Spare(testLimit) / 2},
+		"another has granted": {func(a *Allocator) { a.Import("t", Account{Requests: 23}, testLimit, wakes) }, 3},
+		"nobody can tell":     {func(a *Allocator) { a.FillConservatively("t", testLimit, wakes) }, testPolicy.Reserve(testLimit) / 2},
 		"nobody has granted":  {func(a *Allocator) { a.Verify("t", wakes) }, testPolicy.Capacity(testLimit)},
 		"two sides of a cut": {func(a *Allocator) {
-			a.Take("t", Account{Requests: 23}, testLimit, wakes)
-			a.Take("t", Account{Requests: 4}, testLimit, wakes)
+			a.Import("t", Account{Requests: 23}, testLimit, wakes)
+			a.Import("t", Account{Requests: 4}, testLimit, wakes)
 		}, 7},
 		"it is asked to leave": {func(a *Allocator) {
 			account, _ := a.HandOver("t", testLimit, wakes)
-			a.Take("t", account, testLimit, wakes)
+			a.Import("t", account, testLimit, wakes)
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			allocator := NewAllocator(testPolicy)
 			allocator.Fill("t", testLimit, 0)
-			allocator.StoodStill()
-			is.True(!allocator.Settled("t"))
+			allocator.ProcessPaused()
+			is.True(!allocator.Synchronized("t"))
 			granted.learn(allocator)
 			is.Equal(allocator.Grant("t", testLimit, plenty, wakes).Amount.Requests, int(granted.most))
 		})
@@ -331,19 +331,19 @@
 		allocator := NewAllocator(testPolicy)
 		allocator.Fill("t", testLimit, 0)
 		allocator.Grant("t", testLimit, Request{Needed: Amount{Requests: 999}}, 0)
-		allocator.Leave(func(string) bool { return true }, limit, time.Second/2)
+		allocator.Relinquish(func(string) bool { return true }, limit, time.Second/2)
 		return allocator
 	}
 	allocator := left()
 	is.True(!allocator.Has("t"))
 	is.Equal(len(allocator.Left()), 0)
-	allocator.Leave(func(string) bool { return true }, limit, 5*time.Second) // a later view changes nothing
+	allocator.Relinquish(func(string) bool { return true }, limit, 5*time.Second) // a later view changes nothing
 	account, known := allocator.HandOver("t", testLimit, 9*time.Second)
 	is.True(known)
 	is.True(account.Requests >= 20 && account.Requests < 21) // what came in until it was left
 	allocator = left()
-	allocator.Presume("t", testLimit, 9*time.Second)
-	is.Equal(allocator.Left()["t"].Requests, testPolicy.Spare(testLimit)/2)
+	allocator.FillConservatively("t", testLimit, 9*time.Second)
+	is.Equal(allocator.Left()["t"].Requests, testPolicy.Reserve(testLimit)/2)
 }
 
 // TestSmallLimitEndsWhatItBegins lowers a tenant's limit to a tenth of what it sends: few
--- a/internal/quota/stock.go
+++ b/internal/quota/stock.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Source names one life of an allocator.
-type Source uint64
+// AllocatorID names one life of an allocator.
+type AllocatorID uint64
 
 // Token is the right to run one request.
 type Token struct {
-	source Source
+	source AllocatorID
 	// own tells that it was taken without an allocator.
 	own bool
 }
 
-// Source returns the life of the allocator that granted the token; false where the node
+// AllocatorID returns the life of the allocator that granted the token; false where the node
 // took it without one.
-func (t Token) Source() (source Source, granted bool) { return t.source, !t.own }
+func (t Token) AllocatorID() (source AllocatorID, granted bool) { return t.source, !t.own }
 
 // batch is what is left of one grant.
 type batch struct {
-	source Source
+	source AllocatorID
 	// expires is on this node's clock.
 	expires time.Duration
 	left    Amount
@@ -44,12 +44,12 @@
 	trustPace = 1.25
 )
 
-// Stock holds one node's tokens of one tenant. It is not safe for concurrent use.
-type Stock struct {
+// TokenCache holds one node's tokens of one tenant. It is not safe for concurrent use.
+type TokenCache struct {
 	policy  Policy
 	batches []batch
 	// returns are to be given back to allocators.
-	returns map[Source]Amount
+	returns map[AllocatorID]Amount
 	// nextAhead is when more may be asked for in advance again.
 	nextAhead time.Duration
 	// pace and beginPace are requests and begun programs a second.
@@ -71,13 +71,13 @@
 	spent   Amount
 }
 
-// NewStock returns a stock without tokens.
-func NewStock(policy Policy, now time.Duration) *Stock {
-	return &Stock{policy: policy, returns: map[Source]Amount{}, pacedAt: now, ownAt: now}
+// NewTokenCache returns a stock without tokens.
+func NewTokenCache(policy Policy, now time.Duration) *TokenCache {
+	return &TokenCache{policy: policy, returns: map[AllocatorID]Amount{}, pacedAt: now, ownAt: now}
 }
 
 // Take spends a token for a request; false if there is none.
-func (s *Stock) Take(now time.Duration) (Token, bool) {
+func (s *TokenCache) Take(now time.Duration) (Token, bool) {
 	s.expire(now)
 	for i := range s.batches {
 		if one := &s.batches[i]; one.left.Requests > 0 {
@@ -89,13 +89,13 @@
 	return Token{}, false
 }
 
-// TakeBegin spends the right to begin a program; false if there is none.
-func (s *Stock) TakeBegin(now time.Duration) bool {
+// TakeProgramStart spends the right to begin a program; false if there is none.
+func (s *TokenCache) TakeProgramStart(now time.Duration) bool {
 	s.expire(now)
 	for i := range s.batches {
-		if one := &s.batches[i]; one.left.Begins > 0 {
-			one.left.Begins--
-			s.note(Amount{Begins: 1}, now)
+		if one := &s.batches[i]; one.left.ProgramStarts > 0 {
+			one.left.ProgramStarts--
+			s.note(Amount{ProgramStarts: 1}, now)
 			return true
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // Refund gives back the token of a request that has not run.
-func (s *Stock) Refund(token Token, now time.Duration) {
+func (s *TokenCache) Refund(token Token, now time.Duration) {
 	s.expire(now)
 	if token.own {
 		s.own++
@@ -114,12 +114,12 @@
 }
 
 // giveBack is told the allocator with the next request, if that is the same life still.
-func (s *Stock) giveBack(source Source, amount Amount) {
+func (s *TokenCache) giveBack(source AllocatorID, amount Amount) {
 	s.returns[source] = s.returns[source].Plus(amount)
 }
 
 // expire takes tokens out whose life is over.
-func (s *Stock) expire(now time.Duration) {
+func (s *TokenCache) expire(now time.Duration) {
 	live := s.batches[:0]
 	for _, one := range s.batches {
 		if now < one.expires {
@@ -134,20 +134,20 @@
 }
 
 // note counts what was spent in the node's pace.
-func (s *Stock) note(spent Amount, now time.Duration) {
+func (s *TokenCache) note(spent Amount, now time.Duration) {
 	s.slow(now)
 	s.pace += float64(spent.Requests) / paceFor.Seconds()
-	s.beginPace += float64(spent.Begins) / paceFor.Seconds()
+	s.beginPace += float64(spent.ProgramStarts) / paceFor.Seconds()
 }
 
 // slow lets the pace fall with the time that has passed.
-func (s *Stock) slow(now time.Duration) {
+func (s *TokenCache) slow(now time.Duration) {
 	decay := math.Exp(-float64(now-s.pacedAt) / float64(paceFor))
 	s.pace, s.beginPace, s.pacedAt = s.pace*decay, s.beginPace*decay, now
 }
 
 // left is what is in stock.
-func (s *Stock) left() Amount {
+func (s *TokenCache) left() Amount {
 	total := Amount{}
 	for _, one := range s.batches {
 		total = total.Plus(one.left)
@@ -156,13 +156,13 @@
 }
 
 // ahead is what the node would like to have in stock, at its pace.
-func (s *Stock) ahead() Amount {
-	horizon := aheadPart * s.policy.Life().Seconds()
-	return Amount{Requests: int(math.Ceil(s.pace * horizon)), Begins: int(math.Ceil(s.beginPace * horizon))}
+func (s *TokenCache) ahead() Amount {
+	horizon := aheadPart * s.policy.TokenTTL().Seconds()
+	return Amount{Requests: int(math.Ceil(s.pace * horizon)), ProgramStarts: int(math.Ceil(s.beginPace * horizon))}
 }
 
 // Low tells whether more should be asked for before it is needed.
-func (s *Stock) Low(now time.Duration) bool {
+func (s *TokenCache) Low(now time.Duration) bool {
 	if now < s.refusedUntil || now < s.nextAhead {
 		return false
 	}
@@ -170,15 +170,15 @@
 	s.slow(now)
 	left, ahead := s.left(), s.ahead()
 	return float64(left.Requests) < lowPart*float64(ahead.Requests) ||
-		now >= s.beginsRefusedUntil && float64(left.Begins) < lowPart*float64(ahead.Begins)
+		now >= s.beginsRefusedUntil && float64(left.ProgramStarts) < lowPart*float64(ahead.ProgramStarts)
 }
 
-// Ask returns the request to an allocator, whose returns and spent tokens count as told.
-func (s *Stock) Ask(source Source, needed Amount, now time.Duration) Request {
+// NewRequest returns the request to an allocator, whose returns and spent tokens count as told.
+func (s *TokenCache) NewRequest(source AllocatorID, needed Amount, now time.Duration) Request {
 	s.expire(now)
 	s.slow(now)
 	ahead, left := s.ahead(), s.left()
-	s.nextAhead = now + s.policy.Life()/aheadPauses
+	s.nextAhead = now + s.policy.TokenTTL()/aheadPauses
 	request := Request{
 		Needed: needed, Wanted: needed.Plus(ahead.Minus(left)),
 		Spent: s.spent, Returned: s.returns[source],
@@ -189,43 +189,43 @@
 }
 
 // HasReturns tells whether something is to be given back to an allocator.
-func (s *Stock) HasReturns(source Source, now time.Duration) bool {
+func (s *TokenCache) HasReturns(source AllocatorID, now time.Duration) bool {
 	s.expire(now)
 	return s.returns[source] != (Amount{}) || s.spent != (Amount{})
 }
 
-// Untold takes back what an allocator was to be told that has not answered. What it was
+// RequestFailed takes back what an allocator was to be told that has not answered. What it was
 // to be given back is lost, since it may have heard of it.
-func (s *Stock) Untold(request Request) { s.spent = s.spent.Plus(request.Spent) }
+func (s *TokenCache) RequestFailed(request Request) { s.spent = s.spent.Plus(request.Spent) }
 
-// Granted takes the answer to a request that was sent at asked.
-func (s *Stock) Granted(source Source, request Request, grant Grant, asked, now time.Duration) {
+// ApplyGrant takes the answer to a request that was sent at asked.
+func (s *TokenCache) ApplyGrant(source AllocatorID, request Request, grant Grant, asked, now time.Duration) {
 	s.heard, s.heardAt, s.alone = true, now, false
-	s.roomy = grant.Roomy
+	s.roomy = grant.BelowLimit
 	if grant.Amount != (Amount{}) {
 		s.batches = append(s.batches, batch{
-			source: source, expires: asked + s.policy.Life(), left: grant.Amount,
+			source: source, expires: asked + s.policy.TokenTTL(), left: grant.Amount,
 		})
 	}
 	if grant.Amount.Requests < request.Needed.Requests {
 		s.refusedUntil = now + grant.RequestAfter
 	}
-	if grant.Amount.Begins < request.Needed.Begins {
-		s.beginsRefusedUntil = now + grant.BeginAfter
+	if grant.Amount.ProgramStarts < request.Needed.ProgramStarts {
+		s.beginsRefusedUntil = now + grant.ProgramStartAfter
 	}
 }
 
 // Refused returns how long the allocator has nothing to grant, 0 if it may have.
-func (s *Stock) Refused(now time.Duration) time.Duration { return max(s.refusedUntil-now, 0) }
+func (s *TokenCache) Refused(now time.Duration) time.Duration { return max(s.refusedUntil-now, 0) }
 
-// BeginsRefused returns how long no program may begin, 0 if one may.
-func (s *Stock) BeginsRefused(now time.Duration) time.Duration {
+// ProgramStartsRefused returns how long no program may begin, 0 if one may.
+func (s *TokenCache) ProgramStartsRefused(now time.Duration) time.Duration {
 	return max(s.beginsRefusedUntil-now, 0)
 }
 
-// TakeAlone spends a token without an allocator: at the node's own pace where the tenant
+// TakeWithoutAllocator spends a token without an allocator: at the node's own pace where the tenant
 // was well below its limit a short time ago, else from the node's part of the limit.
-func (s *Stock) TakeAlone(limit Limit, nodes int, now time.Duration) (Token, bool) {
+func (s *TokenCache) TakeWithoutAllocator(limit Limit, nodes int, now time.Duration) (Token, bool) {
 	s.slow(now)
 	entered := !s.alone
 	if entered {
@@ -236,7 +236,7 @@
 	trusted := s.heard && s.roomy && now-s.heardAt < trustFor
 	if trusted {
 		rate = max(rate, trustPace*s.ownPace)
-		most = max(most, rate*s.policy.Life().Seconds())
+		most = max(most, rate*s.policy.TokenTTL().Seconds())
 	}
 	if entered && trusted {
 		s.own = most
@@ -252,8 +252,8 @@
 	return Token{own: true}, true
 }
 
-// Pace returns the requests a second that the node has lately served for the tenant.
-func (s *Stock) Pace(now time.Duration) float64 {
+// Rate returns the requests a second that the node has lately served for the tenant.
+func (s *TokenCache) Rate(now time.Duration) float64 {
 	s.slow(now)
 	return s.pace
 }
--- a/internal/routednode/coldreplicas.go
+++ b/internal/routednode/coldreplicas.go
@@ -11,24 +11,24 @@
 
 // coldReplicas joins the gate before cold replicas with the configuration in force.
 type coldReplicas struct {
-	gate   *coldstart.Gate
+	gate   *coldstart.Limiter
 	router *router.Router
 }
 
 // bound returns what the cold replicas of a service bear by the configuration in force.
-func (c *coldReplicas) bound(service string) coldstart.Bound {
+func (c *coldReplicas) bound(service string) coldstart.RateLimit {
 	configuration := c.router.Configuration()
 	if configuration == nil {
-		return coldstart.Bound{}
+		return coldstart.RateLimit{}
 	}
 	found := configuration.Services[service]
-	return coldstart.Bound{PerSecond: found.ColdPerSecond, Lasts: found.ColdFor}
+	return coldstart.RateLimit{PerSecond: found.ColdPerSecond, ColdDuration: found.ColdFor}
 }
 
 // returned takes the replicas of a zone that was taken back for cold.
 func (c *coldReplicas) returned(zone string) {
-	lasts := func(service string) time.Duration { return c.bound(service).Lasts }
-	c.gate.Presume(zone, lasts, c.router.Now())
+	lasts := func(service string) time.Duration { return c.bound(service).ColdDuration }
+	c.gate.PresumeZoneCold(zone, lasts, c.router.Now())
 }
 
 // status tells operators of the replicas that are cold at a time.
--- a/internal/routednode/configurationview.go
+++ b/internal/routednode/configurationview.go
@@ -10,13 +10,13 @@
 
 // operatorsFeed joins what operators write with what other nodes tell of it: the
 // configuration and the zones that they evacuate.
-func (v *views) operatorsFeed() distribution.Feed {
-	return distribution.Feed{
+func (v *views) operatorsFeed() distribution.Subscription {
+	return distribution.Subscription{
 		Topic: v.operators.Topic,
 		Replace: func(items []logstore.Item, next logstore.Offset) {
 			v.operators.replaceTold(next, func() { v.takeOperators(items, next, "peer") })
 		},
-		Change: func(items []logstore.Item, next logstore.Offset) {
+		Apply: func(items []logstore.Item, next logstore.Offset) {
 			position, _ := v.operators.Position()
 			v.changeOperators(position, items, next, "peer")
 		},
@@ -84,7 +84,7 @@
 		v.logger.Error("configuration can't be used", "from", from, "error", err, "bytes", len(encoded))
 		return
 	}
-	inForce := v.router.Use(configuration)
+	inForce := v.router.SetConfiguration(configuration)
 	if inForce {
 		v.keepConfiguration(configuration.Version, encoded)
 		v.logHomes(configuration)
@@ -98,7 +98,7 @@
 
 // logHomes tells what is wrong with the homes of data; what has no home is refused.
 func (v *views) logHomes(configuration *routing.Configuration) {
-	findings := configuration.CheckHomes(v.regions)
+	findings := configuration.CheckAllowedRegions(v.regions)
 	for _, finding := range findings[:min(len(findings), mostFindings)] {
 		v.logger.Error("homes of data can't be kept, such requests are refused", "version", configuration.Version, "error", finding)
 	}
--- a/internal/routednode/distances.go
+++ b/internal/routednode/distances.go
@@ -63,7 +63,7 @@
 func (d *distances) measureStale(ctx context.Context) {
 	for zone, node := range d.drawn() {
 		go func() {
-			before := d.known.To(zone)
+			before := d.known.PathTo(zone)
 			roundTrip, answered := d.measure(ctx, node)
 			if !answered {
 				return
@@ -82,7 +82,7 @@
 	defer d.mutex.Unlock()
 	drawn := map[string]netip.Addr{}
 	for zone, nodes := range d.members {
-		if d.known.Stale(zone, d.now()) {
+		if d.known.NeedsMeasurement(zone, d.now()) {
 			drawn[zone] = nodes[rand.IntN(len(nodes))]
 		}
 	}
@@ -107,7 +107,7 @@
 
 // Collect implements prometheus.Collector.
 func (d *distances) Collect(metrics chan<- prometheus.Metric) {
-	for _, way := range d.known.Ways(d.zones()) {
+	for _, way := range d.known.Paths(d.zones()) {
 		metrics <- prometheus.MustNewConstMetric(roundTripDesc, prometheus.GaugeValue, way.RoundTrip.Seconds(), way.Zone)
 	}
 }
--- a/internal/routednode/distances_test.go
+++ b/internal/routednode/distances_test.go
@@ -48,8 +48,8 @@
 		defer cancel()
 		measured.run(ctx)
 		synctest.Wait()
-		is.Equal(measured.known.To("b"), distance.Way{Zone: "b", RoundTrip: 60 * time.Millisecond, OtherRegion: true, Measured: true})
-		is.True(!measured.known.To("dead").Measured)
+		is.Equal(measured.known.PathTo("b"), distance.Path{Zone: "b", RoundTrip: 60 * time.Millisecond, OtherRegion: true, Measured: true})
+		is.True(!measured.known.PathTo("dead").Measured)
 		total := 0
 		for node, count := range asked {
 			is.True(node.As4()[2] != 0) // nobody of its own zone
--- a/internal/routednode/ejected.go
+++ b/internal/routednode/ejected.go
@@ -15,7 +15,7 @@
 
 // ejectedCollector shows what a book holds as ejected.
 type ejectedCollector struct {
-	book *keeper.Book
+	book *keeper.Aggregates
 	now  clock
 }
 
--- a/internal/routednode/ejected_test.go
+++ b/internal/routednode/ejected_test.go
@@ -21,12 +21,12 @@
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
 	now := func() time.Duration { return time.Second }
-	exchange := keeper.NewExchange(keeper.Config{Conn: conn, Placement: keeper.NewPlacement("n"), Now: now, Observer: newKeeperMetrics(prometheus.NewRegistry())})
-	shown := &ejectedCollector{book: exchange.Book(), now: now}
+	exchange := keeper.New(keeper.Config{Conn: conn, Placement: keeper.NewPlacement("n"), Now: now, Observer: newKeeperMetrics(prometheus.NewRegistry())})
+	shown := &ejectedCollector{book: exchange.Aggregates(), now: now}
 	is.Equal(testutil.CollectAndCount(shown), 0)
 	for _, replica := range []string{"a", "b"} {
 		for range 3 {
-			exchange.Outcome(keeper.Replica{Instance: replica}, outlier.Silent, 0)
+			exchange.ReportOutcome(keeper.Replica{Instance: replica}, outlier.NoResponse, 0)
 		}
 	}
 	is.NoErr(testutil.CollectAndCompare(shown, strings.NewReader(`
--- a/internal/routednode/evacuations.go
+++ b/internal/routednode/evacuations.go
@@ -39,7 +39,7 @@
 	})
 	registerer.MustRegister(made.unreadable, made.lastSend, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "stepseam_evacuated_zones", Help: "Zones that are evacuated, as far as this node knows.",
-	}, func() float64 { return float64(len(made.zones.Tell(0).Zones)) }))
+	}, func() float64 { return float64(len(made.zones.Snapshot(0).Zones)) }))
 	return &made
 }
 
@@ -77,8 +77,8 @@
 }
 
 // adopt takes what a peer has told, which was asked then.
-func (e *evacuations) adopt(told evacuation.Told, asked time.Time, from string) {
-	e.tell(e.zones.Adopt(told, e.now()-time.Since(asked)), from)
+func (e *evacuations) adopt(told evacuation.Snapshot, asked time.Time, from string) {
+	e.tell(e.zones.Merge(told, e.now()-time.Since(asked)), from)
 }
 
 func (e *evacuations) noteUnreadable(item logstore.Item, err error) {
@@ -95,8 +95,8 @@
 			e.logger.Info("zone taken back", "zone_name", event.Zone, "from", from, "evacuated_ms", heardAfter)
 			continue
 		}
-		e.lastSend.Observe(event.LastSend.Seconds())
+		e.lastSend.Observe(event.LastSendDelay.Seconds())
 		e.logger.Info("zone evacuated", "zone_name", event.Zone, "from", from, "heard_after_ms", heardAfter,
-			"last_send_after_ms", event.LastSend.Milliseconds(), "replicas", e.fleet.InZone(event.Zone))
+			"last_send_after_ms", event.LastSendDelay.Milliseconds(), "replicas", e.fleet.InZone(event.Zone))
 	}
 }
--- a/internal/routednode/evacuations_test.go
+++ b/internal/routednode/evacuations_test.go
@@ -61,7 +61,7 @@
 func TestPeersWordEndsWithTheZonesReturn(t *testing.T) {
 	is := is.New(t)
 	e := testEvacuations(nil)
-	late := evacuation.Told{Position: 2, Zones: map[string]time.Duration{"a": time.Second}}
+	late := evacuation.Snapshot{Position: 2, Zones: map[string]time.Duration{"a": time.Second}}
 	e.adopt(late, time.Now(), "peer")
 	is.True(e.zones.Evacuated("a"))
 	e.change([]logstore.Item{{Key: "zone/a"}}, 3)
--- a/internal/routednode/followers.go
+++ b/internal/routednode/followers.go
@@ -37,7 +37,7 @@
 }
 
 // configurations follows what operators write.
-func (f *following) configurations() *follow.Follower {
+func (f *following) configurations() *follow.Watcher {
 	return follow.New(follow.Config{
 		Name: "configuration", Store: f.store, Partition: f.views.adapter.Configuration,
 		Pause: func() time.Duration { return 0 }, Wait: f.configurationWait,
@@ -45,18 +45,18 @@
 		OnChanges: func(from logstore.Offset, items []logstore.Item, next logstore.Offset) {
 			f.views.changeOperators(from, items, next, "store")
 		},
-		OnRegained: func() {}, OnConfirmed: f.views.confirmOperators, Logger: f.views.logger,
+		OnRecovered: func() {}, OnConfirmed: f.views.confirmOperators, Logger: f.views.logger,
 		Await: f.await(configurationTopic, f.views.adapter.Configuration), Position: f.views.operators.Position, LongestPause: f.longestPause(f.views.adapter.Configuration),
 	})
 }
 
 // replicas follows the replicas' entries.
-func (f *following) replicas() *follow.Follower {
+func (f *following) replicas() *follow.Watcher {
 	return follow.New(follow.Config{
 		Name: "replicas", Store: f.store, Partition: f.views.adapter.Replicas,
 		Pause: f.replicasPause, Wait: f.replicasWait,
 		OnSnapshot: f.views.replaceEntries, OnChanges: f.views.changeEntries,
-		OnRegained:  func() { f.views.fleet.Unsettled(f.views.router.Now()) },
+		OnRecovered: func() { f.views.fleet.StoreRecovered(f.views.router.Now()) },
 		OnConfirmed: f.views.replicas.Confirm, Logger: f.views.logger,
 		Await: f.await(replicasTopic, f.views.adapter.Replicas), Position: f.views.replicas.Position, LongestPause: f.longestPause(f.views.adapter.Replicas),
 	})
@@ -66,7 +66,7 @@
 func (f *following) await(topic int, place logstore.Partition) func(context.Context) error {
 	return func(ctx context.Context) error {
 		if f.topics != nil {
-			if err := f.topics.Await(ctx, topic); err != nil {
+			if err := f.topics.AwaitReader(ctx, topic); err != nil {
 				return err
 			}
 		}
@@ -74,7 +74,7 @@
 	}
 }
 
-func (f *following) distributes() bool { return f.topics != nil && f.topics.Distributes() }
+func (f *following) distributes() bool { return f.topics != nil && f.topics.ServesPeers() }
 
 func (f *following) configurationWait() time.Duration {
 	wait := f.readers.wait(f.chosen)
@@ -104,7 +104,7 @@
 	return func() time.Duration {
 		allowed := f.chosen.Store.ReadsPerSecond * retryPart
 		switch {
-		case !f.store.Answers(place):
+		case !f.store.Available(place):
 			return pacedPause
 		case allowed <= 0:
 			return retryPause
--- a/internal/routednode/freshness.go
+++ b/internal/routednode/freshness.go
@@ -30,8 +30,8 @@
 	f.awayForAll = !answered
 }
 
-// AwayForAll tells whether the store answers no other node either, as far as is known.
-func (f *freshness) AwayForAll() bool {
+// UnavailableForAll tells whether the store answers no other node either, as far as is known.
+func (f *freshness) UnavailableForAll() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.awayForAll
--- a/internal/routednode/freshness_test.go
+++ b/internal/routednode/freshness_test.go
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		v := &views{router: router.New(router.Config{Registerer: prometheus.NewRegistry()}), freshness: &freshness{}, logger: slog.New(slog.DiscardHandler)}
-		v.router.Use(&routing.Configuration{Version: 7})
+		v.router.SetConfiguration(&routing.Configuration{Version: 7})
 		asked := time.Now()
 		time.Sleep(300 * time.Millisecond) // the way there and back, and the peer's time
 		v.confirmBy(&tellViews{Version: 8, ConfigurationKnown: true}, asked)
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	told := &tellViews{
 		Configuration: []byte("c"), Version: 9, ConfigurationKnown: true, ConfigurationAge: time.Second, StoreAnswers: true, ReplicasKnown: true, ReplicasAge: time.Minute,
-		Evacuations: evacuation.Told{Position: 7, Zones: map[string]time.Duration{"a": time.Second, "b": time.Minute}},
+		Evacuations: evacuation.Snapshot{Position: 7, Zones: map[string]time.Duration{"a": time.Second, "b": time.Minute}},
 	}
 	encoder := wire.NewEncoder(nil)
 	told.Encode(encoder)
@@ -104,7 +104,7 @@
 			peerAnswered: func() { answered = true },
 		}
 		r.ask(t.Context())
-		is.Equal(v.freshness.AwayForAll(), c.away)
+		is.Equal(v.freshness.UnavailableForAll(), c.away)
 		is.Equal(answered, c.second != nil && c.second.StoreAnswers) // then this node probes at once
 	}
 }
--- a/internal/routednode/keepers.go
+++ b/internal/routednode/keepers.go
@@ -24,7 +24,7 @@
 
 // provideKeepers binds the node's address for keepers; it returns nil where there is
 // none, or no other nodes.
-func provideKeepers(injector do.Injector) (*keeper.Exchange, error) {
+func provideKeepers(injector do.Injector) (*keeper.Service, error) {
 	chosen := do.MustInvoke[settings.Routed](injector)
 	others, err := do.Invoke[*peers](injector)
 	if err != nil || others == nil || !chosen.Addresses.Keepers.IsValid() {
@@ -38,12 +38,12 @@
 	others.onView = append(others.onView, placement.SetView)
 	logger, registry, now := do.MustInvoke[*slog.Logger](injector), do.MustInvoke[*prometheus.Registry](injector), do.MustInvoke[clock](injector)
 	measured := newKeeperMetrics(registry)
-	made := keeper.NewExchange(keeper.Config{
+	made := keeper.New(keeper.Config{
 		Conn: conn, Placement: placement, Now: now, Observer: measured,
-		Judged: func(changed keeper.Judgement) { router.LogJudgement(logger, changed) },
+		OnEjectionChange: func(changed keeper.EjectionChange) { router.LogTransition(logger, changed) },
 	})
-	measured.registerKept(registry, made.Book())
-	registry.MustRegister(&ejectedCollector{book: made.Book(), now: now})
+	measured.registerKept(registry, made.Aggregates())
+	registry.MustRegister(&ejectedCollector{book: made.Aggregates(), now: now})
 	return made, nil
 }
 
@@ -76,8 +76,8 @@
 	return made
 }
 
-// Question implements keeper.Observer.
-func (m *keeperMetrics) Question(took time.Duration, asked, answered int) {
+// QueryDone implements keeper.Observer.
+func (m *keeperMetrics) QueryDone(took time.Duration, asked, answered int) {
 	m.seconds.Observe(took.Seconds())
 	m.asked.WithLabelValues("answered").Add(float64(answered))
 	m.asked.WithLabelValues("silent").Add(float64(asked - answered))
@@ -91,12 +91,12 @@
 	m.bytes.WithLabelValues("received").Add(float64(bytes))
 }
 
-// Unreadable implements keeper.Observer.
-func (m *keeperMetrics) Unreadable() { m.unreadable.Inc() }
+// InvalidDatagram implements keeper.Observer.
+func (m *keeperMetrics) InvalidDatagram() { m.unreadable.Inc() }
 
 // registerKept adds a gauge of what book holds.
-func (m *keeperMetrics) registerKept(registerer prometheus.Registerer, book *keeper.Book) {
+func (m *keeperMetrics) registerKept(registerer prometheus.Registerer, book *keeper.Aggregates) {
 	registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "stepseam_replicas_kept", Help: "Replicas on which other nodes report to this node.",
-	}, func() float64 { return float64(book.Kept()) }))
+	}, func() float64 { return float64(book.Len()) }))
 }
--- a/internal/routednode/node.go
+++ b/internal/routednode/node.go
@@ -61,16 +61,16 @@
 	// topics hears of the store from other nodes; nil where the node works alone.
 	topics *distribution.Service
 	// loads is nil where nodes don't tell each other what they have under way.
-	loads *loads.Exchange
+	loads *loads.Gossiper
 	// keepers is nil where nodes don't ask each other.
-	keepers *keeper.Exchange
+	keepers *keeper.Service
 	// distances is nil where nodes don't ask each other.
 	distances *distances
 	limits    *limits.Service
 	cold      *coldReplicas
 	// configurations and entries follow the operators' configuration and the
 	// replicas' entries.
-	configurations, entries *follow.Follower
+	configurations, entries *follow.Watcher
 	views                   *views
 	connections             *router.Connections
 	store                   logstore.Store
--- a/internal/routednode/peers.go
+++ b/internal/routednode/peers.go
@@ -106,7 +106,7 @@
 }
 
 // newLoads binds the node's address for loads; it returns nil where there is none.
-func newLoads(chosen settings.Routed, tracker *balance.Tracker, now func() time.Duration, others func() []netip.AddrPort) (*loads.Exchange, error) {
+func newLoads(chosen settings.Routed, tracker *balance.Tracker, now func() time.Duration, others func() []netip.AddrPort) (*loads.Gossiper, error) {
 	own := chosen.Addresses.Loads
 	if !own.IsValid() {
 		return nil, nil
@@ -115,15 +115,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("routednode: addresses.loads: %w", err)
 	}
-	return &loads.Exchange{
-		Conn: conn, Own: func() map[loads.Key]loads.Load { return tracker.Own(now()) },
-		Targets: func() []netip.AddrPort {
+	return &loads.Gossiper{
+		Conn: conn, Local: func() map[loads.ReplicaKey]loads.Load { return tracker.OwnLoads(now()) },
+		Peers: func() []netip.AddrPort {
 			return lo.Map(others(), func(peer netip.AddrPort, _ int) netip.AddrPort {
 				return netip.AddrPortFrom(peer.Addr(), own.Port())
 			})
 		},
-		Heard: func(from netip.AddrPort, told map[loads.Key]loads.Load) {
-			tracker.Heard(from, told, loads.Coverage(len(others())), now())
+		OnReport: func(from netip.AddrPort, told map[loads.ReplicaKey]loads.Load) {
+			tracker.SetPeerLoad(from, told, loads.Coverage(len(others())), now())
 		},
 	}, nil
 }
--- a/internal/routednode/providers.go
+++ b/internal/routednode/providers.go
@@ -41,7 +41,7 @@
 	do.ProvideValue(injector, fleet.NewDirectory())
 	do.ProvideValue(injector, evacuation.NewZones())
 	do.ProvideValue(injector, distance.NewMap(string(chosen.Node.Zone), chosen.Zones))
-	do.ProvideValue(injector, coldstart.NewGate(chosen.Node.Name))
+	do.ProvideValue(injector, coldstart.NewLimiter(chosen.Node.Name))
 	do.ProvideValue(injector, balance.NewTracker(string(chosen.Node.Zone)))
 	do.ProvideValue(injector, exchange.NewClient(adapter.Names.Replica))
 	do.ProvideValue(injector, router.NewConnections())
@@ -81,11 +81,11 @@
 	return ledgerlog.New(ledgerlog.Config{
 		Store: do.MustInvoke[logstore.Store](injector),
 		Topic: adapter.LedgerTopic, TextTopic: adapter.TextTopic, Partitions: chosen.Store.Partitions,
-		Producer:    string(homes.LifeOf(do.MustInvoke[identity.Node](injector).Reference())),
+		Producer:    string(homes.IncarnationOf(do.MustInvoke[identity.Node](injector).Reference())),
 		RecordBytes: chosen.Store.RecordBytes, CallBytes: chosen.Store.CallBytes, Retain: chosen.Store.Retain(), IndexTextBytes: chosen.Store.IndexTextBytes,
-		Gate:       do.MustInvoke[*gatedstore.Store](injector),
-		CacheBytes: chosen.Machine.MemoryMebibytes * mebibyte / cacheShare,
-		Logger:     do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
+		Availability: do.MustInvoke[*gatedstore.Store](injector),
+		CacheBytes:   chosen.Machine.MemoryMebibytes * mebibyte / cacheShare,
+		Logger:       do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
 	}), nil
 }
 
@@ -102,10 +102,10 @@
 	config := homes.Config{
 		Self: chosen.Node.Name, Ledger: do.MustInvoke[*ledgerlog.Ledger](injector),
 		RoundTrip: func(zone identity.Zone) time.Duration {
-			return do.MustInvoke[*distance.Map](injector).To(string(zone)).RoundTrip
+			return do.MustInvoke[*distance.Map](injector).PathTo(string(zone)).RoundTrip
 		},
-		StoreAnswers: do.MustInvoke[*gatedstore.Store](injector).AnswersNode,
-		Logger:       do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
+		StoreAvailable: do.MustInvoke[*gatedstore.Store](injector).NodeAvailable,
+		Logger:         do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
 	}
 	others, err := do.Invoke[*peers](injector)
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 	config.Peers = others.transport
 	config.Announce = func(changes uint64, everybody bool) {
-		others.runner.AnnounceInfo(changes, chosen.Machine.Thousandths(), everybody)
+		others.runner.BroadcastInfo(changes, chosen.Machine.Thousandths(), everybody)
 	}
 	made := homes.New(config)
 	made.Register(others.registry)
@@ -127,7 +127,7 @@
 func provideLimits(injector do.Injector) (*limits.Service, error) {
 	chosen := do.MustInvoke[settings.Routed](injector)
 	config := limits.Config{
-		Self: chosen.Node.Name, Way: limits.Way(chosen.Limits.Way),
+		Self: chosen.Node.Name, Strategy: limits.Strategy(chosen.Limits.Way),
 		Policy: quota.Policy{Window: chosen.Limits.Window, Overage: chosen.Limits.Overage, Slack: chosen.Limits.Slack},
 		Now:    do.MustInvoke[clock](injector), Logger: do.MustInvoke[*slog.Logger](injector),
 		Registerer: do.MustInvoke[*prometheus.Registry](injector),
@@ -147,7 +147,7 @@
 }
 
 func provideRouter(injector do.Injector) (*router.Router, error) {
-	keepers, err := do.Invoke[*keeper.Exchange](injector)
+	keepers, err := do.Invoke[*keeper.Service](injector)
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 		Replicas:   do.MustInvoke[*exchange.Client](injector), Fleet: do.MustInvoke[*fleet.Directory](injector),
 		Regions:     do.MustInvoke[settings.Routed](injector).Zones,
 		Distances:   do.MustInvoke[*distance.Map](injector),
-		Evacuations: do.MustInvoke[*evacuation.Zones](injector), Cold: do.MustInvoke[*coldstart.Gate](injector),
+		Evacuations: do.MustInvoke[*evacuation.Zones](injector), ColdStart: do.MustInvoke[*coldstart.Limiter](injector),
 		Tracker: do.MustInvoke[*balance.Tracker](injector), Turns: do.MustInvoke[*homes.Service](injector),
 		BufferBytes: int64(do.MustInvoke[settings.Routed](injector).Machine.MemoryMebibytes) * mebibyte / bufferShare,
 		Limits:      do.MustInvoke[*limits.Service](injector),
@@ -173,12 +173,12 @@
 
 func provideColdReplicas(injector do.Injector) (*coldReplicas, error) {
 	made := &coldReplicas{
-		gate: do.MustInvoke[*coldstart.Gate](injector), router: do.MustInvoke[*router.Router](injector),
+		gate: do.MustInvoke[*coldstart.Limiter](injector), router: do.MustInvoke[*router.Router](injector),
 	}
 	made.register(do.MustInvoke[*prometheus.Registry](injector))
 	others, err := do.Invoke[*peers](injector)
 	if err == nil && others != nil {
-		made.gate.Expect(do.MustInvoke[settings.Routed](injector).Seeds, made.router.Now())
+		made.gate.SetSeeds(do.MustInvoke[settings.Routed](injector).Seeds, made.router.Now())
 		others.onView = append(others.onView, func(view membership.View) { made.gate.SetView(view, made.router.Now()) })
 	}
 	return made, err
@@ -206,7 +206,7 @@
 		operators: newHeldTopic("configuration"), replicas: newHeldTopic("replicas"),
 		unreadable: newUnreadableEntries(do.MustInvoke[*slog.Logger](injector), do.MustInvoke[*prometheus.Registry](injector)),
 		freshness:  do.MustInvoke[*freshness](injector), evacuations: do.MustInvoke[*evacuations](injector),
-		cold: do.MustInvoke[*coldstart.Gate](injector),
+		cold: do.MustInvoke[*coldstart.Limiter](injector),
 	}, nil
 }
 
@@ -216,7 +216,7 @@
 		router: do.MustInvoke[*router.Router](injector), replicas: do.MustInvoke[*exchange.Client](injector),
 		ledger: do.MustInvoke[*ledgerlog.Ledger](injector),
 		homes:  do.MustInvoke[*homes.Service](injector), peers: do.MustInvoke[*peers](injector), views: do.MustInvoke[*views](injector),
-		keepers:     do.MustInvoke[*keeper.Exchange](injector),
+		keepers:     do.MustInvoke[*keeper.Service](injector),
 		limits:      do.MustInvoke[*limits.Service](injector),
 		cold:        do.MustInvoke[*coldReplicas](injector),
 		connections: do.MustInvoke[*router.Connections](injector), store: do.MustInvoke[logstore.Store](injector),
@@ -226,7 +226,7 @@
 	built.settings.Store(&chosen)
 	if built.peers != nil && built.keepers != nil {
 		built.distances = &distances{
-			known: do.MustInvoke[*distance.Map](injector), now: do.MustInvoke[clock](injector), measure: built.keepers.Measure,
+			known: do.MustInvoke[*distance.Map](injector), now: do.MustInvoke[clock](injector), measure: built.keepers.RoundTrip,
 			logger: do.MustInvoke[*slog.Logger](injector),
 		}
 		built.distances.register(do.MustInvoke[*prometheus.Registry](injector))
@@ -249,7 +249,7 @@
 		built.relay = &relay{
 			views: built.views, configurations: built.configurations,
 			peers: built.peers.transport, others: built.homes.Addresses, logger: built.logger,
-			lease: chosen.Keys.Lease(), storeAnswers: gated.AnswersNode,
+			lease: chosen.Keys.Lease(), storeAnswers: gated.NodeAvailable,
 			peerAnswered: gated.PeerAnswered,
 			reads:        func() bool { return built.topics.Reads(configurationTopic) },
 		}
@@ -267,7 +267,7 @@
 		Self: chosen.Node.Name, Own: chosen.Addresses.Peers, Seeds: chosen.Seeds, Peers: built.peers.transport,
 		LinkBytesPerSecond: chosen.Machine.LinkBytesPerSecond(),
 		Policy:             distribution.Policy{DirectEntries: chosen.Follow.DirectEntries, ReadEntries: chosen.Follow.ReadEntries},
-		Feeds:              []distribution.Feed{configurationTopic: built.views.operatorsFeed(), replicasTopic: built.views.replicasFeed()},
+		Subscriptions:      []distribution.Subscription{configurationTopic: built.views.operatorsFeed(), replicasTopic: built.views.replicasFeed()},
 		Logger:             built.logger, Registerer: built.registry,
 	})
 	made.Register(built.peers.registry)
--- a/internal/routednode/relay.go
+++ b/internal/routednode/relay.go
@@ -68,7 +68,7 @@
 	ConfigurationKnown bool
 	ConfigurationAge   time.Duration
 	// Evacuations are the evacuated zones.
-	Evacuations evacuation.Told
+	Evacuations evacuation.Snapshot
 	// StoreAnswers tells whether the store answers the answering node.
 	StoreAnswers bool
 	// ReplicasKnown tells that Replicas holds all entries, which were heard
@@ -165,7 +165,7 @@
 	told := &tellViews{StoreAnswers: r.storeAnswers()}
 	// The age is read before version and zones: what comes in between is newer.
 	told.ConfigurationAge, told.ConfigurationKnown = r.views.freshness.Age()
-	told.Evacuations = r.views.evacuations.zones.Tell(r.views.evacuations.now())
+	told.Evacuations = r.views.evacuations.zones.Snapshot(r.views.evacuations.now())
 	if inForce := r.views.router.Configuration(); inForce != nil {
 		told.Version = inForce.Version
 	}
--- a/internal/routednode/replicaview.go
+++ b/internal/routednode/replicaview.go
@@ -10,9 +10,9 @@
 
 // replicasFeed joins the replicas' entries with what other nodes tell of them. These tell
 // only what matters, not each beat.
-func (v *views) replicasFeed() distribution.Feed {
-	return distribution.Feed{
-		Topic: v.replicas.Topic, Replace: v.replaceTold, Change: v.changeTold, Confirm: v.replicas.Confirm,
+func (v *views) replicasFeed() distribution.Subscription {
+	return distribution.Subscription{
+		Topic: v.replicas.Topic, Replace: v.replaceTold, Apply: v.changeTold, Confirm: v.replicas.Confirm,
 	}
 }
 
@@ -102,7 +102,7 @@
 // entries may have gone because replicas could not write.
 func (v *views) noteAway() {
 	if age, known := v.replicas.Age(time.Now()); known && age > awayAge {
-		v.fleet.Unsettled(v.router.Now())
+		v.fleet.StoreRecovered(v.router.Now())
 	}
 }
 
@@ -148,7 +148,7 @@
 	logged, now := 0, v.router.Now()
 	for i := range changes {
 		v.putOne(&changes[i], now)
-		if !changes[i].Minor && logged < mostLogged {
+		if !changes[i].ColdOnly && logged < mostLogged {
 			v.logChange(&changes[i])
 			logged++
 		}
@@ -159,22 +159,22 @@
 }
 
 func (v *views) putOne(change *fleet.Change, now time.Duration) {
-	if change.Former != "" {
-		v.tracker.Forget(change.Former)
-		v.cold.Gone(change.Former, now)
+	if change.PreviousIncarnation != "" {
+		v.tracker.Forget(change.PreviousIncarnation)
+		v.cold.RemoveReplica(change.PreviousIncarnation, now)
 	}
-	if change.Replica != nil && v.cold.Heard(*change.Replica, now) {
-		v.logger.Info("replica is cold", "replica", change.Replica.Life(), "service", change.Replica.Service,
-			"zone", change.Replica.Zone, "left_ms", change.Replica.ColdLeft.Milliseconds())
+	if change.Replica != nil && v.cold.UpdateReplica(*change.Replica, now) {
+		v.logger.Info("replica is cold", "replica", change.Replica.IncarnationID(), "service", change.Replica.Service,
+			"zone", change.Replica.Zone, "left_ms", change.Replica.ColdRemaining.Milliseconds())
 	}
 }
 
 func (v *views) logChange(change *fleet.Change) {
 	if change.Replica == nil {
-		v.logger.Info("replica gone", "replica", change.Former, "unreadable", change.Unreadable)
+		v.logger.Info("replica gone", "replica", change.PreviousIncarnation, "unreadable", change.Unreadable)
 		return
 	}
-	v.logger.Info("replica heard", "replica", change.Replica.Life(), "former", change.Former, "service", change.Replica.Service,
+	v.logger.Info("replica heard", "replica", change.Replica.IncarnationID(), "former", change.PreviousIncarnation, "service", change.Replica.Service,
 		"state", change.Replica.State, "address", change.Replica.Address, "zone", change.Replica.Zone,
-		"sequence", change.Replica.Sequence, "cold_left_ms", change.Replica.ColdLeft.Milliseconds())
+		"sequence", change.Replica.Sequence, "cold_left_ms", change.Replica.ColdRemaining.Milliseconds())
 }
--- a/internal/routednode/replicaview_test.go
+++ b/internal/routednode/replicaview_test.go
@@ -26,7 +26,7 @@
 	registry, logger := prometheus.NewRegistry(), slog.New(slog.DiscardHandler)
 	return &views{
 		router: router.New(router.Config{Registerer: registry, Now: func() time.Duration { return time.Minute }}),
-		fleet:  fleet.NewDirectory(), tracker: balance.NewTracker("z"), cold: coldstart.NewGate("n"), logger: logger,
+		fleet:  fleet.NewDirectory(), tracker: balance.NewTracker("z"), cold: coldstart.NewLimiter("n"), logger: logger,
 		operators: newHeldTopic("configuration"), replicas: newHeldTopic("replicas"), unreadable: newUnreadableEntries(logger, registry),
 		adapter: Adapter{DecodeReplica: func(_ string, encoded []byte) (fleet.Replica, error) {
 			var replica fleet.Replica
@@ -37,7 +37,7 @@
 
 func entry(instance string, born int64, sequence uint64) logstore.Item {
 	encoded, _ := json.Marshal(fleet.Replica{
-		Instance: instance, Born: born, Service: "s", Zone: "z", Slots: 4, State: fleet.StateReady, Sequence: sequence,
+		Instance: instance, StartedAtMs: born, Service: "s", Zone: "z", Slots: 4, State: fleet.StateReady, Sequence: sequence,
 	})
 	return logstore.Item{Key: instance, Value: encoded}
 }
@@ -64,9 +64,9 @@
 	items, position, _ = reader.replicas.Since(10)
 	listener.changeTold(items, position)
 	is.Equal(listener.fleet.Size(), 1)
-	found, known := listener.fleet.Life("a@2", time.Minute)
+	found, known := listener.fleet.ByIncarnation("a@2", time.Minute)
 	is.True(known)
-	is.Equal(found.Born, int64(2))
+	is.Equal(found.StartedAtMs, int64(2))
 }
 
 // TestWordsInAnyOrderLeaveTheNewestKnown: the store and another node tell of the same changes,
--- a/internal/routednode/storecalls.go
+++ b/internal/routednode/storecalls.go
@@ -60,7 +60,7 @@
 	switch {
 	case errors.As(err, &trimmed):
 		outcome = "trimmed"
-	case errors.Is(err, logstore.ErrAnswerLost):
+	case errors.Is(err, logstore.ErrOutcomeUnknown):
 		outcome = "answer_lost"
 	case err != nil:
 		outcome = "refused"
--- a/internal/routednode/viewcost_test.go
+++ b/internal/routednode/viewcost_test.go
@@ -26,7 +26,7 @@
 	for _, count := range []int{100, 1000, 2000} {
 		view := membership.View{}
 		for i := range count {
-			view.Members = append(view.Members, membership.Member{Status: membership.Alive, Figure: uint32(i % 5), Node: identity.Node{
+			view.Members = append(view.Members, membership.Member{Status: membership.Alive, Load: uint32(i % 5), Node: identity.Node{
 				Name: identity.NodeName(fmt.Sprintf("front-zone-%04d", i)), Zone: identity.Zone(fmt.Sprint("z", i%5)), Incarnation: 1,
 				PeerAddress: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7),
 			}})
@@ -36,15 +36,15 @@
 		parts := map[string]func(membership.View){
 			"homes":     homes.New(homes.Config{Self: "front-zone-0001", Ledger: ledger, Logger: logger}).SetView,
 			"keepers":   keeper.NewPlacement("front-zone-0001").SetView,
-			"limits":    limits.New(limits.Config{Self: "front-zone-0001", Way: "allocator", Policy: quota.Policy{Window: time.Second}, Now: func() time.Duration { return 0 }, Logger: logger, Registerer: prometheus.NewRegistry()}).SetView,
+			"limits":    limits.New(limits.Config{Self: "front-zone-0001", Strategy: "allocator", Policy: quota.Policy{Window: time.Second}, Now: func() time.Duration { return 0 }, Logger: logger, Registerer: prometheus.NewRegistry()}).SetView,
 			"readers":   (&readers{self: "front-zone-0001"}).SetView,
 			"distances": (&distances{}).setView,
 			"topics": distribution.New(distribution.Config{
 				Self: "front-zone-0001", Logger: logger, Policy: distribution.Policy{ReadEntries: 1},
-				Feeds: []distribution.Feed{{Topic: distribution.NewTopic("t")}},
+				Subscriptions: []distribution.Subscription{{Topic: distribution.NewTopic("t")}},
 			}).SetView,
 		}
-		gate := coldstart.NewGate("front-zone-0001")
+		gate := coldstart.NewLimiter("front-zone-0001")
 		parts["cold"] = func(view membership.View) { gate.SetView(view, 0) }
 		for name, tell := range parts {
 			b.Run(fmt.Sprint(name, "/", count), func(b *testing.B) {
--- a/internal/routednode/views.go
+++ b/internal/routednode/views.go
@@ -26,12 +26,12 @@
 type views struct {
 	adapter Adapter
 	// regions tell where zones lie, to check the homes of data.
-	regions residency.Regions
+	regions residency.ZoneRegions
 	router  *router.Router
 	fleet   *fleet.Directory
 	tracker *balance.Tracker
 	// cold is told of each entry, since it tells how long its replica stays cold.
-	cold   *coldstart.Gate
+	cold   *coldstart.Limiter
 	logger *slog.Logger
 	// evacuations keeps the evacuated zones.
 	evacuations *evacuations
--- a/internal/routednode/zonestatus.go
+++ b/internal/routednode/zonestatus.go
@@ -21,7 +21,7 @@
 // zones returns what this node believes of zones and cold replicas.
 func (n *node) zones() zonestatus.Status {
 	chosen, now := n.settings.Load(), n.router.Now()
-	evacuated := n.views.evacuations.zones.Tell(now).Zones
+	evacuated := n.views.evacuations.zones.Snapshot(now).Zones
 	byName := map[string]*zonestatus.Zone{}
 	zone := func(name string) *zonestatus.Zone {
 		if byName[name] == nil {
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -36,11 +36,11 @@
 	drawn := r.sample(call)
 	asked := lo.Map(drawn, func(replica fleet.Replica, _ int) keeper.Replica { return kept(replica, call) })
 	underWay, slots := 0, 0
-	states := r.config.Keepers.Ask(ctx, asked, nil)
+	states := r.config.Keepers.Query(ctx, asked, nil)
 	for i := range drawn {
-		life := drawn[i].Life()
+		life := drawn[i].IncarnationID()
 		slots += drawn[i].Slots
-		underWay += states[life].Load.UnderWay + r.config.Tracker.Load(life, r.Now()).UnderWay
+		underWay += states[life].Load.InFlight + r.config.Tracker.Load(life, r.Now()).InFlight
 	}
 	if slots == 0 {
 		return 0
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -46,7 +46,7 @@
 type attempt struct {
 	answer  *exchange.Answer
 	replica fleet.Replica
-	sending *balance.Sending
+	sending *balance.InFlightRequest
 	router  *Router
 	call    *call
 	// answered ends the watch for a replica that is silent.
@@ -64,7 +64,7 @@
 
 // finishHolding does the same as finish after a whole stream; held are the parts that the replica
 // holds from now on, which its keeper is told with the end.
-func (a *attempt) finishHolding(failed bool, held []balance.Part) {
+func (a *attempt) finishHolding(failed bool, held []balance.Segment) {
 	a.answered()
 	a.answer.Close()
 	a.router.config.Tracker.End(a.sending, failed, a.router.Now())
@@ -138,7 +138,7 @@
 }
 
 func (r *Router) noteFailure(ctx context.Context, call *call, replica fleet.Replica, course *attempts, failure *exchange.FailureError) {
-	course.except = append(course.except, replica.Life())
+	course.except = append(course.except, replica.IncarnationID())
 	course.last = failure
 	switch {
 	case failure.Reason == exchange.ReasonWithheld && failure.Outcome == exchange.OutcomeNotRun:
@@ -150,17 +150,17 @@
 		call.ran = true
 	}
 	if failure.Reason == exchange.ReasonMoved {
-		r.config.Fleet.Remove(replica.Instance, replica.Born)
+		r.config.Fleet.Remove(replica.Instance, replica.StartedAtMs)
 	}
 	r.metrics.failedAttempts.WithLabelValues(string(failure.Reason)).Inc()
 	r.config.Logger.LogAttrs(ctx, slog.LevelInfo, "attempt failed",
-		slog.String("id", call.id), slog.String("replica", replica.Life()), slog.String("reason", string(failure.Reason)),
+		slog.String("id", call.id), slog.String("replica", replica.IncarnationID()), slog.String("reason", string(failure.Reason)),
 		slog.String("outcome", failure.Outcome.String()), slog.Int("status", failure.Status),
 		errorAttr(failure.Cause), durationAttr("left", call.left()))
 }
 
 func targetOf(replica fleet.Replica) exchange.Target {
-	return exchange.Target{Instance: replica.Instance, Born: replica.Born, Address: replica.Address}
+	return exchange.Target{Instance: replica.Instance, StartedAtMs: replica.StartedAtMs, Address: replica.Address}
 }
 
 // sendTo offers the call to one replica. Without a failure the answer is one of
@@ -168,7 +168,7 @@
 func (r *Router) sendTo(ctx context.Context, call *call, chosen chosenReplica, reply *reply) (*attempt, *exchange.FailureError) {
 	replica := chosen.replica
 	reply.attempts++
-	reply.replica, reply.known = replica.Life(), chosen.known
+	reply.replica, reply.known = replica.IncarnationID(), chosen.known
 	left := call.left()
 	if left < minLeft {
 		return nil, &exchange.FailureError{Outcome: exchange.OutcomeNotRun, Reason: exchange.ReasonCancelled, Cause: context.DeadlineExceeded}
@@ -178,10 +178,10 @@
 		call.header.Set(r.config.Names.Priority, strconv.Itoa(balance.Priority(call.priority, call.late)))
 	}
 	sending := r.config.Tracker.Begin(balance.Target{
-		Instance: replica.Life(), Service: call.service.Name, Slots: replica.Slots, Known: chosen.known,
-		Cold: r.isCold(call, replica.Life()), Probe: chosen.probe,
+		Instance: replica.IncarnationID(), Service: call.service.Name, Slots: replica.Slots, Known: chosen.known,
+		Cold: r.isCold(call, replica.IncarnationID()), Probe: chosen.probe,
 	}, call.prompt, r.Now())
-	r.report(call, replica, call.prompt.Parts)
+	r.report(call, replica, call.prompt.Segments)
 	reply.expected, reply.cold = sending.Expected(), sending.Cold()
 	answered := r.watchSilence(call, replica, sending)
 	answer, err := r.config.Replicas.Send(ctx, targetOf(replica), exchange.Request{
--- a/internal/router/authenticate_test.go
+++ b/internal/router/authenticate_test.go
@@ -170,7 +170,7 @@
 }
 
 func (a *aged) Age() (time.Duration, bool) { return time.Duration(a.age.Load()), a.known }
-func (a *aged) AwayForAll() bool           { return true }
+func (a *aged) UnavailableForAll() bool    { return true }
 
 func TestStaleConfigurationPassesNoRequestWithAKeyOn(t *testing.T) {
 	is := is.New(t)
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -44,7 +44,7 @@
 	// priority is the request's rank; 0 is the highest.
 	priority int
 	// homes are where the request's data may be.
-	homes residency.Homes
+	homes residency.AllowedRegions
 	// permit is a token of the tenant's limit.
 	permit limits.Permit
 	// ran tells that a replica ran the request, or may have.
@@ -120,13 +120,13 @@
 	made := &call{
 		id: request.Header.Get(names.Replica.RequestID), method: request.Method,
 		uri: request.RequestURI, host: request.Host, header: names.requestHeader(request.Header, tenant),
-		route: route, tenant: tenant, priority: routing.PriorityOf(route, tenant), homes: routing.HomesOf(route, tenant), version: configuration.Version, arrived: time.Now(), lastEvent: -1,
+		route: route, tenant: tenant, priority: routing.PriorityOf(route, tenant), homes: routing.AllowedRegionsOf(route, tenant), version: configuration.Version, arrived: time.Now(), lastEvent: -1,
 	}
 	service := r.splitter.Pick(route, r.config.Random())
 	made.service = configuration.Services[service]
 	made.service.Name = service
 	made.deadline = made.arrived.Add(holdTime(request.Header.Get(names.TimeoutMs), route.Timeout))
-	made.prompt.Parts = parsePrompt(request.Header.Get(names.PromptPrefix))
+	made.prompt.Segments = parsePrompt(request.Header.Get(names.PromptPrefix))
 	in, most, _ := strings.Cut(request.Header.Get(names.TokenCount), ",")
 	made.prompt.Tokens = int(parseUint32(in))
 	made.mostTokens = parseUint32(most)
@@ -181,18 +181,18 @@
 
 // parsePrompt reads "id:tokens,id:tokens"; it stops at what it can't read, since a
 // prompt's parts only help to choose.
-func parsePrompt(list string) []balance.Part {
+func parsePrompt(list string) []balance.Segment {
 	if list == "" {
 		return nil
 	}
-	var parts []balance.Part
+	var parts []balance.Segment
 	for field := range strings.SplitSeq(list, ",") {
 		id, tokens, found := strings.Cut(strings.TrimSpace(field), ":")
 		count, err := strconv.Atoi(tokens)
 		if !found || err != nil {
 			break
 		}
-		parts = append(parts, balance.Part{ID: xxhash.Sum64String(id), Tokens: count})
+		parts = append(parts, balance.Segment{ID: xxhash.Sum64String(id), Tokens: count})
 	}
 	return parts
 }
--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -14,7 +14,7 @@
 // of it, or nil.
 type chosenReplica struct {
 	replica fleet.Replica
-	known   *balance.Known
+	known   *balance.AggregatedState
 	// probe tells that the replica is ejected and is tried all the same.
 	probe bool
 }
@@ -29,32 +29,32 @@
 		usable = r.gather(call, course)
 	}
 	connected := r.config.Replicas.Connected(call.route.Repeatable())
-	need := balance.Need{
-		Engine: call.service.Slots > 0, Prompt: call.prompt, Except: course.except,
-		Exposed:   !call.route.Repeatable() || call.route.MaxAttempts <= 1,
-		Connected: func(replica fleet.Replica) bool { return connected(targetOf(replica)) },
+	need := balance.Requirements{
+		Engine: call.service.Slots > 0, Prompt: call.prompt, Exclude: course.except,
+		NotRetryable: !call.route.Repeatable() || call.route.MaxAttempts <= 1,
+		Connected:    func(replica fleet.Replica) bool { return connected(targetOf(replica)) },
 	}
 	if r.config.Distances != nil {
-		need.Way = r.config.Distances.To
+		need.PathTo = r.config.Distances.PathTo
 	}
 	if r.bounded(call) {
-		need.Cold = func(replica fleet.Replica) bool { return r.isCold(call, replica.Life()) }
+		need.Cold = func(replica fleet.Replica) bool { return r.isCold(call, replica.IncarnationID()) }
 	}
 	candidates := r.config.Tracker.Candidates(usable, need, r.Now())
 	work := balance.Work{PromptTokens: call.prompt.Tokens, Rates: r.config.Tracker.Rates(call.service.Name)}
-	if len(call.prompt.Parts) > 0 {
-		work.FirstPart = call.prompt.Parts[0].ID
+	if len(call.prompt.Segments) > 0 {
+		work.FirstSegment = call.prompt.Segments[0].ID
 	}
-	byInstance := lo.KeyBy(usable, func(replica fleet.Replica) string { return replica.Life() })
+	byInstance := lo.KeyBy(usable, func(replica fleet.Replica) string { return replica.IncarnationID() })
 	shortlist := func(near []balance.Candidate) []balance.Candidate { return near }
 	if scans {
 		shortlist = func(near []balance.Candidate) []balance.Candidate {
 			return balance.Shortlist(near, work, r.config.Random)
 		}
 	}
-	learned, known := r.askKeepers(ctx, call, candidates, byInstance, shortlist, need.Exposed)
-	sound, probe := balance.KeepSound(learned, candidates, need.Exposed)
-	sound = balance.KeepRegion(sound)
+	learned, known := r.askKeepers(ctx, call, candidates, byInstance, shortlist, need.NotRetryable)
+	sound, probe := balance.FilterEjected(learned, candidates, need.NotRetryable)
+	sound = balance.PreferOwnRegion(sound)
 	if probe != nil {
 		sound = []balance.Candidate{*probe}
 	}
@@ -71,11 +71,11 @@
 
 // askKeepers returns the candidates to choose from, with what the keepers of their
 // replicas know. Without any answer all candidates stay as they are.
-func (r *Router) askKeepers(ctx context.Context, call *call, candidates []balance.Candidate, replicas map[string]fleet.Replica, shortlisted func([]balance.Candidate) []balance.Candidate, exposed bool) ([]balance.Candidate, map[string]balance.Known) {
+func (r *Router) askKeepers(ctx context.Context, call *call, candidates []balance.Candidate, replicas map[string]fleet.Replica, shortlisted func([]balance.Candidate) []balance.Candidate, exposed bool) ([]balance.Candidate, map[string]balance.AggregatedState) {
 	if r.config.Keepers == nil || len(candidates) < 2 {
 		return candidates, nil
 	}
-	near, far := balance.Within(candidates, float64(keeper.Patience.Milliseconds()))
+	near, far := balance.SplitByRoundTrip(candidates, float64(keeper.QueryTimeout.Milliseconds()))
 	if len(near) == 0 {
 		return candidates, nil // no keeper can answer in time
 	}
@@ -83,17 +83,17 @@
 	asked := lo.Map(shortlist, func(candidate balance.Candidate, _ int) keeper.Replica {
 		return kept(replicas[candidate.Instance], call)
 	})
-	states := r.config.Keepers.Ask(ctx, asked, keptParts(call.prompt.Parts))
+	states := r.config.Keepers.Query(ctx, asked, keptParts(call.prompt.Segments))
 	if len(states) == 0 {
 		return candidates, nil
 	}
-	known := lo.MapValues(states, func(state keeper.State, _ string) balance.Known {
-		return balance.Known{Load: state.Load, CachedTokens: state.CachedTokens, Settled: state.Settled, Ejected: state.Ejected, Probe: state.Probe}
+	known := lo.MapValues(states, func(state keeper.State, _ string) balance.AggregatedState {
+		return balance.AggregatedState{Load: state.Load, CachedTokens: state.CachedTokens, Complete: state.Complete, Ejected: state.Ejected, Probe: state.Probe}
 	})
 	learned := lo.Map(shortlist, func(candidate balance.Candidate, _ int) balance.Candidate {
 		if told, found := known[candidate.Instance]; found {
-			candidate.Ejected, candidate.Probe = r.config.Tracker.Told(candidate.Instance, told, r.Now())
-			return candidate.Learn(told, exposed)
+			candidate.Ejected, candidate.Probe = r.config.Tracker.ApplyAggregatedState(candidate.Instance, told, r.Now())
+			return candidate.WithAggregatedState(told, exposed)
 		}
 		return candidate
 	})
@@ -102,28 +102,28 @@
 
 // report tells a replica's keeper what this node has there now; parts is a prompt
 // that the replica holds from now on.
-func (r *Router) report(call *call, replica fleet.Replica, parts []balance.Part) {
+func (r *Router) report(call *call, replica fleet.Replica, parts []balance.Segment) {
 	if r.config.Keepers == nil {
 		return
 	}
-	load := r.config.Tracker.Load(replica.Life(), r.Now())
+	load := r.config.Tracker.Load(replica.IncarnationID(), r.Now())
 	r.config.Keepers.Report(kept(replica, call), load, keptParts(parts))
 }
 
 func kept(replica fleet.Replica, call *call) keeper.Replica {
-	return keeper.Replica{Instance: replica.Life(), Zone: replica.Zone, CapacityTokens: call.service.MemoryTokens}
+	return keeper.Replica{Instance: replica.IncarnationID(), Zone: replica.Zone, CapacityTokens: call.service.MemoryTokens}
 }
 
-func keptParts(parts []balance.Part) []keeper.Part {
-	return lo.Map(parts, func(part balance.Part, _ int) keeper.Part {
-		return keeper.Part{ID: uint32(part.ID), Tokens: part.Tokens}
+func keptParts(parts []balance.Segment) []keeper.Segment {
+	return lo.Map(parts, func(part balance.Segment, _ int) keeper.Segment {
+		return keeper.Segment{ID: uint32(part.ID), Tokens: part.Tokens}
 	})
 }
 
 // held returns the parts of the prompt with what the stream has added to the last one,
 // which is the program's own.
-func (s *stream) held() []balance.Part {
-	parts := append([]balance.Part(nil), s.call.prompt.Parts...)
+func (s *stream) held() []balance.Segment {
+	parts := append([]balance.Segment(nil), s.call.prompt.Segments...)
 	if len(parts) > 0 {
 		parts[len(parts)-1].Tokens += int(s.tokens)
 	}
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -21,10 +21,10 @@
 // unobserved counts nothing.
 type unobserved struct{}
 
-func (unobserved) Question(time.Duration, int, int) {}
-func (unobserved) Sent(int)                         {}
-func (unobserved) Received(int)                     {}
-func (unobserved) Unreadable()                      {}
+func (unobserved) QueryDone(time.Duration, int, int) {}
+func (unobserved) Sent(int)                          {}
+func (unobserved) Received(int)                      {}
+func (unobserved) InvalidDatagram()                  {}
 
 // joinKeepers lets routers report to and ask each other's keepers.
 func joinKeepers(t *testing.T, routers ...*Router) {
@@ -46,7 +46,7 @@
 		})
 		placement := keeper.NewPlacement(name)
 		placements = append(placements, placement)
-		router.config.Keepers = keeper.NewExchange(keeper.Config{
+		router.config.Keepers = keeper.New(keeper.Config{
 			Conn: conn, Placement: placement, Now: router.config.Now, Observer: unobserved{},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -72,7 +72,7 @@
 		return sound(exchange)
 	}, sound)
 	other := h.newRouter("other")
-	other.Use(h.router.Configuration())
+	other.SetConfiguration(h.router.Configuration())
 	joinKeepers(t, h.router, other)
 	second := httptest.NewServer(other)
 	t.Cleanup(second.Close)
--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -24,18 +24,18 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.router.Use(built)
-	if h.router.config.Cold == nil {
-		h.router.config.Cold = coldstart.NewGate("node")
+	h.router.SetConfiguration(built)
+	if h.router.config.ColdStart == nil {
+		h.router.config.ColdStart = coldstart.NewLimiter("node")
 	}
 	for _, replica := range h.fleet.Usable("s", 0) {
 		for _, instance := range instances {
 			if replica.Instance == instance {
-				replica.ColdLeft = time.Minute
+				replica.ColdRemaining = time.Minute
 			}
 		}
 		replica.Sequence = configuration.Version
-		h.router.config.Cold.Heard(replica, h.router.Now())
+		h.router.config.ColdStart.UpdateReplica(replica, h.router.Now())
 	}
 }
 
--- a/internal/router/gather.go
+++ b/internal/router/gather.go
@@ -16,17 +16,17 @@
 
 // gather returns some of a call's replicas to choose from.
 func (r *Router) gather(call *call, course *attempts) []fleet.Replica {
-	need := balance.Gathering{
-		Service: call.service.Name, Zones: r.zonesOf(call), Resident: call.prompt.Resident.Instance,
+	need := balance.SampleOptions{
+		Service: call.service.Name, Zones: r.zonesOf(call), CacheLocation: call.prompt.CacheLocation.Instance,
 		Node: r.config.NodeNumber, Random: r.config.Random,
-		Fits: func(replica *fleet.Replica) bool {
-			return !slices.Contains(course.except, replica.Life()) && r.isEligible(call, replica)
+		Eligible: func(replica *fleet.Replica) bool {
+			return !slices.Contains(course.except, replica.IncarnationID()) && r.isEligible(call, replica)
 		},
 	}
-	if len(call.prompt.Parts) > 0 {
-		need.FirstPart = call.prompt.Parts[0].ID
+	if len(call.prompt.Segments) > 0 {
+		need.FirstSegment = call.prompt.Segments[0].ID
 	}
-	return balance.Gather(r.config.Fleet, need, r.Now())
+	return balance.SampleReplicas(r.config.Fleet, need, r.Now())
 }
 
 // zonesOf returns the zones that a call may go to, the nearest first.
@@ -46,7 +46,7 @@
 	if r.config.Distances == nil {
 		return 0
 	}
-	return r.config.Distances.To(zone).RoundTrip.Seconds()
+	return r.config.Distances.PathTo(zone).RoundTrip.Seconds()
 }
 
 // utilizationSample is how many replicas of each zone stand for all when the use of many
--- a/internal/router/gather_test.go
+++ b/internal/router/gather_test.go
@@ -57,7 +57,7 @@
 	h := newHarness(t, sound)
 	born := func(at int64) {
 		h.fleet.Replace([]fleet.Replica{{
-			Instance: "a", Born: at, Service: "s", Address: h.replicas[0].Address, Zone: "near", Slots: 4, State: fleet.StateReady,
+			Instance: "a", StartedAtMs: at, Service: "s", Address: h.replicas[0].Address, Zone: "near", Slots: 4, State: fleet.StateReady,
 		}}, h.router.Now())
 	}
 	born(1000)
--- a/internal/router/homes_test.go
+++ b/internal/router/homes_test.go
@@ -16,18 +16,18 @@
 func (h *harness) bindRoutes(routes, tenant []string) {
 	configuration := *h.router.Configuration()
 	configuration.Version++
-	configuration.Tenants = []routing.Tenant{{Name: "t", Keys: []routing.KeyDigest{routing.DigestKey("k")}, Homes: residency.In(tenant)}}
+	configuration.Tenants = []routing.Tenant{{Name: "t", Keys: []routing.KeyDigest{routing.DigestKey("k")}, AllowedRegions: residency.OnlyIn(tenant)}}
 	bound := append([]routing.Route(nil), configuration.Routes...)
 	for i := range bound {
-		bound[i].Homes = residency.In(routes)
+		bound[i].AllowedRegions = residency.OnlyIn(routes)
 	}
 	configuration.Routes = bound
 	built, err := routing.Build(configuration)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.router.Use(built)
-	h.router.config.Regions = residency.Regions{"near": "r1", "far": "r2"}
+	h.router.SetConfiguration(built)
+	h.router.config.Regions = residency.ZoneRegions{"near": "r1", "far": "r2"}
 }
 
 func TestReplicaOutsideTheHomesGetsNothing(t *testing.T) {
--- a/internal/router/limit.go
+++ b/internal/router/limit.go
@@ -36,7 +36,7 @@
 // many programs as the limit lets end, and goes on with those under way. If it returns
 // false, the request has been answered.
 func (r *Router) admitProgram(ctx context.Context, reply *reply, call *call) bool {
-	if err := call.permit.Begin(ctx); err != nil {
+	if err := call.permit.StartProgram(ctx); err != nil {
 		r.refuseOverLimit(ctx, reply, err)
 		return false
 	}
@@ -50,10 +50,10 @@
 		reply.breakOff("client_left", err)
 	case errors.As(err, &over):
 		reason := "over_limit"
-		if over.Begins {
+		if over.ProgramStart {
 			reason = "program_over_limit"
 		}
-		comeBack := max(over.After, leastComeBack)
+		comeBack := max(over.RetryAfter, leastComeBack)
 		comeBack += time.Duration(r.config.Random() * comeBackSpread * float64(comeBack))
 		reply.refuse(http.StatusTooManyRequests, refusal{reason: reason, comeBack: comeBack, cause: err})
 	default:
--- a/internal/router/limit_test.go
+++ b/internal/router/limit_test.go
@@ -25,7 +25,7 @@
 	tenant.RatePerSecond, tenant.Burst = rate, burst
 	h.configure(2, tenant)
 	h.router.config.Limits = limits.New(limits.Config{
-		Self: "n", Policy: quota.Policy{Window: time.Second}, Way: limits.WayAllocator, Now: monotonic(), Logger: slog.New(slog.DiscardHandler),
+		Self: "n", Policy: quota.Policy{Window: time.Second}, Strategy: limits.StrategyAllocator, Now: monotonic(), Logger: slog.New(slog.DiscardHandler),
 	})
 	h.router.config.Limits.SetLimits(func(name string) (quota.Limit, bool) {
 		found := h.router.Configuration().TenantNamed(name)
--- a/internal/router/observe.go
+++ b/internal/router/observe.go
@@ -86,9 +86,9 @@
 	if call.prompt.Tokens > 0 {
 		attributes = append(
 			attributes, slog.Int("prompt", call.prompt.Tokens), slog.Int("uncached", reply.expected.UncachedTokens),
-			slog.Int("unread_ahead", reply.expected.TokensAhead), slog.Int("beside", reply.expected.Others),
+			slog.Int("unread_ahead", reply.expected.TokensAhead), slog.Int("beside", reply.expected.OtherRequests),
 			slog.String("keeper_asked", keeperWord(reply.known)), slog.Bool("cold", reply.cold),
-			slog.String("resident", call.prompt.Resident.Instance), slog.Float64("expected_first_ms", reply.expected.FirstMilliseconds),
+			slog.String("resident", call.prompt.CacheLocation.Instance), slog.Float64("expected_first_ms", reply.expected.FirstMilliseconds),
 		)
 	}
 	if call.tenant != nil {
@@ -111,11 +111,11 @@
 }
 
 // keeperWord tells what the keeper of the chosen replica has told.
-func keeperWord(known *balance.Known) string {
+func keeperWord(known *balance.AggregatedState) string {
 	switch {
 	case known == nil:
 		return "none"
-	case known.Settled:
+	case known.Complete:
 		return "settled"
 	}
 	return "unsettled"
--- a/internal/router/outcome.go
+++ b/internal/router/outcome.go
@@ -27,43 +27,43 @@
 	case exchange.ReasonConnect:
 		return outlier.Unreachable
 	case exchange.ReasonSend, exchange.ReasonReset:
-		return outlier.Silent
+		return outlier.NoResponse
 	case exchange.ReasonUnsigned:
 		if failure.Status >= http.StatusInternalServerError {
-			return outlier.Errors
+			return outlier.ErrorResponse
 		}
-		return outlier.Torn
+		return outlier.BrokenResponse
 	case exchange.ReasonMalformed, exchange.ReasonForeign, exchange.ReasonIncomplete:
-		return outlier.Torn
+		return outlier.BrokenResponse
 	case exchange.ReasonShed, exchange.ReasonMoved, exchange.ReasonCancelled, exchange.ReasonWithheld:
 	}
 	return none
 }
 
 // noteOutcome counts what became of a request for this node and tells the replica's keeper.
-func (r *Router) noteOutcome(call *call, replica fleet.Replica, sending *balance.Sending, outcome outlier.Outcome) {
+func (r *Router) noteOutcome(call *call, replica fleet.Replica, sending *balance.InFlightRequest, outcome outlier.Outcome) {
 	if outcome == none {
 		return
 	}
-	judged, counted := r.config.Tracker.Judge(sending, outcome, r.Now())
+	judged, counted := r.config.Tracker.RecordOutcome(sending, outcome, r.Now())
 	if !counted {
 		return
 	}
 	if r.config.Keepers != nil {
-		r.config.Keepers.Outcome(kept(replica, call), outcome, judged.Usual)
+		r.config.Keepers.ReportOutcome(kept(replica, call), outcome, judged.BaselineFailureRate)
 		return
 	}
-	LogJudgement(r.config.Logger, keeper.Judgement{Instance: replica.Life(), Judgement: judged})
+	LogTransition(r.config.Logger, keeper.EjectionChange{Instance: replica.IncarnationID(), Transition: judged})
 }
 
-// LogJudgement writes the line of a replica that is ejected or returns.
-func LogJudgement(logger *slog.Logger, changed keeper.Judgement) {
+// LogTransition writes the line of a replica that is ejected or returns.
+func LogTransition(logger *slog.Logger, changed keeper.EjectionChange) {
 	name := slog.String("replica", changed.Instance)
 	switch changed.Change {
 	case outlier.NowEjected:
 		logger.Warn("replica ejected", name, slog.Uint64("key", uint64(changed.Key)), slog.String("reason", changed.Reason.String()),
-			slog.Int("failures", changed.Failures), slog.Int("of", changed.Of), slog.Float64("others_share", changed.Usual))
-	case outlier.NowReturned:
+			slog.Int("failures", changed.Failures), slog.Int("of", changed.Outcomes), slog.Float64("others_share", changed.BaselineFailureRate))
+	case outlier.NowReinstated:
 		logger.Info("replica returns", name, slog.Uint64("key", uint64(changed.Key)), slog.String("reason", changed.Reason.String()))
 	case outlier.Unchanged:
 	}
@@ -71,11 +71,11 @@
 
 // watchSilence counts a request as failed whose replica is silent beyond patience, until the
 // returned function is called. The request itself goes on.
-func (r *Router) watchSilence(call *call, replica fleet.Replica, sending *balance.Sending) (answered func()) {
-	patience, known := r.config.Tracker.Patience(sending, call.route.Kind == routing.KindStreaming)
+func (r *Router) watchSilence(call *call, replica fleet.Replica, sending *balance.InFlightRequest) (answered func()) {
+	patience, known := r.config.Tracker.ResponseTimeout(sending, call.route.Kind == routing.KindStreaming)
 	if !known {
 		return func() {}
 	}
-	timer := time.AfterFunc(patience, func() { r.noteOutcome(call, replica, sending, outlier.Silent) })
+	timer := time.AfterFunc(patience, func() { r.noteOutcome(call, replica, sending, outlier.NoResponse) })
 	return func() { timer.Stop() }
 }
--- a/internal/router/outcome_test.go
+++ b/internal/router/outcome_test.go
@@ -119,11 +119,11 @@
 	is := is.New(t)
 	for reason, want := range map[exchange.Reason]outlier.Outcome{
 		exchange.ReasonShed: none, exchange.ReasonMoved: none, exchange.ReasonCancelled: none, exchange.ReasonWithheld: none,
-		exchange.ReasonConnect: outlier.Unreachable, exchange.ReasonReset: outlier.Silent, exchange.ReasonSend: outlier.Silent,
-		exchange.ReasonMalformed: outlier.Torn, exchange.ReasonForeign: outlier.Torn, exchange.ReasonIncomplete: outlier.Torn,
+		exchange.ReasonConnect: outlier.Unreachable, exchange.ReasonReset: outlier.NoResponse, exchange.ReasonSend: outlier.NoResponse,
+		exchange.ReasonMalformed: outlier.BrokenResponse, exchange.ReasonForeign: outlier.BrokenResponse, exchange.ReasonIncomplete: outlier.BrokenResponse,
 	} {
 		is.Equal(outcomeOf(&exchange.FailureError{Reason: reason}), want)
 	}
-	is.Equal(outcomeOf(&exchange.FailureError{Reason: exchange.ReasonUnsigned, Status: 503}), outlier.Errors)
-	is.Equal(outcomeOf(&exchange.FailureError{Reason: exchange.ReasonUnsigned, Status: 200}), outlier.Torn)
+	is.Equal(outcomeOf(&exchange.FailureError{Reason: exchange.ReasonUnsigned, Status: 503}), outlier.ErrorResponse)
+	is.Equal(outcomeOf(&exchange.FailureError{Reason: exchange.ReasonUnsigned, Status: 200}), outlier.BrokenResponse)
 }
--- a/internal/router/plain.go
+++ b/internal/router/plain.go
@@ -44,7 +44,7 @@
 func (r *Router) passOn(ctx context.Context, call *call, reply *reply, course *attempts, tried *attempt) *exchange.FailureError {
 	failed := tried.answer.Status >= http.StatusInternalServerError
 	if failed {
-		tried.became(outlier.Errors)
+		tried.became(outlier.ErrorResponse)
 	}
 	if failed && call.route.Repeatable() && course.mayHaveRun+1 < call.route.MaxAttempts {
 		return tried.failed()
@@ -57,15 +57,15 @@
 		return nil
 	}
 	if err != nil && ctx.Err() == nil {
-		tried.became(outlier.Torn)
+		tried.became(outlier.BrokenResponse)
 	}
 	tried.finish(err != nil && ctx.Err() == nil)
 	if err != nil {
 		return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonIncomplete, Status: tried.answer.Status, Cause: err}
 	}
 	if !failed { // how long a failure took says nothing of the work
-		tried.became(outlier.Served)
-		r.config.Tracker.Plain(tried.sending, r.Now())
+		tried.became(outlier.Success)
+		r.config.Tracker.BodyReceived(tried.sending, r.Now())
 	}
 	reply.begin(tried.answer, len(body))
 	reply.bytes = len(body)
@@ -94,13 +94,13 @@
 		reply.bytes += n
 		if errors.Is(err, io.EOF) {
 			if tried.answer.Status < http.StatusInternalServerError {
-				tried.became(outlier.Served)
+				tried.became(outlier.Success)
 			}
 			tried.finish(false)
 			return
 		}
 		if err != nil {
-			tried.became(outlier.Torn)
+			tried.became(outlier.BrokenResponse)
 			tried.finish(true)
 			reply.breakOff(string(exchange.ReasonIncomplete), err)
 		}
--- a/internal/router/reply.go
+++ b/internal/router/reply.go
@@ -23,7 +23,7 @@
 // not answer this node: after awayComeBack where it answers no other node either, else
 // after elsewhere, since another node will do.
 func (r *Router) comeBackFromStore(elsewhere time.Duration) time.Duration {
-	if r.config.Freshness != nil && r.config.Freshness.AwayForAll() {
+	if r.config.Freshness != nil && r.config.Freshness.UnavailableForAll() {
 		return awayComeBack
 	}
 	return elsewhere
@@ -53,7 +53,7 @@
 	// cold tells that the replica counted as cold.
 	cold bool
 	// known is what the keeper of the replica of the last attempt has told, or nil.
-	known  *balance.Known
+	known  *balance.AggregatedState
 	events int
 	bytes  int
 	// charged is what stood against the program's budget.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -32,13 +32,13 @@
 	Tracker  *balance.Tracker
 	Turns    *homes.Service
 	// Regions tell where zones lie; data with homes goes to no zone that is not listed.
-	Regions residency.Regions
+	Regions residency.ZoneRegions
 	// Distances tell how far zones are; nil takes all for near.
 	Distances *distance.Map
 	// Evacuations tell which zones' replicas get nothing; nil where none ever is.
 	Evacuations *evacuation.Zones
-	// Cold lets requests go to cold replicas as far as those bear them; nil lets all go.
-	Cold *coldstart.Gate
+	// ColdStart lets requests go to cold replicas as far as those bear them; nil lets all go.
+	ColdStart *coldstart.Limiter
 	// Zone is the node's own, NodeNumber a number of its own.
 	Zone       string
 	NodeNumber uint64
@@ -46,7 +46,7 @@
 	// always looks at all. Beyond it a few are gathered.
 	ScanUpTo int
 	// Keepers tell and ask what all nodes have at replicas; nil where nodes don't.
-	Keepers *keeper.Exchange
+	Keepers *keeper.Service
 	// Limits keep tenants within their limits; nil where nobody does.
 	Limits *limits.Service
 	// Lease is how old the configuration may be for requests with keys; 0 sets no bound.
@@ -68,8 +68,8 @@
 type Freshness interface {
 	// Age returns how long ago it was the newest, for certain; false if that is not known.
 	Age() (time.Duration, bool)
-	// AwayForAll tells whether the store answers no other node either, as far as is known.
-	AwayForAll() bool
+	// UnavailableForAll tells whether the store answers no other node either, as far as is known.
+	UnavailableForAll() bool
 }
 
 // Router is the http.Handler of routed requests.
@@ -93,9 +93,9 @@
 	}
 }
 
-// Use puts a configuration in force, unless a newer one already is. It tells
+// SetConfiguration puts a configuration in force, unless a newer one already is. It tells
 // whether it did.
-func (r *Router) Use(configuration *routing.Configuration) bool {
+func (r *Router) SetConfiguration(configuration *routing.Configuration) bool {
 	for {
 		before := r.configuration.Load()
 		if before != nil && before.Version >= configuration.Version {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -92,7 +92,7 @@
 	route := func(prefix string, kind routing.Kind, attempts int, more func(*routing.Route)) routing.Route {
 		made := routing.Route{
 			Name: prefix, Host: "h.example", PathPrefix: prefix, Kind: kind, Timeout: time.Second,
-			Shares: []routing.Share{{Service: "s", Weight: 1}}, MaxAttempts: attempts,
+			WeightedServices: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: attempts,
 		}
 		if more != nil {
 			more(&made)
@@ -116,7 +116,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.router.Use(built)
+	h.router.SetConfiguration(built)
 }
 
 type answer struct {
--- a/internal/router/stream.go
+++ b/internal/router/stream.go
@@ -97,7 +97,7 @@
 		tried.finish(false)
 		passing.reply.breakOff("not_resumed", nil)
 	}
-	tried.became(outlier.Errors)
+	tried.became(outlier.ErrorResponse)
 	return tried.failed()
 }
 
@@ -122,20 +122,20 @@
 	flusher := http.NewResponseController(passing.reply.writer)
 	var gaps []time.Duration
 	var last time.Time
-	defer func() { r.config.Tracker.Streamed(tried.sending, gaps, r.Now()) }()
+	defer func() { r.config.Tracker.StreamEnded(tried.sending, gaps, r.Now()) }()
 	for {
 		read, err := readEvent(tried.answer.Body)
 		if errors.Is(err, io.EOF) && !errors.Is(err, errEventTorn) {
 			if !passing.begun {
 				passing.begin(tried.answer)
 			}
-			tried.became(outlier.Served)
+			tried.became(outlier.Success)
 			tried.finishHolding(false, passing.held())
 			return nil
 		}
 		if err != nil {
 			if ctx.Err() == nil {
-				tried.became(outlier.Torn)
+				tried.became(outlier.BrokenResponse)
 			}
 			tried.finish(ctx.Err() == nil)
 			return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonIncomplete, Status: tried.answer.Status, Cause: err}
@@ -190,9 +190,9 @@
 func (r *Router) keepTurn(ctx context.Context, passing *stream, chain []ledger.Location) {
 	call := passing.call
 	text := append(call.newInput(), passing.output...)
-	err := r.config.Turns.Keep(ctx, ledger.Keep{
-		Program: call.turn.program, Turn: turnOf(call.tenant, call.id), Chain: chain, For: call.route.RetainFor,
-		Resident: ledger.Resident{Instance: passing.reply.replica, Tokens: uint32(call.prompt.Tokens) + passing.tokens},
+	err := r.config.Turns.PersistTurn(ctx, ledger.IndexEntry{
+		Program: call.turn.program, Turn: turnOf(call.tenant, call.id), Chain: chain, Retention: call.route.RetainFor,
+		CacheLocation: ledger.CacheLocation{Instance: passing.reply.replica, Tokens: uint32(call.prompt.Tokens) + passing.tokens},
 	}, text, call.homes)
 	if err != nil {
 		passing.reply.breakOff("turn_not_kept", err)
--- a/internal/router/turn.go
+++ b/internal/router/turn.go
@@ -25,7 +25,7 @@
 func (r *Router) prepareTurn(ctx context.Context, reply *reply, call *call) *homes.Turn {
 	call.inputBytes = len(call.body)
 	request := homes.Request{
-		Program: call.turn.program, Budgeted: call.turn.budgeted, Budget: call.turn.budget, Most: call.mostTokens,
+		Program: call.turn.program, Budgeted: call.turn.budgeted, Budget: call.turn.budget, MaxTurnTokens: call.mostTokens,
 	}
 	if call.route.Retain {
 		request.Previous = call.turn.previous
@@ -43,8 +43,8 @@
 		r.refuseTurn(ctx, reply, err)
 		return nil
 	}
-	call.prompt.Resident = balance.Resident{Instance: turn.Resident.Instance, Tokens: int(turn.Resident.Tokens)}
-	reply.charged, reply.ahead, reply.home = turn.Charged, turn.Ahead, string(turn.Home)
+	call.prompt.CacheLocation = balance.CacheLocation{Instance: turn.CacheLocation.Instance, Tokens: int(turn.CacheLocation.Tokens)}
+	reply.charged, reply.ahead, reply.home = turn.Charged, turn.Unlogged, string(turn.Coordinator)
 	if err := r.prependHistory(waiting, call, turn.Chain); err != nil {
 		turn.Finish(0)
 		r.refuseTurn(ctx, reply, err)
@@ -81,18 +81,18 @@
 }
 
 func (r *Router) refuseTurn(ctx context.Context, reply *reply, err error) {
-	var spent *ledgerlog.SpentError
+	var spent *ledgerlog.BudgetExhaustedError
 	switch {
 	case errors.As(err, &spent):
 		reply.charged = spent.Charged
 		reply.refuse(http.StatusPaymentRequired, refusal{reason: "budget_spent", cause: err})
-	case errors.Is(err, ledgerlog.ErrReserved):
+	case errors.Is(err, ledgerlog.ErrBudgetReserved):
 		reply.refuse(http.StatusServiceUnavailable, refusal{reason: "budget_reserved", comeBack: longComeBack, cause: err})
 	case errors.Is(err, ledgerlog.ErrNoSuchTurn):
 		reply.refuse(http.StatusNotFound, refusal{reason: "no_such_turn", cause: err})
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		reply.breakOff("client_left", err)
-	case errors.Is(err, ledgerlog.ErrStoreAway):
+	case errors.Is(err, ledgerlog.ErrStoreUnavailable):
 		reply.refuse(http.StatusServiceUnavailable, refusal{reason: "store_away", comeBack: r.comeBackFromStore(longComeBack), cause: err})
 	default:
 		reply.refuse(http.StatusServiceUnavailable, refusal{reason: "ledger_unavailable", comeBack: longComeBack, cause: err})
--- a/internal/router/usable.go
+++ b/internal/router/usable.go
@@ -37,7 +37,7 @@
 // slice must not be changed.
 func (r *Router) resident(call *call) []fleet.Replica {
 	replicas := r.config.Fleet.Usable(call.service.Name, r.Now())
-	if !call.homes.Bound() {
+	if !call.homes.Restricted() {
 		return replicas
 	}
 	return lo.Filter(replicas, func(replica fleet.Replica, _ int) bool { return r.config.Regions.Allows(call.homes, replica.Zone) })
@@ -46,7 +46,7 @@
 // usable returns the replicas that a call may go to now. The slice must not be changed.
 func (r *Router) usable(call *call) []fleet.Replica {
 	replicas := r.resident(call)
-	if r.config.Evacuations == nil || !r.config.Evacuations.Any() {
+	if r.config.Evacuations == nil || !r.config.Evacuations.AnyEvacuated() {
 		return replicas
 	}
 	return lo.Reject(replicas, func(replica fleet.Replica, _ int) bool { return r.config.Evacuations.Evacuated(replica.Zone) })
@@ -54,7 +54,7 @@
 
 // zoneResident tells whether a call's data may be in a zone.
 func (r *Router) zoneResident(call *call, zone string) bool {
-	return !call.homes.Bound() || r.config.Regions.Allows(call.homes, zone)
+	return !call.homes.Restricted() || r.config.Regions.Allows(call.homes, zone)
 }
 
 // zoneUsable tells whether a call may go to a zone now.
@@ -65,7 +65,7 @@
 
 // isEligible tells whether this node may send a call to a replica of a usable zone now.
 func (r *Router) isEligible(call *call, replica *fleet.Replica) bool {
-	return !r.bounded(call) || r.config.Cold.MaySend(replica.Life(), coldBound(call), r.Now())
+	return !r.bounded(call) || r.config.ColdStart.MaySend(replica.IncarnationID(), coldBound(call), r.Now())
 }
 
 // anyReplica tells whether a replica of a call's service fits.
@@ -82,7 +82,7 @@
 		return r.zoneUsable(call, replica.Zone) && r.isEligible(call, replica)
 	})
 	switch {
-	case call.homes.Bound() && !resident:
+	case call.homes.Restricted() && !resident:
 		return refusal{reason: reasonHomes, comeBack: emptyComeBack, cause: fmt.Errorf("%w: %s", errHomes, call.homes)}
 	case resident && !usable:
 		return refusal{reason: reasonEvacuated, comeBack: emptyComeBack, cause: otherwise.cause}
@@ -93,18 +93,18 @@
 }
 
 // coldBound is what the cold replicas of a call's service bear.
-func coldBound(call *call) coldstart.Bound {
-	return coldstart.Bound{PerSecond: call.service.ColdPerSecond, Lasts: call.service.ColdFor}
+func coldBound(call *call) coldstart.RateLimit {
+	return coldstart.RateLimit{PerSecond: call.service.ColdPerSecond, ColdDuration: call.service.ColdFor}
 }
 
 // bounded tells whether cold replicas of a call's service get only so much.
 func (r *Router) bounded(call *call) bool {
-	return r.config.Cold != nil && call.service.ColdPerSecond > 0
+	return r.config.ColdStart != nil && call.service.ColdPerSecond > 0
 }
 
 // isCold tells whether a replica of a call's service counts as cold.
 func (r *Router) isCold(call *call, instance string) bool {
-	return r.bounded(call) && r.config.Cold.Cold(instance, coldBound(call), r.Now())
+	return r.bounded(call) && r.config.ColdStart.Cold(instance, coldBound(call), r.Now())
 }
 
 // eligible returns the usable replicas that this node may send a request to now.
@@ -114,17 +114,19 @@
 		return replicas
 	}
 	now, bound := r.Now(), coldBound(call)
-	return lo.Filter(replicas, func(replica fleet.Replica, _ int) bool { return r.config.Cold.MaySend(replica.Life(), bound, now) })
+	return lo.Filter(replicas, func(replica fleet.Replica, _ int) bool {
+		return r.config.ColdStart.MaySend(replica.IncarnationID(), bound, now)
+	})
 }
 
 // maySend returns an error if a request must not go to a replica any more that was chosen
 // for it. It is asked right before each sending, after all that had to be waited for, and
 // spends the right to send to a cold replica.
 func (r *Router) maySend(call *call, replica fleet.Replica) error {
-	if r.bounded(call) && !r.config.Cold.Take(replica.Life(), coldBound(call), r.Now()) {
-		return fmt.Errorf("%w: %s", errCold, replica.Life())
+	if r.bounded(call) && !r.config.ColdStart.Acquire(replica.IncarnationID(), coldBound(call), r.Now()) {
+		return fmt.Errorf("%w: %s", errCold, replica.IncarnationID())
 	}
-	if r.config.Evacuations != nil && !r.config.Evacuations.MaySend(replica.Zone, r.Now()) {
+	if r.config.Evacuations != nil && !r.config.Evacuations.TrySend(replica.Zone, r.Now()) {
 		return fmt.Errorf("%w: %s", errEvacuated, replica.Zone)
 	}
 	return nil
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -28,8 +28,8 @@
 	KindStreaming Kind = "streaming"
 )
 
-// Share is one service of a split route.
-type Share struct {
+// WeightedService is one service of a split route.
+type WeightedService struct {
 	Service string
 	// Weight is relative to the sum of the route's weights.
 	Weight int
@@ -45,8 +45,8 @@
 	Timeout time.Duration
 	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int
-	// Shares has one entry, or several with weights.
-	Shares []Share
+	// WeightedServices has one entry, or several with weights.
+	WeightedServices []WeightedService
 	// MaxAttempts is how many replicas one request may be sent to.
 	MaxAttempts int
 	// Retain tells that the history of turns is kept here, for RetainFor.
@@ -56,8 +56,8 @@
 	Resumable bool
 	// Public routes need no key.
 	Public bool
-	// Homes are the regions in which the data of the route's requests may be.
-	Homes residency.Homes
+	// AllowedRegions are the regions in which the data of the route's requests may be.
+	AllowedRegions residency.AllowedRegions
 }
 
 // Repeatable tells whether a request may run more than once.
@@ -134,7 +134,7 @@
 		return fmt.Errorf("path prefix %q does not begin and end with a slash", route.PathPrefix)
 	case route.Kind != KindSafe && route.Kind != KindUnsafe && route.Kind != KindStreaming:
 		return fmt.Errorf("unknown kind %q", route.Kind)
-	case len(route.Shares) == 0:
+	case len(route.WeightedServices) == 0:
 		return errors.New("no service")
 	}
 	return nil
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-func routeTo(prefix string, shares ...Share) Route {
-	return Route{Name: prefix, Host: "Host.Example", PathPrefix: prefix, Kind: KindSafe, Shares: shares}
+func routeTo(prefix string, shares ...WeightedService) Route {
+	return Route{Name: prefix, Host: "Host.Example", PathPrefix: prefix, Kind: KindSafe, WeightedServices: shares}
 }
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	is := is.New(t)
-	share := Share{Service: "s", Weight: 1}
+	share := WeightedService{Service: "s", Weight: 1}
 	built, err := Build(Configuration{Routes: []Route{routeTo("/", share), routeTo("/a/", share), routeTo("/a/b/", share)}})
 	is.NoErr(err)
 	for path, want := range map[string]string{"/a/b/c": "/a/b/", "/a/bc": "/a/", "/x": "/", "/a": "/"} {
@@ -27,8 +27,8 @@
 func TestAllFaultsAreReportedWithTheirRoutes(t *testing.T) {
 	is := is.New(t)
 	_, err := Build(Configuration{Version: 4, Routes: []Route{
-		{Name: "one", PathPrefix: "/", Kind: KindSafe, Shares: []Share{{Service: "s"}}},
-		{Name: "two", Host: "h", PathPrefix: "/a", Kind: KindSafe, Shares: []Share{{Service: "s"}}},
+		{Name: "one", PathPrefix: "/", Kind: KindSafe, WeightedServices: []WeightedService{{Service: "s"}}},
+		{Name: "two", Host: "h", PathPrefix: "/a", Kind: KindSafe, WeightedServices: []WeightedService{{Service: "s"}}},
 		{Name: "three", Host: "h", PathPrefix: "/", Kind: "odd"},
 	}})
 	is.True(err != nil)
@@ -43,9 +43,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 4).Draw(t, "weights")
 		weights[0]++
-		var shares []Share
+		var shares []WeightedService
 		for i, weight := range weights {
-			shares = append(shares, Share{Service: string(rune('a' + i)), Weight: weight})
+			shares = append(shares, WeightedService{Service: string(rune('a' + i)), Weight: weight})
 		}
 		route := routeTo("/", shares...)
 		begin := rapid.Float64Range(0, 0.999).Draw(t, "begin")
@@ -66,9 +66,9 @@
 func TestNewWeightsBeginANewRound(t *testing.T) {
 	is := is.New(t)
 	splitter := NewSplitter()
-	before := routeTo("/", Share{"a", 1}, Share{"b", 1})
+	before := routeTo("/", WeightedService{"a", 1}, WeightedService{"b", 1})
 	splitter.Pick(&before, 0)
-	after := routeTo("/", Share{"a", 0}, Share{"b", 1})
+	after := routeTo("/", WeightedService{"a", 0}, WeightedService{"b", 1})
 	for range 5 {
 		is.Equal(splitter.Pick(&after, 0.5), "b")
 	}
--- a/internal/routing/split.go
+++ b/internal/routing/split.go
@@ -13,7 +13,7 @@
 
 // dealing is how far each service of a route is ahead of or behind its share.
 type dealing struct {
-	shares  []Share
+	shares  []WeightedService
 	credits []int
 }
 
@@ -25,16 +25,16 @@
 // Pick returns the service for the next request of route. begin in [0,1) places a
 // route that is seen first somewhere in its round, so that nodes differ.
 func (s *Splitter) Pick(route *Route, begin float64) string {
-	if len(route.Shares) == 1 {
-		return route.Shares[0].Service
+	if len(route.WeightedServices) == 1 {
+		return route.WeightedServices[0].Service
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	dealt, known := s.routes[route.Name]
-	if !known || !sameShares(dealt.shares, route.Shares) {
-		dealt = &dealing{shares: route.Shares, credits: make([]int, len(route.Shares))}
+	if !known || !sameShares(dealt.shares, route.WeightedServices) {
+		dealt = &dealing{shares: route.WeightedServices, credits: make([]int, len(route.WeightedServices))}
 		s.routes[route.Name] = dealt
-		for range int(begin * float64(totalWeight(route.Shares))) {
+		for range int(begin * float64(totalWeight(route.WeightedServices))) {
 			dealt.next()
 		}
 	}
@@ -58,7 +58,7 @@
 	return d.shares[best].Service
 }
 
-func totalWeight(shares []Share) int {
+func totalWeight(shares []WeightedService) int {
 	total := 0
 	for _, share := range shares {
 		total += share.Weight
@@ -66,7 +66,7 @@
 	return total
 }
 
-func sameShares(a, b []Share) bool {
+func sameShares(a, b []WeightedService) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -33,8 +33,8 @@
 	// RatePerSecond and Burst bound the tenant's requests at all nodes together; a
 	// rate of 0 sets no limit.
 	RatePerSecond, Burst float64
-	// Homes are the regions in which the data of the tenant's requests may be.
-	Homes residency.Homes
+	// AllowedRegions are the regions in which the data of the tenant's requests may be.
+	AllowedRegions residency.AllowedRegions
 }
 
 // Limited tells whether the tenant's requests are bounded.
@@ -57,23 +57,23 @@
 	return route.Priority
 }
 
-// HomesOf returns where the data of a tenant's requests on a route may be; tenant may be
+// AllowedRegionsOf returns where the data of a tenant's requests on a route may be; tenant may be
 // nil.
-func HomesOf(route *Route, tenant *Tenant) residency.Homes {
+func AllowedRegionsOf(route *Route, tenant *Tenant) residency.AllowedRegions {
 	if tenant == nil {
-		return route.Homes
+		return route.AllowedRegions
 	}
-	return route.Homes.And(tenant.Homes)
+	return route.AllowedRegions.Intersect(tenant.AllowedRegions)
 }
 
-// CheckHomes returns what is wrong with the homes of routes and tenants, by place.
-func (c *Configuration) CheckHomes(regions residency.Regions) []error {
-	var routes, tenants []residency.Holder
+// CheckAllowedRegions returns what is wrong with the homes of routes and tenants, by place.
+func (c *Configuration) CheckAllowedRegions(regions residency.ZoneRegions) []error {
+	var routes, tenants []residency.Subject
 	for _, route := range c.Routes {
-		routes = append(routes, residency.Holder{Place: "route " + route.Name, Homes: route.Homes})
+		routes = append(routes, residency.Subject{Name: "route " + route.Name, AllowedRegions: route.AllowedRegions})
 	}
 	for _, tenant := range c.Tenants {
-		tenants = append(tenants, residency.Holder{Place: "tenant " + tenant.Name, Homes: tenant.Homes})
+		tenants = append(tenants, residency.Subject{Name: "tenant " + tenant.Name, AllowedRegions: tenant.AllowedRegions})
 	}
 	return residency.Check(routes, tenants, regions)
 }
--- a/internal/scheduling/baseline.go
+++ b/internal/scheduling/baseline.go
@@ -22,11 +22,11 @@
 	if len(eligible) == 0 {
 		return withoutBackend(&call, backends)
 	}
-	chosen := backends[eligible[call.Turn%uint64(len(eligible))]].Name
+	chosen := backends[eligible[call.DecisionNumber%uint64(len(eligible))]].Name
 	return Decision{
 		Action:     Run,
 		Backend:    chosen,
-		Reason:     fmt.Sprintf("turn %d over %d back ends", call.Turn, len(eligible)),
+		Reason:     fmt.Sprintf("turn %d over %d back ends", call.DecisionNumber, len(eligible)),
 		Candidates: []Candidate{{Backend: chosen, Note: "next in turn"}},
 	}
 }
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -49,6 +49,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		scheduling.Order(epoch, calls)
+		scheduling.Rank(epoch, calls)
 	}
 }
--- a/internal/scheduling/contract.go
+++ b/internal/scheduling/contract.go
@@ -77,9 +77,9 @@
 	Excluded []string
 	// LastBackend is where the branch's previous call ran.
 	LastBackend string
-	// Turn is the node's running count of decisions. Only RoundRobin reads it,
+	// DecisionNumber is the node's running count of decisions. Only RoundRobin reads it,
 	// so that it needs no state of its own.
-	Turn uint64
+	DecisionNumber uint64
 }
 
 // Action is what to do with a call.
--- a/internal/scheduling/keepwarm_test.go
+++ b/internal/scheduling/keepwarm_test.go
@@ -44,16 +44,16 @@
 
 func TestKeepWarmGivesUpOnlyWhatIsNotExpectedBack(t *testing.T) {
 	is := is.New(t)
-	book := scheduling.NewPauseBook()
+	book := scheduling.NewPauseHistories()
 	paused := pausing("known", sessions(book.History("known")))
 	paused = append(
 		paused,
-		scheduling.Paused{Program: "early", Kind: "known", Held: true, IdleSince: epoch.Add(-30 * time.Second)},
-		scheduling.Paused{Program: "late", Kind: "known", Held: true, IdleSince: epoch.Add(-10 * time.Minute)},
-		scheduling.Paused{Program: "column", Kind: "known", Held: true, IdleSince: epoch.Add(-10 * time.Minute), KeepWarm: time.Hour},
-		scheduling.Paused{Program: "unknown", Kind: "never seen", Held: true, IdleSince: epoch.Add(-10 * time.Minute)},
+		scheduling.Paused{Program: "early", Kind: "known", Cached: true, IdleSince: epoch.Add(-30 * time.Second)},
+		scheduling.Paused{Program: "late", Kind: "known", Cached: true, IdleSince: epoch.Add(-10 * time.Minute)},
+		scheduling.Paused{Program: "column", Kind: "known", Cached: true, IdleSince: epoch.Add(-10 * time.Minute), KeepWarm: time.Hour},
+		scheduling.Paused{Program: "unknown", Kind: "never seen", Cached: true, IdleSince: epoch.Add(-10 * time.Minute)},
 	)
-	releases := book.KeepWarm(epoch, paused, scheduling.DefaultPatience)
+	releases := book.SelectEvictions(epoch, paused, scheduling.DefaultBreakEvenInterval)
 	is.Equal(len(releases), 1)
 	is.Equal(string(releases[0].Program), "late")
 	is.True(releases[0].Reason != "")
@@ -63,7 +63,7 @@
 // the time to end yet for pauses that nobody ends.
 func TestAYoungHistoryGivesNothingUp(t *testing.T) {
 	is := is.New(t)
-	book := scheduling.NewPauseBook()
+	book := scheduling.NewPauseHistories()
 	for range 500 {
 		book.History("young").Returned(time.Second) // tools, between the calls of one turn
 	}
@@ -73,19 +73,19 @@
 	}
 	paused := pausing("young", idle)
 	for i := range paused {
-		paused[i].Held = true
+		paused[i].Cached = true
 	}
-	is.Equal(len(book.KeepWarm(epoch, paused, scheduling.DefaultPatience)), 0)
+	is.Equal(len(book.SelectEvictions(epoch, paused, scheduling.DefaultBreakEvenInterval)), 0)
 }
 
 func TestPatienceGrowsAsMemoryIsFree(t *testing.T) {
-	is.New(t).Equal(scheduling.Patience(time.Minute, 0, 1000), 4*time.Minute)
-	is.New(t).Equal(scheduling.Patience(time.Minute, 1000, 1000), time.Minute)
+	is.New(t).Equal(scheduling.BreakEvenInterval(time.Minute, 0, 1000), 4*time.Minute)
+	is.New(t).Equal(scheduling.BreakEvenInterval(time.Minute, 1000, 1000), time.Minute)
 	rapid.Check(t, func(t *rapid.T) {
 		base := time.Duration(rapid.IntRange(1, 3600).Draw(t, "base")) * time.Second
 		used := rapid.IntRange(0, 1000).Draw(t, "used")
 		more := rapid.IntRange(used, 1000).Draw(t, "more")
-		loose, tight := scheduling.Patience(base, used, 1000), scheduling.Patience(base, more, 1000)
+		loose, tight := scheduling.BreakEvenInterval(base, used, 1000), scheduling.BreakEvenInterval(base, more, 1000)
 		if tight > loose || tight < base || loose > 4*base {
 			t.Fatalf("patience %s at %d, %s at %d of 1000 used, base %s", loose, used, tight, more, base)
 		}
--- a/internal/scheduling/modelplacement/contract.go
+++ b/internal/scheduling/modelplacement/contract.go
@@ -36,18 +36,18 @@
 type Engine struct {
 	Name string
 	Zone identity.Zone
-	// Usable engines may get orders: healthy, staying, with a fresh report.
-	Usable bool
-	// Counted engines' replicas count; those that leave or were away for long don't.
-	Counted bool
+	// Schedulable engines may get orders: healthy, staying, with a fresh report.
+	Schedulable bool
+	// Available engines' replicas count; those that leave or were away for long don't.
+	Available bool
 	// Models and Adapters map what is loaded to its version.
 	Models   map[string]string
 	Adapters map[string]string
 	// Loading are the orders under way.
 	Loading []backend.Order
 	// Load is the running and waiting calls; QuietFor is how long there were none.
-	Load     int
-	QuietFor time.Duration
+	Load    int
+	IdleFor time.Duration
 	// CacheUsed is the part of the cache in use, 0 to 1.
 	CacheUsed float64
 	// Refused are subjects whose load the engine refused lately.
@@ -61,14 +61,14 @@
 	// CallsPerReplica is the demand that one replica takes before another one is
 	// loaded, where min_replicas and max_replicas leave room.
 	CallsPerReplica float64
-	// QuietBeforeUnload is how long an engine must have had no call at all before
+	// IdleBeforeUnload is how long an engine must have had no call at all before
 	// a model is taken from it. It is far longer than reports lag.
-	QuietBeforeUnload time.Duration
+	IdleBeforeUnload time.Duration
 }
 
 // DefaultParameters returns the bounds of a daemon.
 func DefaultParameters() Parameters {
-	return Parameters{MaxInFlight: 2, CallsPerReplica: 8, QuietBeforeUnload: 30 * time.Second}
+	return Parameters{MaxInFlight: 2, CallsPerReplica: 8, IdleBeforeUnload: 30 * time.Second}
 }
 
 // Order is one order of a plan.
--- a/internal/scheduling/modelplacement/decide.go
+++ b/internal/scheduling/modelplacement/decide.go
@@ -26,7 +26,7 @@
 	p.snapshot.Engines = slices.Clone(snapshot.Engines)
 	slices.SortFunc(p.snapshot.Engines, func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
 	for _, engine := range p.snapshot.Engines {
-		if len(engine.Loading) > 0 && engine.Counted {
+		if len(engine.Loading) > 0 && engine.Available {
 			p.busy[engine.Name] = true
 		}
 	}
@@ -92,7 +92,7 @@
 func (p *planner) holders(s subject) []*Engine {
 	return p.engines(func(engine *Engine) bool {
 		_, loaded := s.on(engine)
-		return engine.Counted && loaded
+		return engine.Available && loaded
 	})
 }
 
@@ -101,14 +101,14 @@
 func (p *planner) coming(s subject) int {
 	return len(p.engines(func(engine *Engine) bool {
 		_, loaded := s.on(engine)
-		return engine.Counted && !loaded && (s.loadingOn(engine) || p.planned(s, engine))
+		return engine.Available && !loaded && (s.loadingOn(engine) || p.planned(s, engine))
 	}))
 }
 
 // changing tells that a load of s is under way or planned anywhere.
 func (p *planner) changing(s subject) bool {
 	return len(p.engines(func(engine *Engine) bool {
-		return engine.Counted && (s.loadingOn(engine) || p.planned(s, engine))
+		return engine.Available && (s.loadingOn(engine) || p.planned(s, engine))
 	})) > 0
 }
 
@@ -140,7 +140,7 @@
 
 // free tells that engine may get an order now.
 func (p *planner) free(engine *Engine) bool {
-	return engine.Usable && engine.Counted && !p.busy[engine.Name]
+	return engine.Schedulable && engine.Available && !p.busy[engine.Name]
 }
 
 // keepMinimum loads the model until min_replicas engines have it or will.
@@ -210,7 +210,7 @@
 	}
 	lacking := func(engine *Engine) bool {
 		_, loaded := s.on(engine)
-		return engine.Counted && !loaded && !s.loadingOn(engine) && (among == nil || slices.Contains(among, engine))
+		return engine.Available && !loaded && !s.loadingOn(engine) && (among == nil || slices.Contains(among, engine))
 	}
 	candidates := p.engines(func(engine *Engine) bool {
 		return lacking(engine) && p.free(engine) && !engine.Refused[s.name]
@@ -233,7 +233,7 @@
 func (p *planner) zones(s subject) map[identity.Zone]int {
 	counts := map[identity.Zone]int{}
 	for _, engine := range p.snapshot.Engines {
-		if _, loaded := s.on(&engine); engine.Counted && (loaded || s.loadingOn(&engine) || p.planned(s, &engine)) {
+		if _, loaded := s.on(&engine); engine.Available && (loaded || s.loadingOn(&engine) || p.planned(s, &engine)) {
 			counts[engine.Zone]++
 		}
 	}
@@ -279,7 +279,7 @@
 	}
 	unload := subject{kind: backend.OrderUnloadModel, name: model.Name}
 	quiet := slices.DeleteFunc(holders, func(engine *Engine) bool {
-		return !p.free(engine) || engine.Load > 0 || engine.QuietFor < p.parameters.QuietBeforeUnload
+		return !p.free(engine) || engine.Load > 0 || engine.IdleFor < p.parameters.IdleBeforeUnload
 	})
 	unloading := len(p.engines(func(engine *Engine) bool { return unload.loadingOn(engine) })) > 0
 	if len(quiet) == 0 || unloading {
@@ -289,5 +289,5 @@
 	surplus := slices.MinFunc(quiet, func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(zones[b.Zone], zones[a.Zone]), cmp.Compare(b.Name, a.Name))
 	})
-	p.order(surplus, unload, "more than max_replicas %d have it, and the engine has been quiet for %s", model.MaxReplicas, surplus.QuietFor)
+	p.order(surplus, unload, "more than max_replicas %d have it, and the engine has been quiet for %s", model.MaxReplicas, surplus.IdleFor)
 }
--- a/internal/scheduling/modelplacement/decide_test.go
+++ b/internal/scheduling/modelplacement/decide_test.go
@@ -37,9 +37,9 @@
 		counted := rapid.IntRange(0, 5).Draw(t, "counted") > 0
 		engine := modelplacement.Engine{
 			Name: fmt.Sprintf("engine-%d", i), Zone: identity.Zone(fmt.Sprintf("zone-%d", i%3)),
-			Counted: counted, Usable: counted && rapid.IntRange(0, 5).Draw(t, "usable") > 0,
+			Available: counted, Schedulable: counted && rapid.IntRange(0, 5).Draw(t, "usable") > 0,
 			Models: map[string]string{}, Adapters: map[string]string{},
-			Load: rapid.IntRange(0, 1).Draw(t, "load"), QuietFor: time.Duration(rapid.IntRange(0, 60).Draw(t, "quiet")) * time.Second,
+			Load: rapid.IntRange(0, 1).Draw(t, "load"), IdleFor: time.Duration(rapid.IntRange(0, 60).Draw(t, "quiet")) * time.Second,
 		}
 		for _, model := range snapshot.Models {
 			if version := rapid.SampledFrom([]string{"", "1", "2"}).Draw(t, "version"); version != "" {
@@ -62,7 +62,7 @@
 
 func replicas(snapshot modelplacement.Snapshot, model string) (count int) {
 	for _, engine := range snapshot.Engines {
-		if _, loaded := engine.Models[model]; loaded && engine.Counted {
+		if _, loaded := engine.Models[model]; loaded && engine.Available {
 			count++
 		}
 	}
@@ -87,7 +87,7 @@
 // checkOrder fails on an order that the plan must not hold.
 func checkOrder(t *rapid.T, snapshot modelplacement.Snapshot, order modelplacement.Order) {
 	engine := find(snapshot, order.Engine)
-	if !engine.Usable || !engine.Counted || len(engine.Loading) > 0 {
+	if !engine.Schedulable || !engine.Available || len(engine.Loading) > 0 {
 		t.Fatalf("%v goes to an engine that must get none: %+v", order, engine)
 	}
 	for _, model := range snapshot.Models {
@@ -98,7 +98,7 @@
 		have := replicas(snapshot, model.Name)
 		for _, other := range snapshot.Engines {
 			for _, load := range other.Loading {
-				if _, has := other.Models[model.Name]; load.Subject == model.Name && !has && other.Counted {
+				if _, has := other.Models[model.Name]; load.Subject == model.Name && !has && other.Available {
 					have++
 				}
 			}
@@ -112,7 +112,7 @@
 			t.Fatalf("%v changes a version while %d of %d replicas are there", order, have, model.MinReplicas)
 		case order.Kind == backend.OrderUnloadModel && have-1 < max(1, model.MinReplicas):
 			t.Fatalf("%v leaves %d replicas of %d", order, have-1, model.MinReplicas)
-		case order.Kind == backend.OrderUnloadModel && (engine.Load > 0 || engine.QuietFor < 30*time.Second):
+		case order.Kind == backend.OrderUnloadModel && (engine.Load > 0 || engine.IdleFor < 30*time.Second):
 			t.Fatalf("%v takes a model from an engine with work", order)
 		}
 	}
@@ -156,14 +156,14 @@
 		}
 		if have := replicas(snapshot, model.Name); have < model.MinReplicas {
 			for _, engine := range snapshot.Engines {
-				if _, loaded := engine.Models[model.Name]; engine.Usable && !loaded {
+				if _, loaded := engine.Models[model.Name]; engine.Schedulable && !loaded {
 					t.Fatalf("%s has %d of %d replicas although %s is free", model.Name, have, model.MinReplicas, engine.Name)
 				}
 			}
 			continue
 		}
 		for _, engine := range snapshot.Engines {
-			if version, loaded := engine.Models[model.Name]; loaded && engine.Usable && version != model.Version {
+			if version, loaded := engine.Models[model.Name]; loaded && engine.Schedulable && version != model.Version {
 				t.Fatalf("%s keeps version %s of %s", engine.Name, version, model.Name)
 			}
 		}
@@ -174,7 +174,7 @@
 	is := is.New(t)
 	snapshot := modelplacement.Snapshot{Models: []table.Model{{Name: "m", Version: "1", MinReplicas: 2, Weight: 1}}}
 	for i, zone := range []identity.Zone{"a", "a", "b", "b"} {
-		engine := modelplacement.Engine{Name: fmt.Sprint(i), Zone: zone, Usable: true, Counted: true, Models: map[string]string{}}
+		engine := modelplacement.Engine{Name: fmt.Sprint(i), Zone: zone, Schedulable: true, Available: true, Models: map[string]string{}}
 		if i == 0 {
 			engine.Models["m"] = "1"
 		}
@@ -198,7 +198,7 @@
 			ModelDemand: map[string]float64{"m": one.demand},
 		}
 		for i, loaded := range []map[string]string{{"m": "1"}, {}, {}} {
-			snapshot.Engines = append(snapshot.Engines, modelplacement.Engine{Name: fmt.Sprint(i), Usable: true, Counted: true, Models: loaded})
+			snapshot.Engines = append(snapshot.Engines, modelplacement.Engine{Name: fmt.Sprint(i), Schedulable: true, Available: true, Models: loaded})
 		}
 		is.Equal(len(modelplacement.Decide(snapshot, modelplacement.DefaultParameters()).Orders), one.orders)
 	}
@@ -212,7 +212,7 @@
 	}
 	for i := range 600 {
 		snapshot.Engines = append(snapshot.Engines, modelplacement.Engine{
-			Name: fmt.Sprint(i), Zone: identity.Zone(fmt.Sprint(i % 8)), Usable: true, Counted: true,
+			Name: fmt.Sprint(i), Zone: identity.Zone(fmt.Sprint(i % 8)), Schedulable: true, Available: true,
 			Models: map[string]string{fmt.Sprint(i % 28): "1"},
 		})
 	}
--- a/internal/scheduling/order.go
+++ b/internal/scheduling/order.go
@@ -60,9 +60,9 @@
 	return priorityStep * (1 - left)
 }
 
-// Order returns the positions of calls in the order in which they should run,
+// Rank returns the positions of calls in the order in which they should run,
 // most urgent first. Equal scores go by arrival, then by id.
-func Order(now time.Time, calls []Call) []int {
+func Rank(now time.Time, calls []Call) []int {
 	scores := make([]float64, len(calls))
 	order := make([]int, len(calls))
 	for i := range calls {
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -49,16 +49,16 @@
 
 func drawCall(t *rapid.T, name string) scheduling.Call {
 	call := scheduling.Call{
-		ID:           identity.CallID{Program: identity.ProgramID(name), Branch: identity.MainBranch, Sequence: 1},
-		Model:        "advisor-7b",
-		Service:      "advisor",
-		PromptTokens: rapid.IntRange(1, 16_000).Draw(t, "prompt"),
-		MaxTokens:    rapid.IntRange(1, 900).Draw(t, "max"),
-		Arrived:      epoch.Add(-time.Duration(rapid.IntRange(0, 600).Draw(t, "waited")) * time.Second),
-		CallsSoFar:   rapid.IntRange(0, 5).Draw(t, "calls"),
-		Weight:       float64(rapid.IntRange(0, 10).Draw(t, "weight")),
-		Priority:     rapid.IntRange(-5, 5).Draw(t, "priority"),
-		Turn:         rapid.Uint64().Draw(t, "turn"),
+		ID:             identity.CallID{Program: identity.ProgramID(name), Branch: identity.MainBranch, Sequence: 1},
+		Model:          "advisor-7b",
+		Service:        "advisor",
+		PromptTokens:   rapid.IntRange(1, 16_000).Draw(t, "prompt"),
+		MaxTokens:      rapid.IntRange(1, 900).Draw(t, "max"),
+		Arrived:        epoch.Add(-time.Duration(rapid.IntRange(0, 600).Draw(t, "waited")) * time.Second),
+		CallsSoFar:     rapid.IntRange(0, 5).Draw(t, "calls"),
+		Weight:         float64(rapid.IntRange(0, 10).Draw(t, "weight")),
+		Priority:       rapid.IntRange(-5, 5).Draw(t, "priority"),
+		DecisionNumber: rapid.Uint64().Draw(t, "turn"),
 	}
 	call.ProgramStarted = call.Arrived.Add(-time.Duration(rapid.IntRange(0, 900).Draw(t, "age")) * time.Second)
 	if rapid.Bool().Draw(t, "has deadline") {
@@ -126,7 +126,7 @@
 	backends := []scheduling.Backend{{Name: "a", ServesModel: true}, {Name: "b", Leaving: true}, {Name: "c", ServesModel: true}}
 	var chosen []string
 	for turn := range uint64(4) {
-		chosen = append(chosen, scheduling.RoundRobin{}.Choose(epoch, scheduling.Call{Model: "m", Turn: turn}, backends).Backend)
+		chosen = append(chosen, scheduling.RoundRobin{}.Choose(epoch, scheduling.Call{Model: "m", DecisionNumber: turn}, backends).Backend)
 	}
 	is.Equal(chosen, []string{"a", "c", "a", "c"})
 }
@@ -163,7 +163,7 @@
 		for i := range calls {
 			calls[i] = drawCall(t, fmt.Sprintf("p%02d", i))
 		}
-		order := scheduling.Order(epoch, calls)
+		order := scheduling.Rank(epoch, calls)
 		seen := make([]bool, len(calls))
 		for _, position := range order {
 			if seen[position] {
@@ -179,7 +179,7 @@
 		old := scheduling.Call{Arrived: epoch.Add(-time.Hour), Priority: -5}
 		fresh := drawCall(t, "fresh")
 		fresh.Arrived = epoch.Add(-10 * time.Second)
-		if first := scheduling.Order(epoch, []scheduling.Call{fresh, old})[0]; first != 1 {
+		if first := scheduling.Rank(epoch, []scheduling.Call{fresh, old})[0]; first != 1 {
 			t.Fatalf("a call that waited an hour is behind %+v", fresh)
 		}
 	})
--- a/internal/scheduling/stepseam.go
+++ b/internal/scheduling/stepseam.go
@@ -24,34 +24,34 @@
 	// BatchSlowdown is how much one more call in a batch lengthens the time of
 	// each token, as a share of it.
 	BatchSlowdown float64
-	// Neighbours is how much the delay that a call's prefill means for each
+	// BatchDelayWeight is how much the delay that a call's prefill means for each
 	// running call counts beside the call's own time. A long prefill stalls the
 	// whole batch, so at 0 branches move too lightly.
-	Neighbours float64
-	// EvictionShare is the share of evicted tokens that is expected to have to be
+	BatchDelayWeight float64
+	// EvictedReuseRatio is the share of evicted tokens that is expected to have to be
 	// prefilled again.
-	EvictionShare float64
-	// MoveMargin is how much better, in seconds, another back end must be before
+	EvictedReuseRatio float64
+	// MigrationMargin is how much better, in seconds, another back end must be before
 	// a branch leaves the one where it ran last.
-	MoveMargin time.Duration
-	// SlowShare is the share of the usual decode rate below which a back end is
+	MigrationMargin time.Duration
+	// SlowDecodeRatio is the share of the usual decode rate below which a back end is
 	// taken to be slow; above it, differences are noise or its batch.
-	SlowShare float64
-	// WaitLimit is how long a new program may be expected to wait at the best back
+	SlowDecodeRatio float64
+	// MaxNewProgramWait is how long a new program may be expected to wait at the best back
 	// end; beyond it the program is refused before it begins, so that those under
 	// way are not slowed without end. 0 refuses none.
-	WaitLimit time.Duration
-	// Herd is how many calls of other nodes are assumed to be on their way to a
+	MaxNewProgramWait time.Duration
+	// PeerCallFactor is how many calls of other nodes are assumed to be on their way to a
 	// back end for each own one that its report can't know.
-	Herd float64
+	PeerCallFactor float64
 }
 
 // DefaultParameters returns the parameters the daemon runs with.
 func DefaultParameters() Parameters {
 	return Parameters{
-		BatchSlowdown: 0.02, Neighbours: 1.5, EvictionShare: 1,
-		MoveMargin: 500 * time.Millisecond, SlowShare: 0.6, Herd: 3,
-		WaitLimit: 4 * time.Second,
+		BatchSlowdown: 0.02, BatchDelayWeight: 1.5, EvictedReuseRatio: 1,
+		MigrationMargin: 500 * time.Millisecond, SlowDecodeRatio: 0.6, PeerCallFactor: 3,
+		MaxNewProgramWait: 4 * time.Second,
 	}
 }
 
@@ -117,10 +117,10 @@
 
 // overload returns by how much a new program would wait too long.
 func (w *weigher) overload(best *estimate) time.Duration {
-	if w.call.CallsSoFar > 0 || w.parameters.WaitLimit <= 0 || w.call.Model == "" {
+	if w.call.CallsSoFar > 0 || w.parameters.MaxNewProgramWait <= 0 || w.call.Model == "" {
 		return 0
 	}
-	return seconds(best.wait) - w.parameters.WaitLimit
+	return seconds(best.wait) - w.parameters.MaxNewProgramWait
 }
 
 // weigher weighs back ends for one call against what is usual for all of them.
@@ -157,7 +157,7 @@
 	w.prefillTime = 1 / mean(prefillRate, prefills, defaultPrefillRate)
 	decodeRate = mean(decodeRate, decodes, defaultDecodeRate)
 	w.decodeTime = 1 / decodeRate
-	w.slowRate = decodeRate * s.Parameters.SlowShare
+	w.slowRate = decodeRate * s.Parameters.SlowDecodeRatio
 	return w
 }
 
@@ -188,8 +188,8 @@
 	}
 	p := &w.parameters
 	slowness := w.slowness(b)
-	own := float64(b.OwnInFlight) * (1 + p.Herd)
-	ownPrefill := float64(b.OwnPrefillTokens) * (1 + p.Herd)
+	own := float64(b.OwnInFlight) * (1 + p.PeerCallFactor)
+	ownPrefill := float64(b.OwnPrefillTokens) * (1 + p.PeerCallFactor)
 	uncached := max(w.call.PromptTokens-b.CachedTokens, 0)
 	batch := float64(b.ReportedRunning+b.ReportedWaiting) + own
 	prefillTime := w.prefillTime * slowness
@@ -199,14 +199,14 @@
 	slowdown := max(1+p.BatchSlowdown*(batch-w.running), 0.5)
 	result.decode = float64(w.answer) * slowdown * w.decodeTime * slowness
 	result.wait += queued(b, batch) * result.decode
-	result.others = p.Neighbours * batch * result.prefill
+	result.others = p.BatchDelayWeight * batch * result.prefill
 	if b.CacheCapacityTokens > 0 {
 		overflow := float64(b.CacheUsedTokens+uncached+w.answer-b.CacheCapacityTokens) + ownPrefill
 		overflow = min(max(overflow, 0), float64(uncached+w.answer))
-		result.eviction = p.EvictionShare * overflow * prefillTime * (1 + p.Neighbours*batch)
+		result.eviction = p.EvictedReuseRatio * overflow * prefillTime * (1 + p.BatchDelayWeight*batch)
 	}
 	if w.call.LastBackend != "" && w.call.LastBackend != b.Name {
-		result.move = p.MoveMargin.Seconds()
+		result.move = p.MigrationMargin.Seconds()
 	}
 	return result
 }
--- a/internal/serving/assign.go
+++ b/internal/serving/assign.go
@@ -169,7 +169,7 @@
 		Arrived:        d.run.arrived,
 		Deadline:       d.run.deadline,
 		ProgramStarted: p.Created(),
-		ServiceSoFar:   p.Service(),
+		ServiceSoFar:   p.ServiceTime(),
 		CallsSoFar:     p.Calls(),
 		Weight:         query.class.Weight,
 		Priority:       query.class.Priority,
@@ -187,12 +187,12 @@
 func (d *driver) queryModel(query *schedulingQuery, p *program.Program, published *table.Table) {
 	request := d.run.request
 	if !d.open {
-		request, _ = p.Resolve(request)
+		request, _ = p.Normalize(request)
 	}
 	size := p.PromptSize(request)
 	query.role = siteservices.RoleEngine
 	query.holder = query.call.LastBackend
-	query.settled = int(size.Settled)
+	query.settled = int(size.Counted)
 	query.answeredHere = !p.LastAnswered(d.run.id.Branch).Before(d.shard.opened)
 	query.call.Service = ""
 	query.call.Model = request.Model
@@ -216,7 +216,7 @@
 		return nil, decision, o.inFlight.awaitChange()
 	}
 	o.inFlight.turn++
-	query.call.Turn = o.inFlight.turn
+	query.call.DecisionNumber = o.inFlight.turn
 	snapshot := o.snapshot(now, query, backends)
 	decision := o.config.Policy.Choose(now, query.call, snapshot)
 	if decision.Action != scheduling.Run {
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -84,7 +84,7 @@
 		Stream:         d.attempt.Stream,
 		Operation:      assigned.request.Operation,
 		Body:           assigned.request.Input,
-		IdempotencyKey: assigned.request.Key,
+		IdempotencyKey: assigned.request.IdempotencyKey,
 	})
 	if err != nil {
 		return d.failedWith(err)
--- a/internal/serving/drive.go
+++ b/internal/serving/drive.go
@@ -176,17 +176,17 @@
 
 // evaluate asks the state what to do with the call now. missing tells that the
 // call which the branch waits for has not arrived.
-func (d *driver) evaluate() (verdict program.Verdict, changed <-chan struct{}, missing bool) {
+func (d *driver) evaluate() (verdict program.Evaluation, changed <-chan struct{}, missing bool) {
 	s := d.shard
 	s.machine.mutex.Lock()
 	defer s.machine.mutex.Unlock()
 	p := s.machine.set.Get(d.run.id.Program)
 	if p == nil {
-		return program.Verdict{Action: program.ActionRefuse, Problem: api.NewProblem(api.CodeProgramEnded,
+		return program.Evaluation{Action: program.ActionRefuse, Problem: api.NewProblem(api.CodeProgramEnded,
 			"program %s is gone", d.run.id.Program)}, nil, false
 	}
 	d.ranBefore = p.MayHaveRun(d.run.id)
-	verdict = p.Arrive(time.Now(), d.run.request)
+	verdict = p.Evaluate(time.Now(), d.run.request)
 	if verdict.Action != program.ActionWait {
 		return verdict, nil, false
 	}
@@ -220,14 +220,14 @@
 		s.machine.mutex.Unlock()
 		return d.ended()
 	}
-	verdict := p.Arrive(time.Now(), d.run.request)
+	verdict := p.Evaluate(time.Now(), d.run.request)
 	if verdict.Action != program.ActionRepeat {
 		s.machine.mutex.Unlock()
 		return nil
 	}
 	original := verdict.Call
 	d.run.dispatched = true
-	wait, err := s.commit(false, program.Repeated{
+	wait, err := s.commit(false, program.Deduplicated{
 		ID: d.run.id, Digest: d.run.request.Digest, Of: original.Request.ID, At: time.Now(),
 	})
 	s.machine.mutex.Unlock()
@@ -290,10 +290,10 @@
 	s := d.shard
 	p := s.machine.set.Get(d.run.id.Program)
 	dispatch := program.Dispatch{
-		Backend: assigned.backend.Name,
-		Address: assigned.backend.Address,
-		Epoch:   s.journal.Epoch(),
-		Reserve: s.owner.config.Hooks.Reserve,
+		Backend:         assigned.backend.Name,
+		Address:         assigned.backend.Address,
+		Epoch:           s.journal.Epoch(),
+		ReservationRule: s.owner.config.Hooks.Reserve,
 	}
 	d.timeout = s.callTimeout(p)
 	if call := p.Call(d.run.id); call != nil && call.Open {
@@ -305,7 +305,7 @@
 		assigned.load(p, call.Request)
 		return retry, false, nil
 	}
-	verdict := p.Arrive(time.Now(), d.run.request)
+	verdict := p.Evaluate(time.Now(), d.run.request)
 	if verdict.Action != program.ActionRun {
 		return nil, verdict.Problem == nil, verdict.Problem
 	}
@@ -366,7 +366,7 @@
 	}
 	s := d.shard
 	s.machine.mutex.Lock()
-	wait, err := s.commit(false, program.Dropped{Call: d.run.id, At: time.Now()})
+	wait, err := s.commit(false, program.Withdrawn{Call: d.run.id, At: time.Now()})
 	d.open = false
 	s.machine.mutex.Unlock()
 	if err == nil {
--- a/internal/serving/evict.go
+++ b/internal/serving/evict.go
@@ -14,10 +14,10 @@
 // pauses keeps, for each kind of branch, how long its pauses last.
 type pauses struct {
 	mutex sync.Mutex
-	book  *scheduling.PauseBook
+	book  *scheduling.PauseHistories
 }
 
-func newPauses() *pauses { return &pauses{book: scheduling.NewPauseBook()} }
+func newPauses() *pauses { return &pauses{book: scheduling.NewPauseHistories()} }
 
 func (p *pauses) returned(kind string, pause time.Duration) {
 	p.mutex.Lock()
@@ -31,10 +31,10 @@
 	p.book.History(kind).Abandoned(pause)
 }
 
-func (p *pauses) keepWarm(now time.Time, paused []scheduling.Paused, patience time.Duration) []scheduling.Release {
+func (p *pauses) keepWarm(now time.Time, paused []scheduling.Paused, patience time.Duration) []scheduling.Eviction {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.book.KeepWarm(now, paused, patience)
+	return p.book.SelectEvictions(now, paused, patience)
 }
 
 // pauseKind is the kind of pause history that a branch belongs to: people pause
@@ -85,7 +85,7 @@
 		used += engine.Report.CacheUsedTokens
 		capacity += engine.Report.CacheCapacityTokens
 	}
-	return scheduling.Patience(scheduling.DefaultPatience, used, capacity)
+	return scheduling.BreakEvenInterval(scheduling.DefaultBreakEvenInterval, used, capacity)
 }
 
 // paused returns the shard's branches that wait for their programs' next calls.
@@ -103,7 +103,7 @@
 		}
 		for _, branch := range p.Paused() {
 			all = append(all, scheduling.Paused{
-				Program: p.ID(), Branch: branch.Branch, Held: branch.Held, IdleSince: branch.Since,
+				Program: p.ID(), Branch: branch.Branch, Cached: branch.Cached, IdleSince: branch.Since,
 				KeepWarm: published.Classes[p.Class()].KeepWarm, Kind: pauseKind(p.Class(), branch.Branch),
 			})
 		}
@@ -112,7 +112,7 @@
 }
 
 // evictBranch queues the release of a branch unless a call came meanwhile.
-func (s *shard) evictBranch(release scheduling.Release) {
+func (s *shard) evictBranch(release scheduling.Eviction) {
 	s.machine.mutex.Lock()
 	defer s.machine.mutex.Unlock()
 	p := s.machine.set.Get(release.Program)
--- a/internal/serving/programs.go
+++ b/internal/serving/programs.go
@@ -234,7 +234,7 @@
 	if call.Open {
 		return s.rejoin(p, call)
 	}
-	answer := p.Resolved(call).Answer
+	answer := p.Original(call).Answer
 	return nil, &answer, nil
 }
 
@@ -258,7 +258,7 @@
 		}
 		return r, nil, nil
 	}
-	verdict := p.Arrive(time.Now(), call)
+	verdict := p.Evaluate(time.Now(), call)
 	switch verdict.Action {
 	case program.ActionReplay:
 		answer := verdict.Call.Answer
--- a/internal/serving/sweep.go
+++ b/internal/serving/sweep.go
@@ -44,7 +44,7 @@
 		switch {
 		case p.Expired(now, s.opened) && (s.idle(p) || s.overAge(p, now)):
 			expired = append(expired, p)
-		case p.Forgettable() && s.idle(p):
+		case p.Removable() && s.idle(p):
 			ended = append(ended, p)
 		}
 		return true
@@ -80,7 +80,7 @@
 		if i >= surplus && now.Sub(p.Ended()) < s.owner.config.Timing.Tombstone {
 			return
 		}
-		if _, err := s.commit(false, program.Forgotten{ID: p.ID()}); err != nil {
+		if _, err := s.commit(false, program.Removed{ID: p.ID()}); err != nil {
 			return
 		}
 	}
--- a/internal/serving/takeover.go
+++ b/internal/serving/takeover.go
@@ -72,9 +72,9 @@
 	p := s.machine.set.Get(d.run.id.Program)
 	call := p.Call(d.run.id)
 	d.open = true
-	d.attempt, d.pending = call.Unresolved()
+	d.attempt, d.pending = call.PendingAttempt()
 	d.timeout = s.callTimeout(p)
-	if call.Lost {
+	if call.HasLostAttempt {
 		d.lost++
 	}
 	_, unsent := s.unsent[d.attempt.Stream]
