--- a/internal/storegate/gate.go
+++ b/internal/storegate/gate.go
@@ -32,29 +32,29 @@
 	returnSpread = 100 * time.Millisecond
 )
 
-// Situation is what a decision depends on besides the calls.
-type Situation struct {
+// Conditions is what a decision depends on besides the calls.
+type Conditions struct {
 	// Now is a monotonic reading.
 	Now time.Duration
-	// Members is how many nodes are known, this one among them.
-	Members int
-	// Draw is a random number in [0,1).
-	Draw float64
+	// Nodes is how many nodes are known, this one among them.
+	Nodes int
+	// Random is a random number in [0,1).
+	Random float64
 }
 
 // Decision is what becomes of a call.
 type Decision struct {
-	// Go lets the call out, as a probe where Probe is set.
-	Go, Probe bool
-	// Again is after how long to ask again otherwise.
-	Again time.Duration
+	// Allow lets the call out, as a probe where Probe is set.
+	Allow, Probe bool
+	// RetryAfter is after how long to ask again otherwise.
+	RetryAfter time.Duration
 }
 
-// Gate decides for one node. It is not safe for concurrent use.
+// Breaker decides for one node. It is not safe for concurrent use.
 //
 // Invariant: between two probes of the node lies 1-probeSpread of probePause at least,
 // unless a peer has said meanwhile that the store answers it; then leastProbePause.
-type Gate struct {
+type Breaker struct {
 	// callsPerSecond is how many reading calls of all nodes the store takes; 0 is not known.
 	callsPerSecond float64
 	node           breaker
@@ -80,11 +80,11 @@
 
 // New returns a closed gate; callsPerSecond is how many reading calls of all nodes the
 // store takes, 0 where that is not known.
-func New(callsPerSecond float64) *Gate {
-	return &Gate{callsPerSecond: callsPerSecond, node: breaker{after: nodeAwayAfter}, partitions: map[logstore.Partition]*partition{}}
+func New(callsPerSecond float64) *Breaker {
+	return &Breaker{callsPerSecond: callsPerSecond, node: breaker{after: nodeAwayAfter}, partitions: map[logstore.Partition]*partition{}}
 }
 
-func (g *Gate) at(place logstore.Partition) *partition {
+func (g *Breaker) at(place logstore.Partition) *partition {
 	kept, known := g.partitions[place]
 	if !known {
 		kept = &partition{breaker: breaker{after: partitionAwayAfter}}
@@ -94,7 +94,7 @@
 }
 
 // ProbePause returns the mean time between two probes of one node.
-func (g *Gate) ProbePause(members int) time.Duration {
+func (g *Breaker) ProbePause(members int) time.Duration {
 	if g.callsPerSecond <= 0 {
 		return leastProbePause
 	}
@@ -102,59 +102,59 @@
 }
 
 // stale tells that what has failed says nothing any more.
-func (g *Gate) stale(s Situation) bool {
-	return s.Now-g.failed >= max(staleTime, stalePauses*g.ProbePause(s.Members))
+func (g *Breaker) stale(s Conditions) bool {
+	return s.Now-g.failed >= max(staleTime, stalePauses*g.ProbePause(s.Nodes))
 }
 
 // NodeAnswered tells whether the store answers this node, as far as is known.
-func (g *Gate) NodeAnswered(s Situation) bool { return !g.node.isOpen(s.Now) || g.stale(s) }
+func (g *Breaker) NodeAnswered(s Conditions) bool { return !g.node.isOpen(s.Now) || g.stale(s) }
 
 // Answered tells whether calls on a partition are answered, as far as is known.
-func (g *Gate) Answered(place logstore.Partition, s Situation) bool {
+func (g *Breaker) Answered(place logstore.Partition, s Conditions) bool {
 	return g.stale(s) || !g.node.isOpen(s.Now) && !g.at(place).isOpen(s.Now)
 }
 
-// Ask decides on a call. One that waits is let out a little later after the store's return,
+// Admit decides on a call. One that waits is let out a little later after the store's return,
 // so that not all that wait come back together.
-func (g *Gate) Ask(place logstore.Partition, waits bool, s Situation) Decision {
+func (g *Breaker) Admit(place logstore.Partition, waits bool, s Conditions) Decision {
 	asked := g.at(place)
 	if !g.Answered(place, s) {
 		return g.askProbe(asked, s)
 	}
 	if asked.held {
 		asked.held = false
-		asked.release = s.Now + time.Duration(s.Draw*float64(returnSpread))
+		asked.release = s.Now + time.Duration(s.Random*float64(returnSpread))
 	}
 	if waits && s.Now < asked.release {
-		return Decision{Again: asked.release - s.Now}
+		return Decision{RetryAfter: asked.release - s.Now}
 	}
-	return Decision{Go: true}
+	return Decision{Allow: true}
 }
 
-func (g *Gate) askProbe(asked *partition, s Situation) Decision {
-	pause := float64(g.ProbePause(s.Members))
+func (g *Breaker) askProbe(asked *partition, s Conditions) Decision {
+	pause := float64(g.ProbePause(s.Nodes))
 	if !g.probing { // the first, staggered among the nodes
-		g.probing, g.nextProbe = true, s.Now+time.Duration(s.Draw*pause)
+		g.probing, g.nextProbe = true, s.Now+time.Duration(s.Random*pause)
 	}
 	if s.Now < g.nextProbe {
 		asked.held = true
-		return Decision{Again: g.nextProbe - s.Now}
+		return Decision{RetryAfter: g.nextProbe - s.Now}
 	}
 	g.probed = s.Now
-	g.nextProbe = s.Now + time.Duration(pause*(1-probeSpread+2*probeSpread*s.Draw))
-	return Decision{Go: true, Probe: true}
+	g.nextProbe = s.Now + time.Duration(pause*(1-probeSpread+2*probeSpread*s.Random))
+	return Decision{Allow: true, Probe: true}
 }
 
 // PeerAnswered notes that the store answers another node: this one probes at once.
-func (g *Gate) PeerAnswered(s Situation) {
+func (g *Breaker) PeerAnswered(s Conditions) {
 	if g.probing && !g.NodeAnswered(s) {
 		g.nextProbe = min(g.nextProbe, max(s.Now, g.probed+leastProbePause))
 	}
 }
 
-// Note takes the outcome of a call that went out, and tells whether calls are let out by it
+// Record takes the outcome of a call that went out, and tells whether calls are let out by it
 // that were held back.
-func (g *Gate) Note(place logstore.Partition, answered bool, s Situation) (returned bool) {
+func (g *Breaker) Record(place logstore.Partition, answered bool, s Conditions) (returned bool) {
 	noted := g.at(place)
 	if !answered {
 		// A partition that is known to be away says nothing of the others.
@@ -179,7 +179,7 @@
 // the whole. Where the store was away as a whole, nothing is known of a single partition, and
 // a refusal on it, as of a store that gets many calls at once, is the first one; else the
 // next failure shows that it is still away.
-func (g *Gate) returned(whole bool) {
+func (g *Breaker) returned(whole bool) {
 	g.probing = false
 	g.failing = g.failing && !whole
 	for _, other := range g.partitions {
@@ -191,8 +191,8 @@
 	}
 }
 
-// Away returns how many partitions have their breaker open.
-func (g *Gate) Away(s Situation) int {
+// OpenPartitions returns how many partitions have their breaker open.
+func (g *Breaker) OpenPartitions(s Conditions) int {
 	away := 0
 	for _, known := range g.partitions {
 		if known.isOpen(s.Now) && !g.stale(s) {
--- a/internal/storegate/gate_test.go
+++ b/internal/storegate/gate_test.go
@@ -15,37 +15,37 @@
 }
 
 // at is a situation of a node that knows no other.
-func at(now time.Duration) Situation { return Situation{Now: now, Members: 1, Draw: 0.5} }
+func at(now time.Duration) Conditions { return Conditions{Now: now, Nodes: 1, Random: 0.5} }
 
 func TestStoreIsAwayAfterFailuresForSomeTime(t *testing.T) {
 	is := is.New(t)
 	gate := New(0)
 	for range 10 {
-		gate.Note(place(0), false, at(0))
+		gate.Record(place(0), false, at(0))
 	}
 	is.True(gate.NodeAnswered(at(nodeAwayAfter - 1)))
 	is.True(!gate.NodeAnswered(at(nodeAwayAfter)))
-	first := gate.Ask(place(0), true, at(nodeAwayAfter))
-	is.Equal(first, Decision{Again: leastProbePause / 2}) // staggered
-	is.Equal(gate.Ask(place(1), false, at(nodeAwayAfter)), first)
+	first := gate.Admit(place(0), true, at(nodeAwayAfter))
+	is.Equal(first, Decision{RetryAfter: leastProbePause / 2}) // staggered
+	is.Equal(gate.Admit(place(1), false, at(nodeAwayAfter)), first)
 	probed := nodeAwayAfter + leastProbePause/2
-	is.Equal(gate.Ask(place(1), false, at(probed)), Decision{Go: true, Probe: true})
-	is.Equal(gate.Ask(place(0), true, at(probed)), Decision{Again: leastProbePause})
-	is.True(!gate.Ask(place(0), true, at(probed+leastProbePause-1)).Go)
-	is.True(gate.Ask(place(0), true, at(probed+leastProbePause)).Probe)
-	is.True(gate.Note(place(0), true, at(time.Second)))
+	is.Equal(gate.Admit(place(1), false, at(probed)), Decision{Allow: true, Probe: true})
+	is.Equal(gate.Admit(place(0), true, at(probed)), Decision{RetryAfter: leastProbePause})
+	is.True(!gate.Admit(place(0), true, at(probed+leastProbePause-1)).Allow)
+	is.True(gate.Admit(place(0), true, at(probed+leastProbePause)).Probe)
+	is.True(gate.Record(place(0), true, at(time.Second)))
 	is.True(gate.NodeAnswered(at(time.Hour)))
 	for i := range 10 {
-		gate.Note(place(0), false, at(time.Duration(i)*time.Second))
-		gate.Note(place(0), true, at(time.Duration(i)*time.Second))
+		gate.Record(place(0), false, at(time.Duration(i)*time.Second))
+		gate.Record(place(0), true, at(time.Duration(i)*time.Second))
 	}
 	is.True(gate.NodeAnswered(at(time.Hour)))
 }
 
 // fail has calls on a partition fail from one time to another.
-func fail(gate *Gate, number int, from, to time.Duration) {
+func fail(gate *Breaker, number int, from, to time.Duration) {
 	for now := from; now <= to; now += 50 * time.Millisecond {
-		gate.Note(place(number), false, at(now))
+		gate.Record(place(number), false, at(now))
 	}
 }
 
@@ -53,18 +53,18 @@
 	is := is.New(t)
 	gate := New(0)
 	for now := time.Duration(0); now <= time.Second; now += 50 * time.Millisecond {
-		gate.Note(place(0), false, at(now))
-		gate.Note(place(1), true, at(now))
+		gate.Record(place(0), false, at(now))
+		gate.Record(place(1), true, at(now))
 	}
 	is.True(gate.NodeAnswered(at(time.Second)))
 	is.True(!gate.Answered(place(0), at(time.Second)))
 	is.True(gate.Answered(place(1), at(time.Second)))
-	is.Equal(gate.Ask(place(1), true, at(time.Second)), Decision{Go: true})
-	is.True(!gate.Ask(place(0), true, at(time.Second)).Go)
-	is.Equal(gate.Away(at(time.Second)), 1)
+	is.Equal(gate.Admit(place(1), true, at(time.Second)), Decision{Allow: true})
+	is.True(!gate.Admit(place(0), true, at(time.Second)).Allow)
+	is.Equal(gate.OpenPartitions(at(time.Second)), 1)
 	fail(gate, 0, time.Second, 3*time.Second)
 	is.True(gate.NodeAnswered(at(3 * time.Second))) // known failures say nothing of the others
-	is.True(gate.Note(place(0), true, at(3*time.Second)))
+	is.True(gate.Record(place(0), true, at(3*time.Second)))
 	is.True(gate.Answered(place(0), at(3*time.Second)))
 }
 
@@ -83,32 +83,32 @@
 			gate.node.answered()
 		}
 		oneSuccess(is, gate)
-		gate.Note(place(1), false, at(time.Second+returnSpread))
+		gate.Record(place(1), false, at(time.Second+returnSpread))
 		is.Equal(gate.Answered(place(1), at(time.Second+returnSpread)), whole)
 		is.True(gate.NodeAnswered(at(time.Second + returnSpread)))
 	}
 }
 
 // oneSuccess has one of three partitions that are away answer.
-func oneSuccess(is *is.I, gate *Gate) {
-	is.True(!gate.Ask(place(1), true, at(time.Second)).Go)
-	is.True(gate.Note(place(0), true, at(time.Second)))
+func oneSuccess(is *is.I, gate *Breaker) {
+	is.True(!gate.Admit(place(1), true, at(time.Second)).Allow)
+	is.True(gate.Record(place(0), true, at(time.Second)))
 	is.True(gate.Answered(place(1), at(time.Second)))
-	waiting := gate.Ask(place(1), true, at(time.Second))
-	is.Equal(waiting, Decision{Again: returnSpread / 2}) // it has waited, and is spread
-	is.True(gate.Ask(place(1), false, at(time.Second)).Go)
-	is.True(gate.Ask(place(1), true, at(time.Second+returnSpread/2)).Go)
+	waiting := gate.Admit(place(1), true, at(time.Second))
+	is.Equal(waiting, Decision{RetryAfter: returnSpread / 2}) // it has waited, and is spread
+	is.True(gate.Admit(place(1), false, at(time.Second)).Allow)
+	is.True(gate.Admit(place(1), true, at(time.Second+returnSpread/2)).Allow)
 }
 
 func TestPeersWordBringsTheNextProbeForward(t *testing.T) {
 	is := is.New(t)
 	gate := New(1) // a probe in 20 s
 	fail(gate, 0, 0, time.Second)
-	is.True(gate.Ask(place(0), true, at(time.Second)).Again > time.Second)
+	is.True(gate.Admit(place(0), true, at(time.Second)).RetryAfter > time.Second)
 	gate.PeerAnswered(at(time.Second))
-	is.True(gate.Ask(place(0), true, at(time.Second)).Probe)
+	is.True(gate.Admit(place(0), true, at(time.Second)).Probe)
 	gate.PeerAnswered(at(time.Second))
-	is.Equal(gate.Ask(place(0), true, at(time.Second)), Decision{Again: leastProbePause})
+	is.Equal(gate.Admit(place(0), true, at(time.Second)), Decision{RetryAfter: leastProbePause})
 }
 
 // TestOldFailuresSayNothing: a node that has had nothing to ask for a while tries.
@@ -118,8 +118,8 @@
 	fail(gate, 0, 0, time.Second)
 	is.True(!gate.NodeAnswered(at(time.Second + staleTime - 1)))
 	is.True(gate.NodeAnswered(at(time.Second + staleTime)))
-	is.True(gate.Ask(place(0), true, at(time.Second+staleTime)).Go)
-	gate.Note(place(0), false, at(time.Second+staleTime))
+	is.True(gate.Admit(place(0), true, at(time.Second+staleTime)).Allow)
+	gate.Record(place(0), false, at(time.Second+staleTime))
 	is.True(!gate.NodeAnswered(at(time.Second + staleTime)))
 }
 
@@ -130,8 +130,8 @@
 	gate := New(0)
 	fail(gate, 1, 0, time.Second)
 	later := time.Second + staleTime
-	gate.Note(place(0), true, at(later))
-	gate.Note(place(2), false, at(later+time.Millisecond))
+	gate.Record(place(0), true, at(later))
+	gate.Record(place(2), false, at(later+time.Millisecond))
 	is.True(gate.Answered(place(1), at(later+time.Millisecond)))
 	is.True(gate.Answered(place(2), at(later+time.Millisecond)))
 }
@@ -157,7 +157,7 @@
 // promises checks a gate's decisions while calls, outcomes and words of peers are random.
 type promises struct {
 	t       *rapid.T
-	gate    *Gate
+	gate    *Breaker
 	members int
 	// probed is when the last probe went out, hinted tells that a peer has said something
 	// since.
@@ -165,8 +165,8 @@
 	hinted bool
 }
 
-func (p *promises) note(where logstore.Partition, answered bool, s Situation) {
-	if p.gate.Note(where, answered, s) {
+func (p *promises) note(where logstore.Partition, answered bool, s Conditions) {
+	if p.gate.Record(where, answered, s) {
 		p.probed, p.hinted = -time.Hour, false
 	}
 	if answered && !p.gate.Answered(where, s) {
@@ -174,14 +174,14 @@
 	}
 }
 
-func (p *promises) ask(where logstore.Partition, waits bool, s Situation) {
+func (p *promises) ask(where logstore.Partition, waits bool, s Conditions) {
 	answered := p.gate.Answered(where, s)
-	decision := p.gate.Ask(where, waits, s)
+	decision := p.gate.Admit(where, waits, s)
 	switch {
-	case answered && !waits && !decision.Go, answered && decision.Probe, !answered && decision.Go != decision.Probe:
+	case answered && !waits && !decision.Allow, answered && decision.Probe, !answered && decision.Allow != decision.Probe:
 		p.t.Fatalf("answered %v, waits %v: %+v", answered, waits, decision)
-	case !decision.Go && (decision.Again <= 0 || decision.Again > max(returnSpread, 2*p.gate.ProbePause(p.members))):
-		p.t.Fatalf("to ask again after %v", decision.Again)
+	case !decision.Allow && (decision.RetryAfter <= 0 || decision.RetryAfter > max(returnSpread, 2*p.gate.ProbePause(p.members))):
+		p.t.Fatalf("to ask again after %v", decision.RetryAfter)
 	case decision.Probe:
 		p.probe(s.Now)
 	}
@@ -207,7 +207,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(200*time.Millisecond)).Draw(t, "pause"))
-			s := Situation{Now: now, Members: p.members, Draw: rapid.Float64Range(0, 0.999).Draw(t, "draw")}
+			s := Conditions{Now: now, Nodes: p.members, Random: rapid.Float64Range(0, 0.999).Draw(t, "draw")}
 			where := place(rapid.IntRange(0, 4).Draw(t, "partition"))
 			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case what < 5:
--- a/internal/storegate/site_test.go
+++ b/internal/storegate/site_test.go
@@ -40,7 +40,7 @@
 }
 
 type siteNode struct {
-	gate    *Gate
+	gate    *Breaker
 	writers []*writer
 	// awayTime counts the steps at which the store did not answer it by its gate.
 	awaySteps int
@@ -72,8 +72,8 @@
 
 func (s *site) away() bool { return s.now >= awayFrom && s.now < awayUntil }
 
-func (s *site) situation() Situation {
-	return Situation{Now: s.now, Members: siteNodes, Draw: s.random.Float64()}
+func (s *site) situation() Conditions {
+	return Conditions{Now: s.now, Nodes: siteNodes, Random: s.random.Float64()}
 }
 
 func (s *site) run(until time.Duration) {
@@ -112,9 +112,9 @@
 		s.end(node, w, partition)
 		return
 	}
-	decision := node.gate.Ask(place(partition), true, s.situation())
-	if !decision.Go {
-		w.next = s.now + min(decision.Again, siteStep)
+	decision := node.gate.Admit(place(partition), true, s.situation())
+	if !decision.Allow {
+		w.next = s.now + min(decision.RetryAfter, siteStep)
 		return
 	}
 	answered, after := s.answers(s, number, partition)
@@ -129,7 +129,7 @@
 
 func (s *site) end(node *siteNode, w *writer, partition int) {
 	w.answer = 0
-	node.gate.Note(place(partition), w.answered, s.situation())
+	node.gate.Record(place(partition), w.answered, s.situation())
 	if w.answered {
 		w.written, w.pause = s.now, leastPause
 		w.due = s.now + time.Duration(s.random.Int64N(int64(longestThinkTime)))
--- a/internal/table/bench_test.go
+++ b/internal/table/bench_test.go
@@ -41,11 +41,11 @@
 
 // BenchmarkFold is what one published version costs each node.
 func BenchmarkFold(b *testing.B) {
-	content, ledger := largeTable(), table.NewLedger()
+	content, ledger := largeTable(), table.NewVersionLog()
 	b.ReportAllocs()
 	for b.Loop() {
 		record := table.Record{ID: fmt.Sprint(ledger.Next()), Base: ledger.Version(), Author: "marta", CSV: content}
-		if err := ledger.Fold(record.Encode()); err != nil {
+		if err := ledger.Apply(record.Encode()); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -56,10 +56,10 @@
 
 // BenchmarkHandOver is what a peer that is behind costs both sides together.
 func BenchmarkHandOver(b *testing.B) {
-	content, ledger := largeTable(), table.NewLedger()
+	content, ledger := largeTable(), table.NewVersionLog()
 	for i := range 300 {
 		record := table.Record{ID: fmt.Sprintf("%036d", i), Base: ledger.Version(), Author: "marta", Note: "more room on deadline night", CSV: content}
-		if err := ledger.Fold(record.Encode()); err != nil {
+		if err := ledger.Apply(record.Encode()); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -69,7 +69,7 @@
 		var e wire.Encoder
 		ledger.Encode(&e)
 		size = len(e.Bytes())
-		if _, err := table.DecodeLedger(wire.NewDecoder(e.Bytes())); err != nil {
+		if _, err := table.DecodeVersionLog(wire.NewDecoder(e.Bytes())); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/table/ledger.go
+++ b/internal/table/ledger.go
@@ -52,11 +52,11 @@
 // maximumText bounds each text of an entry, in bytes.
 const maximumText = 2048
 
-// Ledger folds the records of the table stream in offset order. It is a pure
+// VersionLog folds the records of the table stream in offset order. It is a pure
 // function of the stream's first Next() records: of two ledgers of one stream
 // the one that has folded more is right, and a node that takes it from another
 // node comes to the state it would have read itself. Not safe for concurrent use.
-type Ledger struct {
+type VersionLog struct {
 	next    siteservices.Offset
 	current *Table
 	csv     []byte
@@ -65,20 +65,20 @@
 	summarized siteservices.Offset
 }
 
-// NewLedger returns the ledger of an empty stream.
-func NewLedger() *Ledger { return &Ledger{} }
+// NewVersionLog returns the ledger of an empty stream.
+func NewVersionLog() *VersionLog { return &VersionLog{} }
 
 // Next returns the offset of the next record to fold.
-func (l *Ledger) Next() siteservices.Offset { return l.next }
+func (l *VersionLog) Next() siteservices.Offset { return l.next }
 
 // Current returns the accepted table with the highest version, or nil.
-func (l *Ledger) Current() *Table { return l.current }
+func (l *VersionLog) Current() *Table { return l.current }
 
 // CSV returns the current table as its author wrote it.
-func (l *Ledger) CSV() []byte { return l.csv }
+func (l *VersionLog) CSV() []byte { return l.csv }
 
 // Version returns the current version, 0 before the first.
-func (l *Ledger) Version() Version {
+func (l *VersionLog) Version() Version {
 	if l.current == nil {
 		return 0
 	}
@@ -86,10 +86,10 @@
 }
 
 // History returns the remembered publications, oldest first.
-func (l *Ledger) History() []Entry { return append([]Entry(nil), l.history...) }
+func (l *VersionLog) History() []Entry { return append([]Entry(nil), l.history...) }
 
 // Find returns what became of the publication with id.
-func (l *Ledger) Find(id string) (Entry, bool) {
+func (l *VersionLog) Find(id string) (Entry, bool) {
 	for _, entry := range l.history {
 		if entry.ID == id {
 			return entry, true
@@ -98,8 +98,8 @@
 	return Entry{}, false
 }
 
-// Winner returns the publication that was accepted on base.
-func (l *Ledger) Winner(base Version) (Entry, bool) {
+// AcceptedOn returns the publication that was accepted on base.
+func (l *VersionLog) AcceptedOn(base Version) (Entry, bool) {
 	for _, entry := range l.history {
 		if entry.Status == Accepted && entry.Base == base {
 			return entry, true
@@ -108,9 +108,9 @@
 	return Entry{}, false
 }
 
-// Fold takes the record at Next(). Bytes that are no record are passed over.
+// Apply takes the record at Next(). Bytes that are no record are passed over.
 // It fails only with ErrNewerFormat, and then stays where it is.
-func (l *Ledger) Fold(raw []byte) error {
+func (l *VersionLog) Apply(raw []byte) error {
 	record, err := DecodeRecord(raw)
 	if errors.Is(err, ErrNewerFormat) {
 		return fmt.Errorf("table: offset %d: %w", l.next, err)
@@ -131,7 +131,7 @@
 }
 
 // judge decides about one publication and takes it in force if it is accepted.
-func (l *Ledger) judge(offset siteservices.Offset, record Record) Entry {
+func (l *VersionLog) judge(offset siteservices.Offset, record Record) Entry {
 	entry := Entry{
 		Offset: offset, ID: record.ID, Base: record.Base, Author: clip(record.Author), Note: clip(record.Note),
 		Published: record.Published, Digest: xxhash.Sum64(record.CSV),
@@ -163,13 +163,13 @@
 	return strings.ToValidUTF8(text[:maximumText], "") + "…"
 }
 
-func (l *Ledger) accept(parsed *Table, entry Entry, csv []byte) {
+func (l *VersionLog) accept(parsed *Table, entry Entry, csv []byte) {
 	parsed.Version, parsed.Base, parsed.ID = entry.Version, entry.Base, entry.ID
 	parsed.Author, parsed.Note, parsed.Published = entry.Author, entry.Note, entry.Published
 	l.current, l.csv = parsed, bytes.Clone(csv)
 }
 
-func (l *Ledger) remember(entry Entry) {
+func (l *VersionLog) remember(entry Entry) {
 	l.history = append(l.history, entry)
 	if len(l.history) > historyLength {
 		l.history = append([]Entry(nil), l.history[1:]...)
@@ -177,7 +177,7 @@
 }
 
 // Encode appends the ledger's whole state, for a node that is behind.
-func (l *Ledger) Encode(e *wire.Encoder) {
+func (l *VersionLog) Encode(e *wire.Encoder) {
 	e.Uint64(uint64(l.next))
 	e.Uint64(uint64(l.summarized))
 	e.Blob(l.csv)
@@ -191,7 +191,7 @@
 	}
 }
 
-func (l *Ledger) currentEntry() Entry {
+func (l *VersionLog) currentEntry() Entry {
 	t := l.current
 	return Entry{
 		ID: t.ID, Base: t.Base, Author: t.Author, Note: t.Note, Published: t.Published,
@@ -202,9 +202,9 @@
 // smallestEntry is the least number of bytes of an encoded entry.
 const smallestEntry = 64
 
-// DecodeLedger reads what Encode wrote.
-func DecodeLedger(d *wire.Decoder) (*Ledger, error) {
-	l := &Ledger{next: siteservices.Offset(d.Uint64()), summarized: siteservices.Offset(d.Uint64())}
+// DecodeVersionLog reads what Encode wrote.
+func DecodeVersionLog(d *wire.Decoder) (*VersionLog, error) {
+	l := &VersionLog{next: siteservices.Offset(d.Uint64()), summarized: siteservices.Offset(d.Uint64())}
 	csv := d.Blob()
 	if d.Bool() {
 		entry := decodeEntry(d)
@@ -245,7 +245,7 @@
 }
 
 // Clone returns a copy that later folds of l do not change.
-func (l *Ledger) Clone() *Ledger {
+func (l *VersionLog) Clone() *VersionLog {
 	// Tables and texts are replaced whole, never changed in place.
-	return &Ledger{next: l.next, current: l.current, csv: l.csv, history: l.History(), summarized: l.summarized}
+	return &VersionLog{next: l.next, current: l.current, csv: l.csv, history: l.History(), summarized: l.summarized}
 }
--- a/internal/table/ledger_test.go
+++ b/internal/table/ledger_test.go
@@ -44,16 +44,16 @@
 	return stream
 }
 
-func fold(t interface{ Fatal(...any) }, ledger *table.Ledger, stream [][]byte) {
+func fold(t interface{ Fatal(...any) }, ledger *table.VersionLog, stream [][]byte) {
 	for _, raw := range stream {
-		if err := ledger.Fold(raw); err != nil {
+		if err := ledger.Apply(raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 // encoded is a ledger's whole state.
-func encoded(ledger *table.Ledger) []byte {
+func encoded(ledger *table.VersionLog) []byte {
 	var e wire.Encoder
 	ledger.Encode(&e)
 	return e.Bytes()
@@ -64,7 +64,7 @@
 func TestFirstValidOnTheCurrentBaseWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stream := drawStream(t)
-		ledger := table.NewLedger()
+		ledger := table.NewVersionLog()
 		version, seen, winners := table.Version(0), map[string]bool{}, map[table.Version]string{}
 		for _, raw := range stream {
 			fold(t, ledger, [][]byte{raw})
@@ -85,7 +85,7 @@
 			if won != (winners[entry.Version] == entry.ID) {
 				t.Fatalf("%s told %s with version %d, winners %v", entry.ID, entry.Status, entry.Version, winners)
 			}
-			if winner, found := ledger.Winner(entry.Base); entry.Status == table.Lost && (!found || winner.Version != entry.Version) {
+			if winner, found := ledger.AcceptedOn(entry.Base); entry.Status == table.Lost && (!found || winner.Version != entry.Version) {
 				t.Fatalf("%s lost to version %d, the winner is %+v", entry.ID, entry.Version, winner)
 			}
 		}
@@ -94,12 +94,12 @@
 
 func TestLedgerTakenOverMidwayAgrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		stream := append([][]byte{table.NewLedger().Summary()}, drawStream(t)...)
+		stream := append([][]byte{table.NewVersionLog().Snapshot()}, drawStream(t)...)
 		cut := rapid.IntRange(0, len(stream)).Draw(t, "cut")
-		direct, first := table.NewLedger(), table.NewLedger()
+		direct, first := table.NewVersionLog(), table.NewVersionLog()
 		fold(t, direct, stream)
 		fold(t, first, stream[:cut])
-		second, err := table.DecodeLedger(wire.NewDecoder(encoded(first)))
+		second, err := table.DecodeVersionLog(wire.NewDecoder(encoded(first)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,15 +120,15 @@
 			known := rapid.IntRange(0, len(stream)).Draw(t, "known")
 			at := rapid.IntRange(max(known, last), len(stream)).Draw(t, "at")
 			last = at + 1
-			writer := table.NewLedger()
+			writer := table.NewVersionLog()
 			fold(t, writer, stream[:known])
-			stream = slices.Insert(stream, at, writer.Summary())
+			stream = slices.Insert(stream, at, writer.Snapshot())
 		}
-		direct := table.NewLedger()
+		direct := table.NewVersionLog()
 		fold(t, direct, stream)
 		summaries := 0
 		for offset, raw := range stream {
-			started, err := table.FromSummary(siteservices.Offset(offset), raw)
+			started, err := table.DecodeSnapshot(siteservices.Offset(offset), raw)
 			if err != nil {
 				continue
 			}
@@ -146,16 +146,16 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
-	ledger := table.NewLedger()
+	ledger := table.NewVersionLog()
 	for i := range 400 {
 		record := table.Record{ID: fmt.Sprint(i), Base: table.Version(i), CSV: []byte(plain), Note: strings.Repeat("x", 5000)}
-		is.NoErr(ledger.Fold(record.Encode()))
+		is.NoErr(ledger.Apply(record.Encode()))
 	}
 	is.Equal(ledger.Version(), table.Version(400))
 	is.Equal(len(ledger.History()), 256)
 	is.True(len(ledger.History()[0].Note) < 2100)
 	again := table.Record{ID: "0", Base: 0, CSV: []byte(plain)}
-	is.NoErr(ledger.Fold(again.Encode())) // forgotten, and harmless all the same
+	is.NoErr(ledger.Apply(again.Encode())) // forgotten, and harmless all the same
 	is.Equal(ledger.Version(), table.Version(400))
 }
 
@@ -163,7 +163,7 @@
 	is := is.New(t)
 	raw := table.Record{ID: "a", CSV: []byte(plain)}.Encode()
 	raw[5]++
-	ledger := table.NewLedger()
-	is.True(errors.Is(ledger.Fold(raw), table.ErrNewerFormat))
+	ledger := table.NewVersionLog()
+	is.True(errors.Is(ledger.Apply(raw), table.ErrNewerFormat))
 	is.Equal(int(ledger.Next()), 0)
 }
--- a/internal/table/summary.go
+++ b/internal/table/summary.go
@@ -8,10 +8,10 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// SummaryInterval is the number of records after which the stream wants a new
+// SnapshotInterval is the number of records after which the stream wants a new
 // summary: a record that holds a whole ledger, so that a site that starts cold
 // need not read the stream from its beginning.
-const SummaryInterval = 256
+const SnapshotInterval = 256
 
 // summaryMagic starts every summary, summaryFormat says how the rest is laid out.
 const (
@@ -19,13 +19,13 @@
 	summaryFormat uint16 = 1
 )
 
-// SummaryDue tells that the stream has grown by SummaryInterval since its last
+// SnapshotDue tells that the stream has grown by SummaryInterval since its last
 // summary, as far as the ledger has folded it.
-func (l *Ledger) SummaryDue() bool { return l.next >= l.summarized+SummaryInterval }
+func (l *VersionLog) SnapshotDue() bool { return l.next >= l.summarized+SnapshotInterval }
 
-// Summary returns the record that sums up what the ledger has folded. It may
+// Snapshot returns the record that sums up what the ledger has folded. It may
 // stand anywhere behind, and more than once: it is no publication.
-func (l *Ledger) Summary() []byte {
+func (l *VersionLog) Snapshot() []byte {
 	e := wire.NewEncoder(nil)
 	e.Uint32(summaryMagic)
 	e.Uint16(summaryFormat)
@@ -37,14 +37,14 @@
 	return len(raw) >= 4 && binary.BigEndian.Uint32(raw) == summaryMagic
 }
 
-// FromSummary returns the ledger of the record at offset if that is a summary
+// DecodeSnapshot returns the ledger of the record at offset if that is a summary
 // which this release understands, or ErrNotRecord.
-func FromSummary(offset siteservices.Offset, raw []byte) (*Ledger, error) {
+func DecodeSnapshot(offset siteservices.Offset, raw []byte) (*VersionLog, error) {
 	d := wire.NewDecoder(raw)
 	if d.Uint32() != summaryMagic || d.Uint16() != summaryFormat {
 		return nil, ErrNotRecord
 	}
-	l, err := DecodeLedger(d)
+	l, err := DecodeVersionLog(d)
 	if err != nil {
 		return nil, err
 	}
--- a/test/simulation/table_test.go
+++ b/test/simulation/table_test.go
@@ -109,10 +109,10 @@
 // checkTable compares what operators were told with the log, and the versions in
 // force with the newest accepted one.
 func (s *site) checkTable(made []publication) []violation {
-	truth := table.NewLedger()
+	truth := table.NewVersionLog()
 	accepted := map[string]table.Entry{}
 	for _, record := range s.Log.Records(table.Stream) {
-		_ = truth.Fold(record) // what is damaged or lost the race is in the history
+		_ = truth.Apply(record) // what is damaged or lost the race is in the history
 	}
 	for _, entry := range truth.History() {
 		if entry.Status == table.Accepted {
@@ -122,7 +122,7 @@
 	var violations []violation
 	for _, one := range made {
 		entry, won := accepted[one.id]
-		var lost *tables.LostError
+		var lost *tables.ConflictError
 		switch {
 		case one.err == nil && (!won || entry.Version != one.entry.Version):
 			violations = append(violations, violation{pointRaces, fmt.Sprintf("%s was told version %d and the log says %v", one.id, one.entry.Version, entry)})
