--- a/internal/keeper/book.go
+++ b/internal/aggregator/book.go
@@ -1,4 +1,4 @@
-// Package keeper lets the nodes of a site know nearly exactly what is under way at a
+// Package aggregator lets the nodes of a site know nearly exactly what is under way at a
 // replica. For every replica one node, its keeper, adds up what all nodes report of
 // it at once when something changes, and models what its prompt memory holds. A node
 // that has to choose asks the keepers of a few replicas.
@@ -8,7 +8,7 @@
 // nodes that both take themselves for a keeper break nothing; and since a report
 // holds totals, not changes, a count is right again with the next report that
 // arrives. Book, Memory and the messages do no I/O and read no clock.
-package keeper
+package aggregator
 
 import (
 	"net/netip"
--- a/internal/homes/main_test.go
+++ b/internal/aggregator/main_test.go
@@ -1,4 +1,4 @@
-package homes
+package aggregator
 
 import (
 	"testing"
--- a/internal/keeper/memory.go
+++ b/internal/aggregator/memory.go
@@ -1,4 +1,4 @@
-package keeper
+package aggregator
 
 // maxHeldParts bounds the parts that are modelled of one replica.
 const maxHeldParts = 4096
--- a/internal/keeper/outcome_message.go
+++ b/internal/aggregator/outcome_message.go
@@ -1,4 +1,4 @@
-package keeper
+package aggregator
 
 import (
 	"encoding/binary"
--- a/internal/homes/homes.go
+++ b/internal/coordinator/coordinator.go
@@ -1,9 +1,9 @@
-// Package homes sends each program's ledger work to one node, the home of the
+// Package coordinator sends each program's ledger work to one node, the home of the
 // program's partition, which keeps the sums in memory and so needs few calls of
 // the store. A home is a hint: any node can do the work itself, through the log,
 // when the home doesn't answer, and nothing is wrong if two nodes hold themselves
 // for the home.
-package homes
+package coordinator
 
 import (
 	"context"
--- a/internal/homes/texts.go
+++ b/internal/coordinator/texts.go
@@ -1,4 +1,4 @@
-package homes
+package coordinator
 
 import (
 	"context"
--- a/internal/distribution/site_test.go
+++ b/internal/distribution/site_test.go
@@ -16,10 +16,10 @@
 	"github.com/matryer/is"
 
 	"stepseam.example/stepseam/internal/emulator/store"
-	"stepseam.example/stepseam/internal/follow"
 	"stepseam.example/stepseam/internal/logstore"
 	"stepseam.example/stepseam/internal/membership"
 	"stepseam.example/stepseam/internal/peer"
+	"stepseam.example/stepseam/internal/watch"
 )
 
 // The sites below are nodes in virtual time before one stand-in store, with ways of a
@@ -173,7 +173,7 @@
 	n.end = cancel
 	n.mutex.Unlock()
 	topic, service := n.topic, n.service
-	follower := follow.New(follow.Config{
+	follower := watch.New(watch.Config{
 		Name: "replicas", Store: countedReads{n.site.log, n}, Partition: replicas,
 		Pause: func() time.Duration { return 250 * time.Millisecond }, Wait: func() time.Duration { return 250 * time.Millisecond },
 		OnSnapshot:  topic.Replace,
--- a/internal/gatedstore/store.go
+++ b/internal/guardedstore/store.go
@@ -1,6 +1,6 @@
-// Package gatedstore is a store whose calls go through the circuit breakers of package
+// Package guardedstore is a store whose calls go through the circuit breakers of package
 // storegate, which see how all of them end.
-package gatedstore
+package guardedstore
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"stepseam.example/stepseam/internal/logstore"
-	"stepseam.example/stepseam/internal/storegate"
+	"stepseam.example/stepseam/internal/storebreaker"
 )
 
 // ErrCircuitOpen tells that a call was not made, since the store has not answered this node, or no
@@ -41,7 +41,7 @@
 
 	// mutex guards all below.
 	mutex sync.Mutex
-	gate  *storegate.Breaker
+	gate  *storebreaker.Breaker
 	// members returns how many nodes are known.
 	members func() int
 	// regained is closed and replaced when calls are let out again, changed also when
@@ -58,7 +58,7 @@
 // New returns a store of which nothing is known yet.
 func New(config Config) *Store {
 	made := &Store{
-		config: config, began: time.Now(), gate: storegate.New(config.CallsPerSecond),
+		config: config, began: time.Now(), gate: storebreaker.New(config.CallsPerSecond),
 		members: func() int { return 1 }, regained: make(chan struct{}), changed: make(chan struct{}),
 	}
 	made.metrics = newMetrics(made, config.Registerer)
@@ -73,8 +73,8 @@
 }
 
 // situation needs the mutex.
-func (s *Store) situation() storegate.Conditions {
-	return storegate.Conditions{Now: time.Since(s.began), Nodes: s.members(), Random: rand.Float64()}
+func (s *Store) situation() storebreaker.Conditions {
+	return storebreaker.Conditions{Now: time.Since(s.began), Nodes: s.members(), Random: rand.Float64()}
 }
 
 // NodeAvailable tells whether the store answers this node, as far as is known.
@@ -131,7 +131,7 @@
 	return fmt.Errorf("gatedstore: partition %d of %s: %w", place.Number, place.Topic, ctx.Err())
 }
 
-func (s *Store) ask(place logstore.Partition, waits bool) (storegate.Decision, <-chan struct{}) {
+func (s *Store) ask(place logstore.Partition, waits bool) (storebreaker.Decision, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	situation := s.situation()
@@ -200,7 +200,7 @@
 }
 
 // tell logs what has changed. It needs the mutex.
-func (s *Store) tell(situation storegate.Conditions) {
+func (s *Store) tell(situation storebreaker.Conditions) {
 	nodeAway, away := !s.gate.NodeAnswered(situation), s.gate.OpenPartitions(situation)
 	if nodeAway == s.nodeAway && (nodeAway || (away > 0) == s.partAway) {
 		return
--- a/internal/gatedstore/store_test.go
+++ b/internal/guardedstore/store_test.go
@@ -1,4 +1,4 @@
-package gatedstore
+package guardedstore
 
 import (
 	"context"
--- a/internal/ledgerlog/outage_test.go
+++ b/internal/ledgerlog/outage_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 
 	"stepseam.example/stepseam/internal/emulator/store"
-	"stepseam.example/stepseam/internal/gatedstore"
+	"stepseam.example/stepseam/internal/guardedstore"
 	"stepseam.example/stepseam/internal/ledger"
 	"stepseam.example/stepseam/internal/logstore"
 )
@@ -31,7 +31,7 @@
 func newGatedLedger(log logstore.Store, name string) *Ledger { return gatedLedger(log, name, 3) }
 
 func gatedLedger(log logstore.Store, name string, partitions int) *Ledger {
-	gated := gatedstore.New(gatedstore.Config{Store: log, Logger: slog.New(slog.DiscardHandler)})
+	gated := guardedstore.New(guardedstore.Config{Store: log, Logger: slog.New(slog.DiscardHandler)})
 	return New(Config{
 		Store: gated, Availability: gated, Topic: "ledger", TextTopic: "texts", Partitions: partitions, Producer: name,
 		RecordBytes: 64, CallBytes: 1 << 20, CacheBytes: 1 << 10, Logger: slog.New(slog.DiscardHandler),
--- a/internal/routednode/ejected.go
+++ b/internal/routednode/ejected.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"stepseam.example/stepseam/internal/keeper"
+	"stepseam.example/stepseam/internal/aggregator"
 )
 
 // ejectedReplicas describes the gauge of the replicas that nodes leave alone.
@@ -15,7 +15,7 @@
 
 // ejectedCollector shows what a book holds as ejected.
 type ejectedCollector struct {
-	book *keeper.Aggregates
+	book *aggregator.Aggregates
 	now  clock
 }
 
--- a/internal/routednode/ejected_test.go
+++ b/internal/routednode/ejected_test.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/testutil"
 
-	"stepseam.example/stepseam/internal/keeper"
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/outlier"
 )
 
@@ -21,12 +21,12 @@
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
 	now := func() time.Duration { return time.Second }
-	exchange := keeper.New(keeper.Config{Conn: conn, Placement: keeper.NewPlacement("n"), Now: now, Observer: newKeeperMetrics(prometheus.NewRegistry())})
+	exchange := aggregator.New(aggregator.Config{Conn: conn, Placement: aggregator.NewPlacement("n"), Now: now, Observer: newKeeperMetrics(prometheus.NewRegistry())})
 	shown := &ejectedCollector{book: exchange.Aggregates(), now: now}
 	is.Equal(testutil.CollectAndCount(shown), 0)
 	for _, replica := range []string{"a", "b"} {
 		for range 3 {
-			exchange.ReportOutcome(keeper.Replica{Instance: replica}, outlier.NoResponse, 0)
+			exchange.ReportOutcome(aggregator.Replica{Instance: replica}, outlier.NoResponse, 0)
 		}
 	}
 	is.NoErr(testutil.CollectAndCompare(shown, strings.NewReader(`
--- a/internal/routednode/followers.go
+++ b/internal/routednode/followers.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"stepseam.example/stepseam/internal/distribution"
-	"stepseam.example/stepseam/internal/follow"
-	"stepseam.example/stepseam/internal/gatedstore"
+	"stepseam.example/stepseam/internal/guardedstore"
 	"stepseam.example/stepseam/internal/logstore"
 	"stepseam.example/stepseam/internal/settings"
+	"stepseam.example/stepseam/internal/watch"
 )
 
 const (
@@ -27,7 +27,7 @@
 // following makes the followers of the store's topics.
 type following struct {
 	views  *views
-	store  *gatedstore.Store
+	store  *guardedstore.Store
 	chosen settings.Routed
 	// topics tells whether this node reads the store; nil where there are no other nodes.
 	topics *distribution.Service
@@ -37,8 +37,8 @@
 }
 
 // configurations follows what operators write.
-func (f *following) configurations() *follow.Watcher {
-	return follow.New(follow.Config{
+func (f *following) configurations() *watch.Watcher {
+	return watch.New(watch.Config{
 		Name: "configuration", Store: f.store, Partition: f.views.adapter.Configuration,
 		Pause: func() time.Duration { return 0 }, Wait: f.configurationWait,
 		OnSnapshot: f.views.replaceOperators,
@@ -51,8 +51,8 @@
 }
 
 // replicas follows the replicas' entries.
-func (f *following) replicas() *follow.Watcher {
-	return follow.New(follow.Config{
+func (f *following) replicas() *watch.Watcher {
+	return watch.New(watch.Config{
 		Name: "replicas", Store: f.store, Partition: f.views.adapter.Replicas,
 		Pause: f.replicasPause, Wait: f.replicasWait,
 		OnSnapshot: f.views.replaceEntries, OnChanges: f.views.changeEntries,
--- a/internal/routednode/followers_test.go
+++ b/internal/routednode/followers_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 
 	"stepseam.example/stepseam/internal/emulator/store"
-	"stepseam.example/stepseam/internal/gatedstore"
+	"stepseam.example/stepseam/internal/guardedstore"
 	"stepseam.example/stepseam/internal/logstore"
 	"stepseam.example/stepseam/internal/settings"
 )
@@ -23,7 +23,7 @@
 		is := is.New(t)
 		const members, calls = 900, 1000 // a probe of each node in 18 s
 		log := store.New()
-		gated := gatedstore.New(gatedstore.Config{Store: log, CallsPerSecond: calls, Logger: slog.New(slog.DiscardHandler)})
+		gated := guardedstore.New(guardedstore.Config{Store: log, CallsPerSecond: calls, Logger: slog.New(slog.DiscardHandler)})
 		gated.SetMembers(func() int { return members })
 		followed := &following{store: gated, members: func() int { return members }}
 		followed.chosen = settings.Routed{}
--- a/internal/routednode/keepers.go
+++ b/internal/routednode/keepers.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/samber/do/v2"
 
-	"stepseam.example/stepseam/internal/keeper"
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/router"
 	"stepseam.example/stepseam/internal/settings"
 )
@@ -24,7 +24,7 @@
 
 // provideKeepers binds the node's address for keepers; it returns nil where there is
 // none, or no other nodes.
-func provideKeepers(injector do.Injector) (*keeper.Service, error) {
+func provideKeepers(injector do.Injector) (*aggregator.Service, error) {
 	chosen := do.MustInvoke[settings.Routed](injector)
 	others, err := do.Invoke[*peers](injector)
 	if err != nil || others == nil || !chosen.Addresses.Keepers.IsValid() {
@@ -34,13 +34,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("routednode: addresses.keepers: %w", err)
 	}
-	placement := keeper.NewPlacement(chosen.Node.Name)
+	placement := aggregator.NewPlacement(chosen.Node.Name)
 	others.onView = append(others.onView, placement.SetView)
 	logger, registry, now := do.MustInvoke[*slog.Logger](injector), do.MustInvoke[*prometheus.Registry](injector), do.MustInvoke[clock](injector)
 	measured := newKeeperMetrics(registry)
-	made := keeper.New(keeper.Config{
+	made := aggregator.New(aggregator.Config{
 		Conn: conn, Placement: placement, Now: now, Observer: measured,
-		OnEjectionChange: func(changed keeper.EjectionChange) { router.LogTransition(logger, changed) },
+		OnEjectionChange: func(changed aggregator.EjectionChange) { router.LogTransition(logger, changed) },
 	})
 	measured.registerKept(registry, made.Aggregates())
 	registry.MustRegister(&ejectedCollector{book: made.Aggregates(), now: now})
@@ -95,7 +95,7 @@
 func (m *keeperMetrics) InvalidDatagram() { m.unreadable.Inc() }
 
 // registerKept adds a gauge of what book holds.
-func (m *keeperMetrics) registerKept(registerer prometheus.Registerer, book *keeper.Aggregates) {
+func (m *keeperMetrics) registerKept(registerer prometheus.Registerer, book *aggregator.Aggregates) {
 	registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "stepseam_replicas_kept", Help: "Replicas on which other nodes report to this node.",
 	}, func() float64 { return float64(book.Len()) }))
--- a/internal/routednode/node.go
+++ b/internal/routednode/node.go
@@ -17,11 +17,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
+	"stepseam.example/stepseam/internal/aggregator"
+	"stepseam.example/stepseam/internal/coordinator"
 	"stepseam.example/stepseam/internal/distribution"
 	"stepseam.example/stepseam/internal/exchange"
-	"stepseam.example/stepseam/internal/follow"
-	"stepseam.example/stepseam/internal/homes"
-	"stepseam.example/stepseam/internal/keeper"
 	"stepseam.example/stepseam/internal/ledgerlog"
 	"stepseam.example/stepseam/internal/limits"
 	"stepseam.example/stepseam/internal/loads"
@@ -29,6 +28,7 @@
 	"stepseam.example/stepseam/internal/quota"
 	"stepseam.example/stepseam/internal/router"
 	"stepseam.example/stepseam/internal/settings"
+	"stepseam.example/stepseam/internal/watch"
 )
 
 const (
@@ -54,7 +54,7 @@
 	router   *router.Router
 	replicas *exchange.Client
 	ledger   *ledgerlog.Ledger
-	homes    *homes.Service
+	homes    *coordinator.Service
 	// peers is nil where the node works alone.
 	peers *peers
 	relay *relay
@@ -63,14 +63,14 @@
 	// loads is nil where nodes don't tell each other what they have under way.
 	loads *loads.Gossiper
 	// keepers is nil where nodes don't ask each other.
-	keepers *keeper.Service
+	keepers *aggregator.Service
 	// distances is nil where nodes don't ask each other.
 	distances *distances
 	limits    *limits.Service
 	cold      *coldReplicas
 	// configurations and entries follow the operators' configuration and the
 	// replicas' entries.
-	configurations, entries *follow.Watcher
+	configurations, entries *watch.Watcher
 	views                   *views
 	connections             *router.Connections
 	store                   logstore.Store
--- a/internal/routednode/providers.go
+++ b/internal/routednode/providers.go
@@ -9,17 +9,17 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/samber/do/v2"
 
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/balance"
 	"stepseam.example/stepseam/internal/coldstart"
+	"stepseam.example/stepseam/internal/coordinator"
 	"stepseam.example/stepseam/internal/distance"
 	"stepseam.example/stepseam/internal/distribution"
 	"stepseam.example/stepseam/internal/evacuation"
 	"stepseam.example/stepseam/internal/exchange"
 	"stepseam.example/stepseam/internal/fleet"
-	"stepseam.example/stepseam/internal/gatedstore"
-	"stepseam.example/stepseam/internal/homes"
+	"stepseam.example/stepseam/internal/guardedstore"
 	"stepseam.example/stepseam/internal/identity"
-	"stepseam.example/stepseam/internal/keeper"
 	"stepseam.example/stepseam/internal/ledgerlog"
 	"stepseam.example/stepseam/internal/limits"
 	"stepseam.example/stepseam/internal/logstore"
@@ -45,7 +45,7 @@
 	do.ProvideValue(injector, balance.NewTracker(string(chosen.Node.Zone)))
 	do.ProvideValue(injector, exchange.NewClient(adapter.Names.Replica))
 	do.ProvideValue(injector, router.NewConnections())
-	store := gatedstore.New(gatedstore.Config{
+	store := guardedstore.New(guardedstore.Config{
 		Store: newCountedStore(adapter.NewStore(chosen.Store), registry), CallsPerSecond: chosen.Store.ReadsPerSecond,
 		Logger: logger, Registerer: registry,
 	})
@@ -81,9 +81,9 @@
 	return ledgerlog.New(ledgerlog.Config{
 		Store: do.MustInvoke[logstore.Store](injector),
 		Topic: adapter.LedgerTopic, TextTopic: adapter.TextTopic, Partitions: chosen.Store.Partitions,
-		Producer:    string(homes.IncarnationOf(do.MustInvoke[identity.Node](injector).Reference())),
+		Producer:    string(coordinator.IncarnationOf(do.MustInvoke[identity.Node](injector).Reference())),
 		RecordBytes: chosen.Store.RecordBytes, CallBytes: chosen.Store.CallBytes, Retain: chosen.Store.Retain(), IndexTextBytes: chosen.Store.IndexTextBytes,
-		Availability: do.MustInvoke[*gatedstore.Store](injector),
+		Availability: do.MustInvoke[*guardedstore.Store](injector),
 		CacheBytes:   chosen.Machine.MemoryMebibytes * mebibyte / cacheShare,
 		Logger:       do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
 	}), nil
@@ -97,14 +97,14 @@
 	return newPeers(chosen, do.MustInvoke[identity.Node](injector), do.MustInvoke[*slog.Logger](injector), do.MustInvoke[*prometheus.Registry](injector))
 }
 
-func provideHomes(injector do.Injector) (*homes.Service, error) {
+func provideHomes(injector do.Injector) (*coordinator.Service, error) {
 	chosen := do.MustInvoke[settings.Routed](injector)
-	config := homes.Config{
+	config := coordinator.Config{
 		Self: chosen.Node.Name, Ledger: do.MustInvoke[*ledgerlog.Ledger](injector),
 		RoundTrip: func(zone identity.Zone) time.Duration {
 			return do.MustInvoke[*distance.Map](injector).PathTo(string(zone)).RoundTrip
 		},
-		StoreAvailable: do.MustInvoke[*gatedstore.Store](injector).NodeAvailable,
+		StoreAvailable: do.MustInvoke[*guardedstore.Store](injector).NodeAvailable,
 		Logger:         do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
 	}
 	others, err := do.Invoke[*peers](injector)
@@ -112,13 +112,13 @@
 		return nil, err
 	}
 	if others == nil {
-		return homes.New(config), nil
+		return coordinator.New(config), nil
 	}
 	config.Peers = others.transport
 	config.Announce = func(changes uint64, everybody bool) {
 		others.runner.BroadcastInfo(changes, chosen.Machine.Thousandths(), everybody)
 	}
-	made := homes.New(config)
+	made := coordinator.New(config)
 	made.Register(others.registry)
 	others.onView = append(others.onView, made.SetView)
 	return made, nil
@@ -147,7 +147,7 @@
 }
 
 func provideRouter(injector do.Injector) (*router.Router, error) {
-	keepers, err := do.Invoke[*keeper.Service](injector)
+	keepers, err := do.Invoke[*aggregator.Service](injector)
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 		Regions:     do.MustInvoke[settings.Routed](injector).Zones,
 		Distances:   do.MustInvoke[*distance.Map](injector),
 		Evacuations: do.MustInvoke[*evacuation.Zones](injector), ColdStart: do.MustInvoke[*coldstart.Limiter](injector),
-		Tracker: do.MustInvoke[*balance.Tracker](injector), Turns: do.MustInvoke[*homes.Service](injector),
+		Tracker: do.MustInvoke[*balance.Tracker](injector), Turns: do.MustInvoke[*coordinator.Service](injector),
 		BufferBytes: int64(do.MustInvoke[settings.Routed](injector).Machine.MemoryMebibytes) * mebibyte / bufferShare,
 		Limits:      do.MustInvoke[*limits.Service](injector),
 		Lease:       do.MustInvoke[settings.Routed](injector).Keys.Lease(), Freshness: fresh,
@@ -215,8 +215,8 @@
 		adapter: do.MustInvoke[Adapter](injector), logger: do.MustInvoke[*slog.Logger](injector),
 		router: do.MustInvoke[*router.Router](injector), replicas: do.MustInvoke[*exchange.Client](injector),
 		ledger: do.MustInvoke[*ledgerlog.Ledger](injector),
-		homes:  do.MustInvoke[*homes.Service](injector), peers: do.MustInvoke[*peers](injector), views: do.MustInvoke[*views](injector),
-		keepers:     do.MustInvoke[*keeper.Service](injector),
+		homes:  do.MustInvoke[*coordinator.Service](injector), peers: do.MustInvoke[*peers](injector), views: do.MustInvoke[*views](injector),
+		keepers:     do.MustInvoke[*aggregator.Service](injector),
 		limits:      do.MustInvoke[*limits.Service](injector),
 		cold:        do.MustInvoke[*coldReplicas](injector),
 		connections: do.MustInvoke[*router.Connections](injector), store: do.MustInvoke[logstore.Store](injector),
@@ -240,7 +240,7 @@
 	if built.peers != nil {
 		built.topics = newTopics(injector, built)
 	}
-	gated := do.MustInvoke[*gatedstore.Store](injector)
+	gated := do.MustInvoke[*guardedstore.Store](injector)
 	members := func() int { return len(built.homes.Addresses()) + 1 }
 	gated.SetMembers(members)
 	followed := &following{views: built.views, store: gated, chosen: chosen, topics: built.topics, readers: reading, members: members}
--- a/internal/routednode/viewcost_test.go
+++ b/internal/routednode/viewcost_test.go
@@ -9,12 +9,12 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/coldstart"
+	"stepseam.example/stepseam/internal/coordinator"
 	"stepseam.example/stepseam/internal/distribution"
 	"stepseam.example/stepseam/internal/emulator/store"
-	"stepseam.example/stepseam/internal/homes"
 	"stepseam.example/stepseam/internal/identity"
-	"stepseam.example/stepseam/internal/keeper"
 	"stepseam.example/stepseam/internal/ledgerlog"
 	"stepseam.example/stepseam/internal/limits"
 	"stepseam.example/stepseam/internal/membership"
@@ -34,8 +34,8 @@
 		logger := slog.New(slog.DiscardHandler)
 		ledger := ledgerlog.New(ledgerlog.Config{Store: store.New(), Topic: "l", TextTopic: "t", Partitions: 24, RecordBytes: 1 << 16, CallBytes: 1 << 20, Logger: logger})
 		parts := map[string]func(membership.View){
-			"homes":     homes.New(homes.Config{Self: "front-zone-0001", Ledger: ledger, Logger: logger}).SetView,
-			"keepers":   keeper.NewPlacement("front-zone-0001").SetView,
+			"homes":     coordinator.New(coordinator.Config{Self: "front-zone-0001", Ledger: ledger, Logger: logger}).SetView,
+			"keepers":   aggregator.NewPlacement("front-zone-0001").SetView,
 			"limits":    limits.New(limits.Config{Self: "front-zone-0001", Strategy: "allocator", Policy: quota.Policy{Window: time.Second}, Now: func() time.Duration { return 0 }, Logger: logger, Registerer: prometheus.NewRegistry()}).SetView,
 			"readers":   (&readers{self: "front-zone-0001"}).SetView,
 			"distances": (&distances{}).setView,
--- a/internal/router/admission.go
+++ b/internal/router/admission.go
@@ -6,10 +6,10 @@
 
 	"github.com/samber/lo"
 
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/balance"
+	"stepseam.example/stepseam/internal/coordinator"
 	"stepseam.example/stepseam/internal/fleet"
-	"stepseam.example/stepseam/internal/homes"
-	"stepseam.example/stepseam/internal/keeper"
 )
 
 // fullComeBack is when a program that was not admitted may try again to begin.
@@ -17,7 +17,7 @@
 
 // admits tells whether a turn may go to the service's engines now. Only the first
 // turn of a program is refused.
-func (r *Router) admits(ctx context.Context, call *call, turn *homes.Turn) bool {
+func (r *Router) admits(ctx context.Context, call *call, turn *coordinator.Turn) bool {
 	if !turn.First || call.service.Slots == 0 {
 		return true
 	}
@@ -34,7 +34,7 @@
 // of some say, drawn in the zones that a call may go to.
 func (r *Router) sampledUtilization(ctx context.Context, call *call) float64 {
 	drawn := r.sample(call)
-	asked := lo.Map(drawn, func(replica fleet.Replica, _ int) keeper.Replica { return kept(replica, call) })
+	asked := lo.Map(drawn, func(replica fleet.Replica, _ int) aggregator.Replica { return kept(replica, call) })
 	underWay, slots := 0, 0
 	states := r.config.Keepers.Query(ctx, asked, nil)
 	for i := range drawn {
--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -5,9 +5,9 @@
 
 	"github.com/samber/lo"
 
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/balance"
 	"stepseam.example/stepseam/internal/fleet"
-	"stepseam.example/stepseam/internal/keeper"
 )
 
 // chosenReplica is where an attempt goes; known is what the replica's keeper has told
@@ -75,19 +75,19 @@
 	if r.config.Keepers == nil || len(candidates) < 2 {
 		return candidates, nil
 	}
-	near, far := balance.SplitByRoundTrip(candidates, float64(keeper.QueryTimeout.Milliseconds()))
+	near, far := balance.SplitByRoundTrip(candidates, float64(aggregator.QueryTimeout.Milliseconds()))
 	if len(near) == 0 {
 		return candidates, nil // no keeper can answer in time
 	}
 	shortlist := shortlisted(near)
-	asked := lo.Map(shortlist, func(candidate balance.Candidate, _ int) keeper.Replica {
+	asked := lo.Map(shortlist, func(candidate balance.Candidate, _ int) aggregator.Replica {
 		return kept(replicas[candidate.Instance], call)
 	})
 	states := r.config.Keepers.Query(ctx, asked, keptParts(call.prompt.Segments))
 	if len(states) == 0 {
 		return candidates, nil
 	}
-	known := lo.MapValues(states, func(state keeper.State, _ string) balance.AggregatedState {
+	known := lo.MapValues(states, func(state aggregator.State, _ string) balance.AggregatedState {
 		return balance.AggregatedState{Load: state.Load, CachedTokens: state.CachedTokens, Complete: state.Complete, Ejected: state.Ejected, Probe: state.Probe}
 	})
 	learned := lo.Map(shortlist, func(candidate balance.Candidate, _ int) balance.Candidate {
@@ -110,13 +110,13 @@
 	r.config.Keepers.Report(kept(replica, call), load, keptParts(parts))
 }
 
-func kept(replica fleet.Replica, call *call) keeper.Replica {
-	return keeper.Replica{Instance: replica.IncarnationID(), Zone: replica.Zone, CapacityTokens: call.service.MemoryTokens}
+func kept(replica fleet.Replica, call *call) aggregator.Replica {
+	return aggregator.Replica{Instance: replica.IncarnationID(), Zone: replica.Zone, CapacityTokens: call.service.MemoryTokens}
 }
 
-func keptParts(parts []balance.Segment) []keeper.Segment {
-	return lo.Map(parts, func(part balance.Segment, _ int) keeper.Segment {
-		return keeper.Segment{ID: uint32(part.ID), Tokens: part.Tokens}
+func keptParts(parts []balance.Segment) []aggregator.Segment {
+	return lo.Map(parts, func(part balance.Segment, _ int) aggregator.Segment {
+		return aggregator.Segment{ID: uint32(part.ID), Tokens: part.Tokens}
 	})
 }
 
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/matryer/is"
 
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/emulator/replica"
 	"stepseam.example/stepseam/internal/identity"
-	"stepseam.example/stepseam/internal/keeper"
 	"stepseam.example/stepseam/internal/lab/loopback"
 	"stepseam.example/stepseam/internal/membership"
 )
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	view := membership.View{}
-	placements := make([]*keeper.Placement, 0, len(routers))
+	placements := make([]*aggregator.Placement, 0, len(routers))
 	for number, router := range routers {
 		address := netip.AddrPortFrom(loopback.Sibling(number), free.Port())
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
@@ -44,9 +44,9 @@
 		view.Members = append(view.Members, membership.Member{
 			Node: identity.Node{Name: name, Zone: "near", PeerAddress: address}, Status: membership.Alive,
 		})
-		placement := keeper.NewPlacement(name)
+		placement := aggregator.NewPlacement(name)
 		placements = append(placements, placement)
-		router.config.Keepers = keeper.New(keeper.Config{
+		router.config.Keepers = aggregator.New(aggregator.Config{
 			Conn: conn, Placement: placement, Now: router.config.Now, Observer: unobserved{},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/router/outcome.go
+++ b/internal/router/outcome.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/balance"
 	"stepseam.example/stepseam/internal/exchange"
 	"stepseam.example/stepseam/internal/fleet"
-	"stepseam.example/stepseam/internal/keeper"
 	"stepseam.example/stepseam/internal/outlier"
 	"stepseam.example/stepseam/internal/routing"
 )
@@ -53,11 +53,11 @@
 		r.config.Keepers.ReportOutcome(kept(replica, call), outcome, judged.BaselineFailureRate)
 		return
 	}
-	LogTransition(r.config.Logger, keeper.EjectionChange{Instance: replica.IncarnationID(), Transition: judged})
+	LogTransition(r.config.Logger, aggregator.EjectionChange{Instance: replica.IncarnationID(), Transition: judged})
 }
 
 // LogTransition writes the line of a replica that is ejected or returns.
-func LogTransition(logger *slog.Logger, changed keeper.EjectionChange) {
+func LogTransition(logger *slog.Logger, changed aggregator.EjectionChange) {
 	name := slog.String("replica", changed.Instance)
 	switch changed.Change {
 	case outlier.NowEjected:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,14 +10,14 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
+	"stepseam.example/stepseam/internal/aggregator"
 	"stepseam.example/stepseam/internal/balance"
 	"stepseam.example/stepseam/internal/coldstart"
+	"stepseam.example/stepseam/internal/coordinator"
 	"stepseam.example/stepseam/internal/distance"
 	"stepseam.example/stepseam/internal/evacuation"
 	"stepseam.example/stepseam/internal/exchange"
 	"stepseam.example/stepseam/internal/fleet"
-	"stepseam.example/stepseam/internal/homes"
-	"stepseam.example/stepseam/internal/keeper"
 	"stepseam.example/stepseam/internal/limits"
 	"stepseam.example/stepseam/internal/residency"
 	"stepseam.example/stepseam/internal/routing"
@@ -30,7 +30,7 @@
 	Replicas *exchange.Client
 	Fleet    *fleet.Directory
 	Tracker  *balance.Tracker
-	Turns    *homes.Service
+	Turns    *coordinator.Service
 	// Regions tell where zones lie; data with homes goes to no zone that is not listed.
 	Regions residency.ZoneRegions
 	// Distances tell how far zones are; nil takes all for near.
@@ -46,7 +46,7 @@
 	// always looks at all. Beyond it a few are gathered.
 	ScanUpTo int
 	// Keepers tell and ask what all nodes have at replicas; nil where nodes don't.
-	Keepers *keeper.Service
+	Keepers *aggregator.Service
 	// Limits keep tenants within their limits; nil where nobody does.
 	Limits *limits.Service
 	// Lease is how old the configuration may be for requests with keys; 0 sets no bound.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -16,11 +16,11 @@
 	"github.com/matryer/is"
 
 	"stepseam.example/stepseam/internal/balance"
+	"stepseam.example/stepseam/internal/coordinator"
 	"stepseam.example/stepseam/internal/emulator/replica"
 	"stepseam.example/stepseam/internal/emulator/store"
 	"stepseam.example/stepseam/internal/exchange"
 	"stepseam.example/stepseam/internal/fleet"
-	"stepseam.example/stepseam/internal/homes"
 	"stepseam.example/stepseam/internal/ledgerlog"
 	"stepseam.example/stepseam/internal/routing"
 )
@@ -78,7 +78,7 @@
 		Names: testNames, Replicas: exchange.NewClient(testNames.Replica), Fleet: h.fleet,
 		Tracker: balance.NewTracker("near"), Random: func() float64 { return 0 }, BufferBytes: 1 << 20, Logger: slog.New(slog.DiscardHandler),
 		Now: monotonic(),
-		Turns: homes.New(homes.Config{
+		Turns: coordinator.New(coordinator.Config{
 			Ledger: ledgerlog.New(ledgerlog.Config{
 				Store: h.log, Topic: "ledger", TextTopic: "texts", Partitions: 2, Producer: name,
 				RecordBytes: 1 << 16, CallBytes: 1 << 20, CacheBytes: 1 << 20, Logger: slog.New(slog.DiscardHandler),
--- a/internal/router/turn.go
+++ b/internal/router/turn.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"stepseam.example/stepseam/internal/balance"
-	"stepseam.example/stepseam/internal/homes"
+	"stepseam.example/stepseam/internal/coordinator"
 	"stepseam.example/stepseam/internal/ledger"
 	"stepseam.example/stepseam/internal/ledgerlog"
 )
@@ -22,16 +22,16 @@
 
 // prepareTurn reserves the budget of a turn and puts its history before its input.
 // If it returns nil, the request has been answered.
-func (r *Router) prepareTurn(ctx context.Context, reply *reply, call *call) *homes.Turn {
+func (r *Router) prepareTurn(ctx context.Context, reply *reply, call *call) *coordinator.Turn {
 	call.inputBytes = len(call.body)
-	request := homes.Request{
+	request := coordinator.Request{
 		Program: call.turn.program, Budgeted: call.turn.budgeted, Budget: call.turn.budget, MaxTurnTokens: call.mostTokens,
 	}
 	if call.route.Retain {
 		request.Previous = call.turn.previous
 	}
 	if !request.Budgeted && request.Previous == "" {
-		return &homes.Turn{}
+		return &coordinator.Turn{}
 	}
 	wait := min(time.Duration(float64(call.left())*ledgerShare), maxLedgerWait)
 	waiting, cancel := context.WithTimeout(ctx, wait)
--- a/internal/storegate/gate.go
+++ b/internal/storebreaker/gate.go
@@ -1,4 +1,4 @@
-// Package storegate decides which of a node's calls of the durable log go out while that
+// Package storebreaker decides which of a node's calls of the durable log go out while that
 // answers none of them, or only those on some partitions: one circuit breaker for the node
 // and one for each partition. While one is open, the calls that it covers are probes, which
 // all nodes together keep within a part of what the store takes.
@@ -6,7 +6,7 @@
 // The load that it answers: a site whose nodes each have something to write to every
 // partition makes tens of thousands of calls in an outage of seconds if each writer repeats
 // on its own, and all of them at once at its end.
-package storegate
+package storebreaker
 
 import (
 	"time"
--- a/internal/storegate/site_test.go
+++ b/internal/storebreaker/site_test.go
@@ -1,4 +1,4 @@
-package storegate
+package storebreaker
 
 import (
 	"math/rand/v2"
--- a/internal/follow/follow.go
+++ b/internal/watch/watch.go
@@ -1,7 +1,7 @@
-// Package follow keeps a node's view of a keyed partition of the store up to
+// Package watch keeps a node's view of a keyed partition of the store up to
 // date: a snapshot first, then the changes, and a snapshot again wherever the
 // changes have a gap.
-package follow
+package watch
 
 import (
 	"context"
--- a/internal/follow/follow_test.go
+++ b/internal/watch/watch_test.go
@@ -1,4 +1,4 @@
-package follow
+package watch
 
 import (
 	"context"
