--- a/internal/scheduling/baseline.go
+++ b/internal/scheduling/baseline.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// RoundRobin takes the eligible back ends in turn. It is a baseline.
+// RoundRobin chooses the eligible back ends in rotation. It is a baseline for
+// comparisons.
 type RoundRobin struct{}
 
 // Name returns round_robin.
 func (RoundRobin) Name() string { return "round_robin" }
 
-// Choose takes the back end whose place follows from call.Turn.
+// Choose returns the eligible back end at index call.DecisionNumber, modulo
+// their number.
 func (RoundRobin) Choose(_ time.Time, call Call, backends []Backend) Decision {
 	eligible := make([]int, 0, len(backends))
 	for i := range backends {
@@ -20,7 +22,7 @@
 		}
 	}
 	if len(eligible) == 0 {
-		return withoutBackend(&call, backends)
+		return noBackendDecision(&call, backends)
 	}
 	chosen := backends[eligible[call.DecisionNumber%uint64(len(eligible))]].Name
 	return Decision{
@@ -31,14 +33,15 @@
 	}
 }
 
-// LeastInFlight takes the back end with the fewest calls, by its lagging report
-// and the calls this node sent since. It is a baseline.
+// LeastInFlight chooses the back end with the fewest calls, counting its last
+// report and the calls that this node has sent since. It is a baseline for
+// comparisons.
 type LeastInFlight struct{}
 
 // Name returns least_in_flight.
 func (LeastInFlight) Name() string { return "least_in_flight" }
 
-// Choose takes the back end with the fewest calls.
+// Choose returns the eligible back end with the fewest calls.
 func (LeastInFlight) Choose(_ time.Time, call Call, backends []Backend) Decision {
 	return choose(&call, backends, inFlight, func(b *Backend) string {
 		return fmt.Sprintf("%d running, %d waiting, %d own since",
@@ -46,23 +49,24 @@
 	})
 }
 
-// inFlight counts the calls that are at a back end as far as this node knows.
+// inFlight returns the number of calls that this node expects at a back end.
 func inFlight(b *Backend) float64 {
 	return float64(b.ReportedRunning + b.ReportedWaiting + b.OwnInFlight)
 }
 
-// PrefixAffinity takes the back end that holds the longest cached prefix of the
-// call, whatever its load, and the one with the fewest calls if none holds any.
-// It is a baseline.
+// PrefixAffinity chooses the back end with the longest cached prefix of the
+// call, regardless of load, and breaks ties by the number of calls. It is a
+// baseline for comparisons.
 type PrefixAffinity struct{}
 
 // Name returns prefix_affinity.
 func (PrefixAffinity) Name() string { return "prefix_affinity" }
 
-// inFlightScale makes the count of calls smaller than any cached token.
+// inFlightScale keeps the number of calls below the weight of one cached token,
+// so that it only breaks ties.
 const inFlightScale = 1e-6
 
-// Choose takes the back end with the longest cached prefix.
+// Choose returns the eligible back end with the longest cached prefix.
 func (PrefixAffinity) Choose(_ time.Time, call Call, backends []Backend) Decision {
 	cost := func(b *Backend) float64 {
 		return inFlight(b)*inFlightScale - float64(b.CachedTokens)
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -8,7 +8,8 @@
 	"stepseam.example/stepseam/internal/scheduling"
 )
 
-// benchmarkBackends is a busy fleet in which one back end holds the prefix.
+// benchmarkBackends returns a busy fleet in which one back end has the prefix
+// cached.
 func benchmarkBackends(count int) []scheduling.Backend {
 	backends := make([]scheduling.Backend, count)
 	for i := range backends {
--- a/internal/scheduling/eligible.go
+++ b/internal/scheduling/eligible.go
@@ -12,19 +12,16 @@
 const MaxCandidates = 4
 
 const (
-	// noBackendRetry is when to come back while no back end can serve a call. A
-	// replacement is announced by the machine list, which lags by seconds.
+	// noBackendRetry is RetryAfter if no back end can serve a call. Replacements
+	// become known through the machine list, which lags by seconds.
 	noBackendRetry = 5 * time.Second
-	// trialRetry is when a held call is looked at again while the only back ends
-	// left are on probation and busy with their trial.
-	trialRetry = 250 * time.Millisecond
+	// probationRetry is when a held call is scheduled again if the only remaining
+	// back ends are on probation and busy with their trial call.
+	probationRetry = 250 * time.Millisecond
 )
 
-// ineligible tells why a back end may not take call; empty if it may.
-//
-// A back end that is leaving, ejected, excluded by an earlier failure, of
-// another service or without the model is never chosen by any policy. One on
-// probation takes a single call at a time.
+// ineligible returns why a back end must not be chosen for call, empty if it may
+// be. All policies obey it. A back end on probation takes one call at a time.
 func ineligible(call *Call, backend *Backend) string {
 	switch {
 	case backend.Leaving:
@@ -44,22 +41,23 @@
 	}
 }
 
-// weighed is a back end with its cost, before the decision is written down.
-type weighed struct {
+// scored is the index of a back end with its cost.
+type scored struct {
 	index int
 	cost  float64
 }
 
-// ranking keeps the MaxCandidates cheapest back ends in order. It allocates nothing.
+// ranking keeps the MaxCandidates cheapest back ends in order of cost. It does
+// not allocate.
 type ranking struct {
-	best  [MaxCandidates]weighed
+	best  [MaxCandidates]scored
 	count int
-	// eligible counts all that were offered.
+	// eligible counts all back ends that were offered.
 	eligible int
 }
 
-// offer takes a back end into the ranking if it is cheap enough. Equal costs
-// keep the order in which they were offered, which makes decisions repeatable.
+// offer inserts a back end if it is among the cheapest. Back ends of equal cost
+// keep the order in which they were offered, which makes decisions deterministic.
 func (r *ranking) offer(index int, cost float64) {
 	r.eligible++
 	if r.count == MaxCandidates && cost >= r.best[r.count-1].cost {
@@ -73,11 +71,11 @@
 		r.best[position] = r.best[position-1]
 		position--
 	}
-	r.best[position] = weighed{index: index, cost: cost}
+	r.best[position] = scored{index: index, cost: cost}
 }
 
 // choose ranks the eligible back ends by cost and returns the decision to run
-// on the cheapest one.
+// the call on the cheapest one.
 func choose(call *Call, backends []Backend, cost func(*Backend) float64, note func(*Backend) string) Decision {
 	var ranked ranking
 	for i := range backends {
@@ -86,7 +84,7 @@
 		}
 	}
 	if ranked.count == 0 {
-		return withoutBackend(call, backends)
+		return noBackendDecision(call, backends)
 	}
 	decision := Decision{Action: Run, Backend: backends[ranked.best[0].index].Name}
 	decision.Candidates = make([]Candidate, ranked.count)
@@ -98,9 +96,10 @@
 	return decision
 }
 
-// withoutBackend is the decision where no back end may take the call: hold it
-// if a trial under way may free one within moments, else refuse.
-func withoutBackend(call *Call, backends []Backend) Decision {
+// noBackendDecision returns the decision if no back end is eligible: hold the
+// call if a back end on probation may become eligible after its trial call, else
+// refuse it.
+func noBackendDecision(call *Call, backends []Backend) Decision {
 	trials := 0
 	reasons := map[string]int{}
 	for i := range backends {
@@ -116,7 +115,7 @@
 	if trials > 0 {
 		return Decision{
 			Action:     Hold,
-			RetryAfter: trialRetry,
+			RetryAfter: probationRetry,
 			Reason:     fmt.Sprintf("waits for the trial of %d back ends on probation", trials),
 		}
 	}
@@ -127,7 +126,7 @@
 	}
 }
 
-// tally writes counted reasons in a fixed order, most frequent first.
+// tally formats counted reasons, most frequent first, ties in alphabetical order.
 func tally(reasons map[string]int) string {
 	type counted struct {
 		reason string
--- a/internal/scheduling/keepwarm_test.go
+++ b/internal/scheduling/eviction_test.go
@@ -10,9 +10,9 @@
 	"stepseam.example/stepseam/internal/scheduling"
 )
 
-// sessions is a history in which half of the pauses end after about a minute and
-// the others are never ended.
-func sessions(history *scheduling.PauseHistory) []time.Duration {
+// recordSessions records pauses that end after about a minute and returns as many
+// that have not ended after two hours.
+func recordSessions(history *scheduling.PauseHistory) []time.Duration {
 	idle := make([]time.Duration, 200)
 	for i := range idle {
 		history.Returned(time.Minute + time.Duration(i%20)*time.Second)
@@ -21,20 +21,20 @@
 	return idle
 }
 
-func TestReturnRatesFallOnceTheUsualPauseIsOver(t *testing.T) {
+func TestReturnRateDropsAfterTypicalPause(t *testing.T) {
 	is := is.New(t)
 	history := &scheduling.PauseHistory{}
-	rates := history.Rates(sessions(history))
+	rates := history.Rates(recordSessions(history))
 	early, known := rates.At(30 * time.Second)
 	is.True(known)
 	late, known := rates.At(10 * time.Minute)
 	is.True(known)
-	is.True(early > 1.0/200) // half of them return within about a minute more
+	is.True(early > 1.0/200) // half of them return within about another minute
 	is.Equal(late, 0.0)
 }
 
-// pausing returns branches of one kind that have paused for as long as each of idle.
-func pausing(kind string, idle []time.Duration) []scheduling.Paused {
+// pausedFor returns branches of one kind, one paused for each duration in idle.
+func pausedFor(kind string, idle []time.Duration) []scheduling.Paused {
 	paused := make([]scheduling.Paused, len(idle))
 	for i, pause := range idle {
 		paused[i] = scheduling.Paused{Program: "away", Kind: kind, IdleSince: epoch.Add(-pause)}
@@ -42,10 +42,10 @@
 	return paused
 }
 
-func TestKeepWarmGivesUpOnlyWhatIsNotExpectedBack(t *testing.T) {
+func TestEvictsOnlyPrefixesNotExpectedToReturn(t *testing.T) {
 	is := is.New(t)
-	book := scheduling.NewPauseHistories()
-	paused := pausing("known", sessions(book.History("known")))
+	histories := scheduling.NewPauseHistories()
+	paused := pausedFor("known", recordSessions(histories.History("known")))
 	paused = append(
 		paused,
 		scheduling.Paused{Program: "early", Kind: "known", Cached: true, IdleSince: epoch.Add(-30 * time.Second)},
@@ -53,32 +53,32 @@
 		scheduling.Paused{Program: "column", Kind: "known", Cached: true, IdleSince: epoch.Add(-10 * time.Minute), KeepWarm: time.Hour},
 		scheduling.Paused{Program: "unknown", Kind: "never seen", Cached: true, IdleSince: epoch.Add(-10 * time.Minute)},
 	)
-	releases := book.SelectEvictions(epoch, paused, scheduling.DefaultBreakEvenInterval)
-	is.Equal(len(releases), 1)
-	is.Equal(string(releases[0].Program), "late")
-	is.True(releases[0].Reason != "")
+	evictions := histories.SelectEvictions(epoch, paused, scheduling.DefaultBreakEvenInterval)
+	is.Equal(len(evictions), 1)
+	is.Equal(string(evictions[0].Program), "late")
+	is.True(evictions[0].Reason != "")
 }
 
-// TestAYoungHistoryGivesNothingUp guards against taking pauses that nobody had
-// the time to end yet for pauses that nobody ends.
-func TestAYoungHistoryGivesNothingUp(t *testing.T) {
+// TestNoEvictionsFromRecentHistory guards against treating pauses that are too
+// recent to have ended as pauses that never end.
+func TestNoEvictionsFromRecentHistory(t *testing.T) {
 	is := is.New(t)
-	book := scheduling.NewPauseHistories()
+	histories := scheduling.NewPauseHistories()
 	for range 500 {
-		book.History("young").Returned(time.Second) // tools, between the calls of one turn
+		histories.History("young").Returned(time.Second) // a tool call within one turn
 	}
 	idle := make([]time.Duration, 100)
 	for i := range idle {
 		idle[i] = 40 * time.Second
 	}
-	paused := pausing("young", idle)
+	paused := pausedFor("young", idle)
 	for i := range paused {
 		paused[i].Cached = true
 	}
-	is.Equal(len(book.SelectEvictions(epoch, paused, scheduling.DefaultBreakEvenInterval)), 0)
+	is.Equal(len(histories.SelectEvictions(epoch, paused, scheduling.DefaultBreakEvenInterval)), 0)
 }
 
-func TestPatienceGrowsAsMemoryIsFree(t *testing.T) {
+func TestBreakEvenIntervalGrowsWithFreeMemory(t *testing.T) {
 	is.New(t).Equal(scheduling.BreakEvenInterval(time.Minute, 0, 1000), 4*time.Minute)
 	is.New(t).Equal(scheduling.BreakEvenInterval(time.Minute, 1000, 1000), time.Minute)
 	rapid.Check(t, func(t *rapid.T) {
@@ -92,20 +92,20 @@
 	})
 }
 
-// TestHealthTrialsOneCallAfterACooldown walks a back end through failure, trial
-// and recovery.
-func TestHealthTrialsOneCallAfterACooldown(t *testing.T) {
+// TestEjectedBackendReturnsThroughProbation covers failure, failed trial and
+// recovery of a back end.
+func TestEjectedBackendReturnsThroughProbation(t *testing.T) {
 	is := is.New(t)
 	record := scheduling.HealthRecord{}
 	record = record.Observe(epoch, false)
-	is.Equal(record.At(epoch).Health, scheduling.Healthy) // one failure may be chance
+	is.Equal(record.At(epoch).Health, scheduling.Healthy) // a single failure does not eject
 	record = record.Observe(epoch, false)
 	is.Equal(record.At(epoch).Health, scheduling.Ejected)
 	first := record.Until.Sub(epoch)
 	is.Equal(record.At(record.Until).Health, scheduling.Probation)
 	record = record.Observe(record.Until, false)
 	is.Equal(record.Health, scheduling.Ejected)
-	is.Equal(record.Until.Sub(epoch.Add(first)), 2*first) // a failed trial: twice as long
+	is.Equal(record.Until.Sub(epoch.Add(first)), 2*first) // a failed trial doubles the cooldown
 	record = record.Observe(record.Until, true)
 	is.Equal(record, scheduling.HealthRecord{})
 }
--- a/internal/scheduling/health.go
+++ b/internal/scheduling/health.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// ejectAfter is how many failures in a row eject a back end.
+	// ejectAfter is the number of consecutive failures that eject a back end.
 	ejectAfter = 2
-	// firstCooldown is how long a first ejection lasts; each one that follows a
-	// failed trial lasts twice as long, up to longestCooldown.
-	firstCooldown   = 2 * time.Second
-	longestCooldown = 30 * time.Second
+	// initialCooldown is the duration of the first ejection; it doubles with each
+	// failed trial, up to maxCooldown.
+	initialCooldown = 2 * time.Second
+	maxCooldown     = 30 * time.Second
 )
 
-// HealthRecord is what this node knows of the health of one back end. The zero
-// value is a healthy one. It is a value: Observe and At return the next record.
+// HealthRecord is this node's health state of one back end. The zero value is
+// healthy. It is immutable: Observe and At return a new record.
 type HealthRecord struct {
 	Health Health
-	// Failures counts failures in a row, Ejections ejections in a row.
+	// Failures counts consecutive failures, Ejections consecutive ejections.
 	Failures  int
 	Ejections int
-	// Until is when an ejection ends and a trial may begin.
+	// Until is when an ejection ends and probation begins.
 	Until time.Time
 }
 
-// At returns the record as of now: an ejection that is over becomes probation.
+// At returns the record as of now: an expired ejection becomes probation.
 func (r HealthRecord) At(now time.Time) HealthRecord {
 	if r.Health == Ejected && !now.Before(r.Until) {
 		r.Health = Probation
@@ -30,15 +30,15 @@
 	return r
 }
 
-// Observe returns the record after a call ended at the back end. Only failures
-// of the back end count: not a refusal because it is leaving, nor a caller that
-// went away. One answer during probation makes it healthy again, one failure
-// ejects it for twice as long.
+// Observe returns the record after a call ended at the back end. The caller must
+// report only failures of the back end itself, not refusals of a leaving back end
+// and not calls cancelled by their callers. During probation one success makes
+// the back end healthy and one failure ejects it for twice as long.
 func (r HealthRecord) Observe(now time.Time, succeeded bool) HealthRecord {
 	r = r.At(now)
 	if succeeded {
 		if r.Health == Ejected {
-			return r // a call from before the ejection
+			return r // the call began before the ejection
 		}
 		return HealthRecord{}
 	}
@@ -47,7 +47,7 @@
 		return r
 	}
 	r.Health = Ejected
-	r.Until = now.Add(min(firstCooldown<<min(r.Ejections, 8), longestCooldown))
+	r.Until = now.Add(min(initialCooldown<<min(r.Ejections, 8), maxCooldown))
 	r.Ejections++
 	return r
 }
--- a/internal/scheduling/modelplacement/decide.go
+++ b/internal/scheduling/modelplacement/decide.go
@@ -11,12 +11,12 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// planner builds one plan.
+// planner builds one plan from one snapshot.
 type planner struct {
 	snapshot   Snapshot
 	parameters Parameters
 	plan       Plan
-	// busy are engines with an order under way or in the plan.
+	// busy contains the engines with an order in progress or in the plan.
 	busy map[string]bool
 }
 
@@ -30,30 +30,30 @@
 			p.busy[engine.Name] = true
 		}
 	}
-	models := p.byUrgency()
+	models := p.byPressure()
 	for _, model := range models {
-		p.keepMinimum(model)
+		p.ensureMinReplicas(model)
 	}
 	for _, model := range models {
-		p.followDemand(model)
+		p.scaleWithDemand(model)
 		p.placeAdapters(model)
 	}
 	for _, model := range models {
-		p.changeVersion(model)
-		p.takeSurplus(model)
+		p.rollVersion(model)
+		p.unloadSurplus(model)
 	}
 	return p.plan
 }
 
-// byUrgency returns the models that the table asks to place, those with the
-// most weighted demand on each replica first.
-func (p *planner) byUrgency() []table.Model {
+// byPressure returns the models with min_replicas above 0, sorted by weighted
+// demand per replica in descending order.
+func (p *planner) byPressure() []table.Model {
 	var models []table.Model
 	pressure := map[string]float64{}
 	for _, model := range p.snapshot.Models {
 		if model.MinReplicas > 0 {
 			models = append(models, model)
-			replicas := max(1, len(p.holders(subjectOf(model))))
+			replicas := max(1, len(p.loaded(subjectOf(model))))
 			pressure[model.Name] = model.Weight * p.snapshot.ModelDemand[model.Name] / float64(replicas)
 		}
 	}
@@ -63,7 +63,7 @@
 	return models
 }
 
-// subject is a model or an adapter in the version of the table.
+// subject is a model or an adapter at the version that the table requires.
 type subject struct {
 	kind          backend.OrderKind
 	name, version string
@@ -73,6 +73,7 @@
 	return subject{kind: backend.OrderLoadModel, name: model.Name, version: model.Version}
 }
 
+// on returns the version of s that engine has loaded.
 func (s subject) on(engine *Engine) (version string, loaded bool) {
 	if s.kind == backend.OrderLoadAdapter {
 		version, loaded = engine.Adapters[s.name]
@@ -88,25 +89,26 @@
 	})
 }
 
-// holders are the counted engines that have s loaded, in whatever version.
-func (p *planner) holders(s subject) []*Engine {
+// loaded returns the available engines that have s loaded, in any version.
+func (p *planner) loaded(s subject) []*Engine {
 	return p.engines(func(engine *Engine) bool {
 		_, loaded := s.on(engine)
 		return engine.Available && loaded
 	})
 }
 
-// coming counts the counted engines where s is on its way and not there yet,
-// those of the plan included.
-func (p *planner) coming(s subject) int {
+// loading counts the available engines that do not have s yet and on which a
+// load of s is in progress or planned.
+func (p *planner) loading(s subject) int {
 	return len(p.engines(func(engine *Engine) bool {
 		_, loaded := s.on(engine)
 		return engine.Available && !loaded && (s.loadingOn(engine) || p.planned(s, engine))
 	}))
 }
 
-// changing tells that a load of s is under way or planned anywhere.
-func (p *planner) changing(s subject) bool {
+// loadInProgress reports whether a load of s is in progress or planned on any
+// available engine.
+func (p *planner) loadInProgress(s subject) bool {
 	return len(p.engines(func(engine *Engine) bool {
 		return engine.Available && (s.loadingOn(engine) || p.planned(s, engine))
 	})) > 0
@@ -118,19 +120,19 @@
 	})
 }
 
-func (p *planner) engines(fits func(*Engine) bool) []*Engine {
+func (p *planner) engines(matches func(*Engine) bool) []*Engine {
 	var found []*Engine
 	for i := range p.snapshot.Engines {
-		if fits(&p.snapshot.Engines[i]) {
+		if matches(&p.snapshot.Engines[i]) {
 			found = append(found, &p.snapshot.Engines[i])
 		}
 	}
 	return found
 }
 
-func (p *planner) full() bool { return len(p.busy) >= p.parameters.MaxInFlight }
+func (p *planner) atOrderLimit() bool { return len(p.busy) >= p.parameters.MaxInFlight }
 
-func (p *planner) order(engine *Engine, s subject, format string, arguments ...any) {
+func (p *planner) addOrder(engine *Engine, s subject, format string, arguments ...any) {
 	p.busy[engine.Name] = true
 	p.plan.Orders = append(p.plan.Orders, Order{
 		Engine: engine.Name, Kind: s.kind, Subject: s.name, Version: s.version,
@@ -138,28 +140,30 @@
 	})
 }
 
-// free tells that engine may get an order now.
-func (p *planner) free(engine *Engine) bool {
+// assignable reports whether engine may receive an order now.
+func (p *planner) assignable(engine *Engine) bool {
 	return engine.Schedulable && engine.Available && !p.busy[engine.Name]
 }
 
-// keepMinimum loads the model until min_replicas engines have it or will.
-func (p *planner) keepMinimum(model table.Model) {
+// ensureMinReplicas orders loads until min_replicas engines have the model or
+// are loading it.
+func (p *planner) ensureMinReplicas(model table.Model) {
 	s := subjectOf(model)
-	for have := len(p.holders(s)) + p.coming(s); have < model.MinReplicas; have++ {
+	for have := len(p.loaded(s)) + p.loading(s); have < model.MinReplicas; have++ {
 		if !p.load(s, nil, fmt.Sprintf("%d of min_replicas %d", have, model.MinReplicas)) {
 			return
 		}
 	}
 }
 
-// followDemand loads the model on one engine more where the demand on each
-// replica is high and the row states a range.
-func (p *planner) followDemand(model table.Model) {
+// scaleWithDemand loads the model on one more engine if the demand per replica
+// exceeds CallsPerReplica and max_replicas allows it. It adds one replica at a
+// time.
+func (p *planner) scaleWithDemand(model table.Model) {
 	s := subjectOf(model)
 	demand := p.snapshot.ModelDemand[model.Name]
-	have := len(p.holders(s)) + p.coming(s)
-	if have < model.MinReplicas || have >= model.MaxReplicas || p.coming(s) > 0 {
+	have := len(p.loaded(s)) + p.loading(s)
+	if have < model.MinReplicas || have >= model.MaxReplicas || p.loading(s) > 0 {
 		return
 	}
 	if demand > float64(have)*p.parameters.CallsPerReplica {
@@ -167,9 +171,10 @@
 	}
 }
 
-// placeAdapters loads the model's adapters on engines that have the model.
+// placeAdapters loads the model's adapters on engines that have the model, the
+// adapters with the highest weighted demand first.
 func (p *planner) placeAdapters(model table.Model) {
-	onModel := p.holders(subjectOf(model))
+	withModel := p.loaded(subjectOf(model))
 	adapters := slices.Clone(p.snapshot.Adapters)
 	slices.SortFunc(adapters, func(a, b table.Adapter) int {
 		return cmp.Or(cmp.Compare(b.Weight*p.snapshot.AdapterDemand[b.Name], a.Weight*p.snapshot.AdapterDemand[a.Name]),
@@ -181,18 +186,18 @@
 		}
 		s := subject{kind: backend.OrderLoadAdapter, name: adapter.Name, version: adapter.Version}
 		byDemand := int(math.Ceil(p.snapshot.AdapterDemand[adapter.Name] / p.parameters.CallsPerReplica))
-		wanted := min(len(onModel), max(model.MinReplicas, byDemand))
-		for have := p.useful(s, onModel); have < wanted; have++ {
-			if !p.load(s, onModel, fmt.Sprintf("adapter on %d of %d engines with model %s", have, wanted, model.Name)) {
+		wanted := min(len(withModel), max(model.MinReplicas, byDemand))
+		for have := p.countLoadedOrLoading(s, withModel); have < wanted; have++ {
+			if !p.load(s, withModel, fmt.Sprintf("adapter on %d of %d engines with model %s", have, wanted, model.Name)) {
 				break
 			}
 		}
-		p.changeVersionOf(s)
+		p.rollVersionOf(s)
 	}
 }
 
-// useful counts the engines of on that have s or will.
-func (p *planner) useful(s subject, on []*Engine) int {
+// countLoadedOrLoading counts the engines of on that have s or are loading it.
+func (p *planner) countLoadedOrLoading(s subject, on []*Engine) int {
 	count := 0
 	for _, engine := range on {
 		if _, loaded := s.on(engine); loaded || s.loadingOn(engine) || p.planned(s, engine) {
@@ -202,35 +207,37 @@
 	return count
 }
 
-// load orders s on the best engine of among, or of all where among is nil. It
-// returns false where nothing more can be ordered now.
+// load orders a load of s on the best engine of among, or of all engines if
+// among is nil. It returns false if no further order can be given now, and
+// records a shortfall if no engine can take it.
 func (p *planner) load(s subject, among []*Engine, why string) bool {
-	if p.full() {
+	if p.atOrderLimit() {
 		return false
 	}
-	lacking := func(engine *Engine) bool {
+	withoutSubject := func(engine *Engine) bool {
 		_, loaded := s.on(engine)
 		return engine.Available && !loaded && !s.loadingOn(engine) && (among == nil || slices.Contains(among, engine))
 	}
 	candidates := p.engines(func(engine *Engine) bool {
-		return lacking(engine) && p.free(engine) && !engine.Refused[s.name]
+		return withoutSubject(engine) && p.assignable(engine) && !engine.Refused[s.name]
 	})
 	if len(candidates) == 0 {
 		p.plan.Shortfalls = append(p.plan.Shortfalls, fmt.Sprintf("%s: %s, and none of %d engines without it can take an order now",
-			s.name, why, len(p.engines(lacking))))
+			s.name, why, len(p.engines(withoutSubject))))
 		return false
 	}
-	zones := p.zones(s)
+	zones := p.replicasByZone(s)
 	best := slices.MinFunc(candidates, func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(zones[a.Zone], zones[b.Zone]), cmp.Compare(len(a.Models), len(b.Models)),
 			cmp.Compare(a.Load, b.Load), cmp.Compare(a.CacheUsed, b.CacheUsed), cmp.Compare(a.Name, b.Name))
 	})
-	p.order(best, s, "%s; zone %s has %d", why, best.Zone, zones[best.Zone])
+	p.addOrder(best, s, "%s; zone %s has %d", why, best.Zone, zones[best.Zone])
 	return true
 }
 
-// zones counts the replicas of s in each zone, those on their way included.
-func (p *planner) zones(s subject) map[identity.Zone]int {
+// replicasByZone counts the replicas of s in each zone, including those being
+// loaded.
+func (p *planner) replicasByZone(s subject) map[identity.Zone]int {
 	counts := map[identity.Zone]int{}
 	for _, engine := range p.snapshot.Engines {
 		if _, loaded := s.on(&engine); engine.Available && (loaded || s.loadingOn(&engine) || p.planned(s, &engine)) {
@@ -240,22 +247,24 @@
 	return counts
 }
 
-// changeVersion rolls a new version of the model, one engine at a time, once
-// min_replicas engines have it in some version.
-func (p *planner) changeVersion(model table.Model) {
-	if s := subjectOf(model); len(p.holders(s)) >= model.MinReplicas {
-		p.changeVersionOf(s)
+// rollVersion updates the model to the table's version, one engine at a time,
+// once min_replicas engines have it in any version.
+func (p *planner) rollVersion(model table.Model) {
+	if s := subjectOf(model); len(p.loaded(s)) >= model.MinReplicas {
+		p.rollVersionOf(s)
 	}
 }
 
-func (p *planner) changeVersionOf(s subject) {
-	if p.full() || p.changing(s) {
+// rollVersionOf orders a load of the table's version on the least loaded engine
+// that has another version, unless a load of s is already in progress.
+func (p *planner) rollVersionOf(s subject) {
+	if p.atOrderLimit() || p.loadInProgress(s) {
 		return
 	}
-	holders := p.holders(s)
+	holders := p.loaded(s)
 	var old []*Engine
 	for _, engine := range holders {
-		if version, _ := s.on(engine); version != s.version && p.free(engine) && !engine.Refused[s.name] {
+		if version, _ := s.on(engine); version != s.version && p.assignable(engine) && !engine.Refused[s.name] {
 			old = append(old, engine)
 		}
 	}
@@ -266,28 +275,28 @@
 		return cmp.Or(cmp.Compare(a.Load, b.Load), cmp.Compare(a.Name, b.Name))
 	})
 	version, _ := s.on(next)
-	p.order(next, s, "version %s replaces %s; %d other engines go on", s.version, version, len(holders)-1)
+	p.addOrder(next, s, "version %s replaces %s; %d other engines go on", s.version, version, len(holders)-1)
 }
 
-// takeSurplus unloads the model from one quiet engine while more than
+// unloadSurplus unloads the model from one idle engine while more than
 // max_replicas engines have it.
-func (p *planner) takeSurplus(model table.Model) {
+func (p *planner) unloadSurplus(model table.Model) {
 	s := subjectOf(model)
-	holders := p.holders(s)
-	if model.MaxReplicas <= 0 || len(holders) <= max(1, model.MinReplicas, model.MaxReplicas) || p.full() || p.changing(s) {
+	holders := p.loaded(s)
+	if model.MaxReplicas <= 0 || len(holders) <= max(1, model.MinReplicas, model.MaxReplicas) || p.atOrderLimit() || p.loadInProgress(s) {
 		return
 	}
 	unload := subject{kind: backend.OrderUnloadModel, name: model.Name}
-	quiet := slices.DeleteFunc(holders, func(engine *Engine) bool {
-		return !p.free(engine) || engine.Load > 0 || engine.IdleFor < p.parameters.IdleBeforeUnload
+	idle := slices.DeleteFunc(holders, func(engine *Engine) bool {
+		return !p.assignable(engine) || engine.Load > 0 || engine.IdleFor < p.parameters.IdleBeforeUnload
 	})
 	unloading := len(p.engines(func(engine *Engine) bool { return unload.loadingOn(engine) })) > 0
-	if len(quiet) == 0 || unloading {
+	if len(idle) == 0 || unloading {
 		return
 	}
-	zones := p.zones(s)
-	surplus := slices.MinFunc(quiet, func(a, b *Engine) int {
+	zones := p.replicasByZone(s)
+	surplus := slices.MinFunc(idle, func(a, b *Engine) int {
 		return cmp.Or(cmp.Compare(zones[b.Zone], zones[a.Zone]), cmp.Compare(b.Name, a.Name))
 	})
-	p.order(surplus, unload, "more than max_replicas %d have it, and the engine has been quiet for %s", model.MaxReplicas, surplus.IdleFor)
+	p.addOrder(surplus, unload, "more than max_replicas %d have it, and the engine has been quiet for %s", model.MaxReplicas, surplus.IdleFor)
 }
--- a/internal/scheduling/modelplacement/decide_test.go
+++ b/internal/scheduling/modelplacement/decide_test.go
@@ -19,7 +19,7 @@
 	testseed.MainWith(m, map[string]string{"rapid.checks": "2000", "rapid.seed": "20261202", "rapid.nofailfile": "true"})
 }
 
-// drawSnapshot draws a service of up to ten engines, three models and an adapter.
+// drawSnapshot draws a service of up to ten engines, three models and one adapter.
 func drawSnapshot(t *rapid.T) modelplacement.Snapshot {
 	snapshot := modelplacement.Snapshot{ModelDemand: map[string]float64{}, AdapterDemand: map[string]float64{}}
 	for i := range rapid.IntRange(1, 3).Draw(t, "models") {
@@ -69,7 +69,7 @@
 	return count
 }
 
-// finish applies an order that was under way.
+// finish applies the orders in progress at engine.
 func finish(engine *modelplacement.Engine) {
 	for _, order := range engine.Loading {
 		switch order.Kind {
@@ -84,7 +84,7 @@
 	engine.Loading = nil
 }
 
-// checkOrder fails on an order that the plan must not hold.
+// checkOrder fails if the order violates an invariant of plans.
 func checkOrder(t *rapid.T, snapshot modelplacement.Snapshot, order modelplacement.Order) {
 	engine := find(snapshot, order.Engine)
 	if !engine.Schedulable || !engine.Available || len(engine.Loading) > 0 {
@@ -118,14 +118,15 @@
 	}
 }
 
-// TestPlansConvergeWithinBounds lets orders end in a random order and checks each
-// plan on the way, then that a steady snapshot gets no orders and has its minimum.
+// TestPlansConvergeWithinBounds completes orders in a random sequence and checks
+// the invariants of each plan, then that the final snapshot gets no further
+// orders and meets min_replicas.
 func TestPlansConvergeWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot, parameters := drawSnapshot(t), modelplacement.DefaultParameters()
 		for range 300 {
 			plan := modelplacement.Decide(snapshot, parameters)
-			var underWay []*modelplacement.Engine
+			var inProgress []*modelplacement.Engine
 			for _, order := range plan.Orders {
 				checkOrder(t, snapshot, order)
 				engine := find(snapshot, order.Engine)
@@ -133,17 +134,17 @@
 			}
 			for i := range snapshot.Engines {
 				if len(snapshot.Engines[i].Loading) > 0 {
-					underWay = append(underWay, &snapshot.Engines[i])
+					inProgress = append(inProgress, &snapshot.Engines[i])
 				}
 			}
-			if len(underWay) > parameters.MaxInFlight {
-				t.Fatalf("%d orders under way", len(underWay))
+			if len(inProgress) > parameters.MaxInFlight {
+				t.Fatalf("%d orders under way", len(inProgress))
 			}
-			if len(underWay) == 0 {
+			if len(inProgress) == 0 {
 				checkSteady(t, snapshot)
 				return
 			}
-			finish(rapid.SampledFrom(underWay).Draw(t, "ends"))
+			finish(rapid.SampledFrom(inProgress).Draw(t, "ends"))
 		}
 		t.Fatal("the plans do not come to an end")
 	})
@@ -170,7 +171,7 @@
 	}
 }
 
-func TestMinimumSpreadsOverZones(t *testing.T) {
+func TestMinReplicasSpreadOverZones(t *testing.T) {
 	is := is.New(t)
 	snapshot := modelplacement.Snapshot{Models: []table.Model{{Name: "m", Version: "1", MinReplicas: 2, Weight: 1}}}
 	for i, zone := range []identity.Zone{"a", "a", "b", "b"} {
@@ -186,7 +187,7 @@
 	is.Equal(plan.Orders[0].Reason, "1 of min_replicas 2; zone b has 0")
 }
 
-func TestDemandLoadsOneMoreWithinTheRange(t *testing.T) {
+func TestDemandAddsReplicasUpToMaxReplicas(t *testing.T) {
 	for _, one := range []struct {
 		maximum int
 		demand  float64
@@ -204,7 +205,7 @@
 	}
 }
 
-// BenchmarkDecide is one look at the largest service: 600 engines, 28 models.
+// BenchmarkDecide measures one plan for a service of 600 engines and 28 models.
 func BenchmarkDecide(b *testing.B) {
 	snapshot := modelplacement.Snapshot{}
 	for m := range 28 {
--- a/internal/scheduling/order.go
+++ b/internal/scheduling/order.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// priorityStep is how many seconds of age one step of the table's priority is worth.
+	// priorityStep is the score of one step of priority, in seconds of waiting.
 	priorityStep = 10.0
-	// deadlineHorizon is how long before its deadline a call begins to gain urgency.
+	// deadlineHorizon is how long before its deadline a call's score begins to rise.
 	deadlineHorizon = 30 * time.Second
-	// maximumWeight bounds what a weight of the table can do, so that age always
-	// wins in the end.
-	maximumWeight = 100.0
-	// enginePriorityScale makes whole numbers of scores; one step is a second of
-	// age at weight 1.
+	// maxWeight bounds the weight of a class, so that the waiting time eventually
+	// dominates the score.
+	maxWeight = 100.0
+	// enginePriorityScale converts scores to engine priorities; one step is one
+	// second of waiting at weight 1.
 	enginePriorityScale = 1.0
-	// enginePriorityLimit bounds the priority handed to an engine.
+	// enginePriorityLimit bounds the absolute value of an engine's priority.
 	enginePriorityLimit = 1_000_000
 )
 
-// Score says how urgent a call is; higher runs first.
+// Score returns the urgency of a call; calls with a higher score run first.
 //
-// It grows without bound and at least at a fixed rate with the time that the
-// call has waited, while everything else in it is bounded. So whatever comes
-// later, a waiting call is overtaken for a bounded time only: none starves.
+// It grows without bound, and at a minimum rate, with the time that the call has
+// waited, while all other terms are bounded. Therefore later calls can overtake
+// a waiting call for a bounded time only, and no call starves.
 func Score(now time.Time, call *Call) float64 {
-	weight := min(max(call.Weight, 0.1), maximumWeight)
+	weight := min(max(call.Weight, 0.1), maxWeight)
 	waited := max(now.Sub(call.Arrived).Seconds(), 0)
 	score := waited * max(weight, 1)
 	score += priorityStep * float64(clamp(call.Priority, -100, 100))
-	score += underWayBonus(now, call) * weight
+	score += inProgressBonus(now, call) * weight
 	score += urgency(now, call)
 	return score
 }
 
-// underWayBonus favours programs that are under way over new ones, more so the
-// longer they run: the person waits for the whole program.
-func underWayBonus(now time.Time, call *Call) float64 {
+// inProgressBonus prefers running programs over new ones, and older programs over
+// younger ones, since users wait for whole programs.
+func inProgressBonus(now time.Time, call *Call) float64 {
 	if call.CallsSoFar == 0 || call.ProgramStarted.IsZero() {
 		return 0
 	}
@@ -47,7 +47,8 @@
 	return min(5+math.Sqrt(age), 30)
 }
 
-// urgency grows from 0 to priorityStep as the deadline comes near.
+// urgency rises linearly from 0 at deadlineHorizon before the deadline to
+// priorityStep at the deadline.
 func urgency(now time.Time, call *Call) float64 {
 	if call.Deadline.IsZero() {
 		return 0
@@ -60,8 +61,8 @@
 	return priorityStep * (1 - left)
 }
 
-// Rank returns the positions of calls in the order in which they should run,
-// most urgent first. Equal scores go by arrival, then by id.
+// Rank returns the indexes of calls in the order in which they should run, most
+// urgent first. Ties are broken by arrival, then by id.
 func Rank(now time.Time, calls []Call) []int {
 	scores := make([]float64, len(calls))
 	order := make([]int, len(calls))
@@ -88,8 +89,8 @@
 	)
 }
 
-// EnginePriority is the priority handed to an engine with a call, so that the
-// calls of all nodes that wait there run in one order.
+// EnginePriority returns the priority that is sent to an engine with a call, so
+// that waiting calls of all nodes are ordered consistently there.
 func EnginePriority(now time.Time, call *Call) int {
 	return clamp(int(math.Round(Score(now, call)*enginePriorityScale)), -enginePriorityLimit, enginePriorityLimit)
 }
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -70,10 +70,9 @@
 	return call
 }
 
-// TestPoliciesChooseOnlyEligibleBackends checks every policy over any snapshot:
-// a back end that leaves, is ejected, busy on probation, excluded or of the
-// wrong kind is never chosen, a refusal or hold names a time, and the same
-// snapshot gives the same decision.
+// TestPoliciesChooseOnlyEligibleBackends checks for every policy and random input
+// that no ineligible back end is chosen, that refusals and holds have a
+// RetryAfter, and that decisions are deterministic.
 func TestPoliciesChooseOnlyEligibleBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		call, backends := drawCall(t, "p"), drawBackends(t)
@@ -121,43 +120,43 @@
 	}
 }
 
-func TestRoundRobinTakesEachBackendInTurn(t *testing.T) {
+func TestRoundRobinRotatesOverEligibleBackends(t *testing.T) {
 	is := is.New(t)
 	backends := []scheduling.Backend{{Name: "a", ServesModel: true}, {Name: "b", Leaving: true}, {Name: "c", ServesModel: true}}
 	var chosen []string
-	for turn := range uint64(4) {
-		chosen = append(chosen, scheduling.RoundRobin{}.Choose(epoch, scheduling.Call{Model: "m", DecisionNumber: turn}, backends).Backend)
+	for number := range uint64(4) {
+		chosen = append(chosen, scheduling.RoundRobin{}.Choose(epoch, scheduling.Call{Model: "m", DecisionNumber: number}, backends).Backend)
 	}
 	is.Equal(chosen, []string{"a", "c", "a", "c"})
 }
 
-func TestStepseamWeighsCacheAgainstWait(t *testing.T) {
+func TestStepseamTradesCachedPrefixAgainstWait(t *testing.T) {
 	is := is.New(t)
 	call := scheduling.Call{Model: "m", PromptTokens: 8000, LastBackend: "warm"}
 	warm := scheduling.Backend{Name: "warm", ServesModel: true, CachedTokens: 7500, PrefillRate: 4000}
 	cold := scheduling.Backend{Name: "cold", ServesModel: true, PrefillRate: 4000}
 	is.Equal(scheduling.NewStepseam().Choose(epoch, call, []scheduling.Backend{cold, warm}).Backend, "warm")
-	warm.QueuedPrefillTokens = 20_000 // 5 s of waiting against 2 s of prefill
+	warm.QueuedPrefillTokens = 20_000 // 5 s of waiting exceed 2 s of prefill
 	is.Equal(scheduling.NewStepseam().Choose(epoch, call, []scheduling.Backend{cold, warm}).Backend, "cold")
 }
 
-func TestStepseamGivesUpOnlyNewProgramsEarly(t *testing.T) {
+func TestStepseamRefusesOnlyNewProgramsEarly(t *testing.T) {
 	is := is.New(t)
 	backends := []scheduling.Backend{{Name: "busy", ServesModel: true, QueuedPrefillTokens: 80_000, PrefillRate: 4000}}
 	call := scheduling.Call{Model: "m", PromptTokens: 100, Deadline: epoch.Add(10 * time.Second)}
 	refused := scheduling.NewStepseam().Choose(epoch, call, backends)
 	is.Equal(refused.Action, scheduling.Refuse)
-	is.True(refused.RetryAfter > 10*time.Second) // about 20 s of queue less 10 s of patience
+	is.True(refused.RetryAfter > 10*time.Second) // about 20 s of queue, less 10 s until the deadline
 	call.Deadline = time.Time{}
 	refused = scheduling.NewStepseam().Choose(epoch, call, backends)
-	is.Equal(refused.Action, scheduling.Refuse) // no deadline, but the wait is over the limit
+	is.Equal(refused.Action, scheduling.Refuse) // no deadline, but the wait exceeds the limit
 	is.Equal(refused.RetryAfter, 16*time.Second)
 	call.Deadline = epoch.Add(10 * time.Second)
 	call.CallsSoFar = 1
 	is.Equal(scheduling.NewStepseam().Choose(epoch, call, backends).Action, scheduling.Run)
 }
 
-func TestOrderIsAPermutationThatNeverStarves(t *testing.T) {
+func TestRankIsAPermutationWithoutStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		calls := make([]scheduling.Call, rapid.IntRange(0, 12).Draw(t, "calls"))
 		for i := range calls {
@@ -174,8 +173,8 @@
 		if len(order) != len(calls) {
 			t.Fatalf("%d positions for %d calls", len(order), len(calls))
 		}
-		// A call of the least weight that has waited an hour goes before any that
-		// has waited at most ten seconds.
+		// A call of the lowest weight that has waited for an hour precedes any call
+		// that has waited for ten seconds.
 		old := scheduling.Call{Arrived: epoch.Add(-time.Hour), Priority: -5}
 		fresh := drawCall(t, "fresh")
 		fresh.Arrived = epoch.Add(-10 * time.Second)
@@ -185,7 +184,7 @@
 	})
 }
 
-func TestAdmitRefusesWithATimeAndNeverHalfWay(t *testing.T) {
+func TestAdmitNeverRefusesRunningPrograms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		admission := scheduling.Admission{
 			Call:          drawCall(t, "p"),
--- a/internal/scheduling/contract.go
+++ b/internal/scheduling/types.go
@@ -1,7 +1,7 @@
-// Package scheduling decides: which calls to run, hold or refuse, in which
-// order, on which back end, and what cache to keep warm. All of it is pure: a
-// snapshot and the time go in, a decision with its reasons comes out. The
-// daemon, the emulator and the tests run the same code.
+// Package scheduling decides which calls to run, hold or refuse, in which
+// order and on which back end, and which cached prefixes to evict. It has no
+// clock and no side effects: functions map a snapshot and the current time to a
+// decision with its reason, so that the daemon and simulations run the same code.
 package scheduling
 
 import (
@@ -10,10 +10,10 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Health is what trials and failures say of a back end.
+// Health is the state of a back end in outlier ejection.
 type Health uint8
 
-// The healths of back ends.
+// The health states.
 const (
 	Healthy Health = iota
 	// Probation admits one trial call at a time after an ejection.
@@ -21,38 +21,38 @@
 	Ejected
 )
 
-// Backend is one back end in a snapshot.
+// Backend is one back end as this node knows it at the time of a decision.
 type Backend struct {
 	Name    string
 	Zone    identity.Zone
 	Service string
 	Health  Health
 	Leaving bool
-	// ServesModel tells that model and adapter of the call are loaded.
+	// ServesModel is true if the call's model and adapter are loaded.
 	ServesModel bool
-	// ReportedRunning, ReportedWaiting and QueuedPrefillTokens are the lagging
-	// report; ReportAge is its age.
+	// ReportedRunning, ReportedWaiting and QueuedPrefillTokens are from the last
+	// load report, which may be stale; ReportAge is its age.
 	ReportedRunning     int
 	ReportedWaiting     int
 	QueuedPrefillTokens int
 	ReportAge           time.Duration
-	// OwnInFlight counts this node's calls there that the report cannot know yet,
+	// OwnInFlight counts this node's calls there that are newer than the report,
 	// OwnPrefillTokens their uncached prompt tokens.
 	OwnInFlight      int
 	OwnPrefillTokens int
 	// CachedTokens is the expected cached prefix of this call there.
 	CachedTokens int
-	// CacheCapacityTokens and CacheUsedTokens are of the lagging report.
+	// CacheCapacityTokens and CacheUsedTokens are from the last load report.
 	CacheCapacityTokens int
 	CacheUsedTokens     int
-	// PrefillRate and DecodeRate are tokens per second as observed, 0 if unknown.
+	// PrefillRate and DecodeRate are the observed tokens per second, 0 if unknown.
 	PrefillRate float64
 	DecodeRate  float64
 	// Latency is the one-way latency from this node.
 	Latency time.Duration
 }
 
-// Call is one call in a snapshot.
+// Call is one call to be scheduled.
 type Call struct {
 	ID     identity.CallID
 	Tenant string
@@ -62,17 +62,19 @@
 	Service      string
 	PromptTokens int
 	MaxTokens    int
-	// Arrived is when the call came; Deadline when its caller gives up (zero: none).
+	// Arrived is when this node received the call; Deadline is when its caller
+	// gives up, the zero time if it has none.
 	Arrived  time.Time
 	Deadline time.Time
-	// ProgramStarted, ServiceSoFar and CallsSoFar tell the program's progress.
+	// ProgramStarted, ServiceSoFar and CallsSoFar are the program's start, the
+	// time that back ends have spent on it, and the number of its earlier calls.
 	ProgramStarted time.Time
 	ServiceSoFar   time.Duration
 	CallsSoFar     int
-	// Weight and Priority are from the table's row of the class.
+	// Weight and Priority are from the class's row of the table.
 	Weight   float64
 	Priority int
-	// Attempt counts from 0; Excluded are back ends that failed this call.
+	// Attempt counts from 0; Excluded lists the back ends that failed this call.
 	Attempt  int
 	Excluded []string
 	// LastBackend is where the branch's previous call ran.
@@ -92,23 +94,23 @@
 	Refuse
 )
 
-// Decision is what to do with one call, and why.
+// Decision is the outcome of scheduling one call.
 type Decision struct {
 	Action  Action
 	Backend string
 	// Reason is one line for logs and `stepseamctl explain`.
 	Reason string
-	// RetryAfter is when a refused caller should come back, or when a held call
-	// is looked at again.
+	// RetryAfter is when a refused caller should retry, or when a held call is
+	// scheduled again.
 	RetryAfter time.Duration
-	// Priority is handed to the back end with the call; higher runs first there.
+	// Priority is sent to the back end with the call; higher runs first there.
 	Priority int
-	// Candidates are the best back ends weighed, best first, with their cost;
-	// at most MaxCandidates of them.
+	// Candidates lists up to MaxCandidates eligible back ends with their cost,
+	// cheapest first.
 	Candidates []Candidate
 }
 
-// Candidate is one back end that was weighed.
+// Candidate is one back end that was considered.
 type Candidate struct {
 	Backend string
 	// Cost is the expected completion time in seconds; lower is better.
@@ -116,8 +118,8 @@
 	Note string
 }
 
-// Policy picks a back end for a call that is first in line. Implementations are
-// pure and keep no state between calls.
+// Policy chooses a back end for a call. Implementations are stateless and have
+// no side effects.
 type Policy interface {
 	Name() string
 	Choose(now time.Time, call Call, backends []Backend) Decision
