--- a/internal/scheduling/eviction_test.go
+++ b/internal/scheduling/eviction_test.go
@@ -87,7 +87,7 @@
 		more := rapid.IntRange(used, 1000).Draw(t, "more")
 		loose, tight := scheduling.BreakEvenInterval(base, used, 1000), scheduling.BreakEvenInterval(base, more, 1000)
 		if tight > loose || tight < base || loose > 4*base {
-			t.Fatalf("patience %s at %d, %s at %d of 1000 used, base %s", loose, used, tight, more, base)
+			t.Fatalf("break-even interval %s at %d, %s at %d of 1000 used, base %s", loose, used, tight, more, base)
 		}
 	})
 }
--- a/internal/scheduling/modelplacement/decide_test.go
+++ b/internal/scheduling/modelplacement/decide_test.go
@@ -88,7 +88,7 @@
 func checkOrder(t *rapid.T, snapshot modelplacement.Snapshot, order modelplacement.Order) {
 	engine := find(snapshot, order.Engine)
 	if !engine.Schedulable || !engine.Available || len(engine.Loading) > 0 {
-		t.Fatalf("%v goes to an engine that must get none: %+v", order, engine)
+		t.Fatalf("%v goes to an engine that must not receive orders: %+v", order, engine)
 	}
 	for _, model := range snapshot.Models {
 		if order.Subject != model.Name {
@@ -105,15 +105,15 @@
 		}
 		switch {
 		case model.MinReplicas == 0:
-			t.Fatalf("%v touches a row that asks for nothing", order)
+			t.Fatalf("%v concerns a row with min_replicas 0", order)
 		case order.Kind == backend.OrderLoadModel && !loaded && model.MaxReplicas > 0 && have >= model.MaxReplicas:
-			t.Fatalf("%v goes over max_replicas %d", order, model.MaxReplicas)
+			t.Fatalf("%v exceeds max_replicas %d", order, model.MaxReplicas)
 		case order.Kind == backend.OrderLoadModel && loaded && have < model.MinReplicas:
-			t.Fatalf("%v changes a version while %d of %d replicas are there", order, have, model.MinReplicas)
+			t.Fatalf("%v changes a version while only %d of %d replicas are loaded", order, have, model.MinReplicas)
 		case order.Kind == backend.OrderUnloadModel && have-1 < max(1, model.MinReplicas):
 			t.Fatalf("%v leaves %d replicas of %d", order, have-1, model.MinReplicas)
 		case order.Kind == backend.OrderUnloadModel && (engine.Load > 0 || engine.IdleFor < 30*time.Second):
-			t.Fatalf("%v takes a model from an engine with work", order)
+			t.Fatalf("%v unloads a model from an engine that is not idle", order)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 				}
 			}
 			if len(inProgress) > parameters.MaxInFlight {
-				t.Fatalf("%d orders under way", len(inProgress))
+				t.Fatalf("%d orders in progress", len(inProgress))
 			}
 			if len(inProgress) == 0 {
 				checkSteady(t, snapshot)
@@ -146,7 +146,7 @@
 			}
 			finish(rapid.SampledFrom(inProgress).Draw(t, "ends"))
 		}
-		t.Fatal("the plans do not come to an end")
+		t.Fatal("the plans do not converge")
 	})
 }
 
@@ -158,7 +158,7 @@
 		if have := replicas(snapshot, model.Name); have < model.MinReplicas {
 			for _, engine := range snapshot.Engines {
 				if _, loaded := engine.Models[model.Name]; engine.Schedulable && !loaded {
-					t.Fatalf("%s has %d of %d replicas although %s is free", model.Name, have, model.MinReplicas, engine.Name)
+					t.Fatalf("%s has %d of %d replicas although %s could load it", model.Name, have, model.MinReplicas, engine.Name)
 				}
 			}
 			continue
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -79,7 +79,7 @@
 		for _, policy := range policies() {
 			decision := policy.Choose(epoch, call, backends)
 			if fmt.Sprint(decision) != fmt.Sprint(policy.Choose(epoch, call, backends)) {
-				t.Fatalf("%s: two decisions over one snapshot", policy.Name())
+				t.Fatalf("%s: decisions for the same input differ", policy.Name())
 			}
 			if decision.Reason == "" {
 				t.Fatalf("%s: no reason", policy.Name())
@@ -89,7 +89,7 @@
 				checkChosen(t, policy.Name(), call, backends, decision)
 			case scheduling.Hold, scheduling.Refuse:
 				if decision.RetryAfter <= 0 {
-					t.Fatalf("%s: %v without a time to come back", policy.Name(), decision)
+					t.Fatalf("%s: %v without RetryAfter", policy.Name(), decision)
 				}
 			default:
 				t.Fatalf("%s: action %d", policy.Name(), decision.Action)
@@ -111,7 +111,7 @@
 				wrong = wrong || name == backend.Name
 			}
 			if wrong {
-				t.Fatalf("%s: weighed %+v", policy, backend)
+				t.Fatalf("%s: considered ineligible back end %+v", policy, backend)
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 		fresh := drawCall(t, "fresh")
 		fresh.Arrived = epoch.Add(-10 * time.Second)
 		if first := scheduling.Rank(epoch, []scheduling.Call{fresh, old})[0]; first != 1 {
-			t.Fatalf("a call that waited an hour is behind %+v", fresh)
+			t.Fatalf("a call that waited for an hour is ranked after %+v", fresh)
 		}
 	})
 }
@@ -195,14 +195,14 @@
 		admission.TenantRunning = rapid.IntRange(0, admission.ClassRunning).Draw(t, "tenant running")
 		decision := scheduling.Admit(epoch, admission)
 		if admission.Call.CallsSoFar > 0 && decision.Action != scheduling.Run {
-			t.Fatalf("stalled a program under way: %v", decision)
+			t.Fatalf("refused a call of a running program: %v", decision)
 		}
 		if decision.Action == scheduling.Refuse && decision.RetryAfter <= 0 {
-			t.Fatalf("refused without a time: %v", decision)
+			t.Fatalf("refused without RetryAfter: %v", decision)
 		}
 		if admission.MaxConcurrent > 0 && admission.ClassRunning >= admission.MaxConcurrent &&
 			admission.Call.CallsSoFar == 0 && decision.Action != scheduling.Refuse {
-			t.Fatalf("let in over the limit: %v", decision)
+			t.Fatalf("admitted beyond the limit: %v", decision)
 		}
 	})
 }
