--- a/internal/controller/backends/benchmark_test.go
+++ b/internal/controller/backends/benchmark_test.go
@@ -47,8 +47,8 @@
 	return count, err
 }
 
-// BenchmarkLoadReport is one poll over loopback HTTP, client and stand-in
-// together, with the bytes of request and answer.
+// BenchmarkLoadReport measures one poll of an emulated engine over loopback HTTP,
+// client and server together, with the bytes of request and response.
 func BenchmarkLoadReport(b *testing.B) {
 	e, err := engine.New(engine.DefaultParameters("engine-1", "advisor"))
 	if err != nil {
@@ -72,7 +72,7 @@
 	b.ReportMetric(float64(bytes.Load())/float64(b.N), "wirebytes/op")
 }
 
-// BenchmarkObserve is what one answered call costs the controller.
+// BenchmarkObserve measures recording one answered call.
 func BenchmarkObserve(b *testing.B) {
 	board, controller := largeFleet()
 	controller.Reconcile(board.Machines.Load())
@@ -87,7 +87,8 @@
 	}
 }
 
-// BenchmarkReview is one look over 600 back ends; a node makes four a second.
+// BenchmarkReview measures one review of 600 back ends; a node does four per
+// second.
 func BenchmarkReview(b *testing.B) {
 	board, controller := largeFleet()
 	controller.Reconcile(board.Machines.Load())
@@ -97,8 +98,8 @@
 	}
 }
 
-// BenchmarkMemory is the heap that a controller with 600 back ends and a full
-// cache map of 8,192 prefixes holds.
+// BenchmarkMemory measures the heap of a controller with 600 back ends and a full
+// cache map of 8,192 prefixes.
 func BenchmarkMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/internal/controller/backends/cachemap.go
+++ b/internal/controller/backends/cachemap.go
@@ -9,28 +9,29 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// CachedPrefix is one prefix that an engine is believed to hold.
+// CachedPrefix is one prefix that an engine is expected to have cached.
 type CachedPrefix struct {
 	Backend string
 	Tokens  int
 }
 
-// CacheMap is which engine is believed to hold which branch's prefix. It knows
-// the branches whose calls went through this node; the engines' cache events and
-// lists correct it. Events come late and with gaps, so the map may be wrong
-// either way at any time: it may steer a choice and must never decide what is
-// released. One mutex guards it.
+// CacheMap estimates which engines have which branches' prefixes cached. It covers
+// the branches whose calls went through this node and is corrected by the engines'
+// cache events and listings. Events are late and may be lost, so entries may be
+// missing or stale: the map may influence the choice of an engine but must not
+// decide which prefixes are released. It is safe for concurrent use.
 type CacheMap struct {
 	limit int
-	// settle is how long a belief from a call of our own stands against events,
-	// which may be older than it.
-	settle time.Duration
+	// ownEntryGrace is how long an entry recorded by a call of this node takes
+	// precedence over events, which may be older.
+	ownEntryGrace time.Duration
 
+	// mutex guards all below.
 	mutex    sync.Mutex
-	entries  map[holdingKey]*list.Element
+	entries  map[entryKey]*list.Element
 	branches map[branchKey]map[string]struct{}
 	engines  map[string]int
-	// recent orders entries by last belief, the newest in front.
+	// recent orders the entries by the time of recording, the newest in front.
 	recent *list.List
 }
 
@@ -39,49 +40,51 @@
 	branch  identity.BranchID
 }
 
-type holdingKey struct {
+type entryKey struct {
 	backend string
 	branchKey
 }
 
-type holding struct {
-	key      holdingKey
-	tokens   int
-	believed time.Time
+type cacheEntry struct {
+	key        entryKey
+	tokens     int
+	recordedAt time.Time
 }
 
-// NewCacheMap returns an empty map of at most limit prefixes.
-func NewCacheMap(limit int, settle time.Duration) *CacheMap {
+// NewCacheMap returns an empty map that keeps up to limit prefixes and evicts the
+// least recently recorded ones.
+func NewCacheMap(limit int, ownEntryGrace time.Duration) *CacheMap {
 	return &CacheMap{
-		limit: max(limit, 1), settle: settle,
-		entries:  map[holdingKey]*list.Element{},
+		limit: max(limit, 1), ownEntryGrace: ownEntryGrace,
+		entries:  map[entryKey]*list.Element{},
 		branches: map[branchKey]map[string]struct{}{},
 		engines:  map[string]int{},
 		recent:   list.New(),
 	}
 }
 
-// Record notes that a call of our own left tokens at the engine.
+// Record replaces the entry of a branch at an engine after a call of this node
+// left tokens in its cache.
 func (m *CacheMap) Record(now time.Time, engine string, program identity.ProgramID, branch identity.BranchID, tokens int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	key := holdingKey{backend: engine, branchKey: branchKey{program: program, branch: branch}}
-	m.drop(key)
+	key := entryKey{backend: engine, branchKey: branchKey{program: program, branch: branch}}
+	m.remove(key)
 	if tokens <= 0 {
 		return
 	}
-	m.entries[key] = m.recent.PushFront(&holding{key: key, tokens: tokens, believed: now})
+	m.entries[key] = m.recent.PushFront(&cacheEntry{key: key, tokens: tokens, recordedAt: now})
 	if m.branches[key.branchKey] == nil {
 		m.branches[key.branchKey] = map[string]struct{}{}
 	}
 	m.branches[key.branchKey][engine] = struct{}{}
 	m.engines[engine]++
 	if len(m.entries) > m.limit {
-		m.drop(m.recent.Back().Value.(*holding).key)
+		m.remove(m.recent.Back().Value.(*cacheEntry).key)
 	}
 }
 
-func (m *CacheMap) drop(key holdingKey) {
+func (m *CacheMap) remove(key entryKey) {
 	element, found := m.entries[key]
 	if !found {
 		return
@@ -97,91 +100,92 @@
 	}
 }
 
-// correct sets a known prefix to what the engine said, unless our own belief is
-// too recent for that.
-func (m *CacheMap) correct(before time.Time, key holdingKey, tokens int) {
+// correct sets an existing entry to the tokens that the engine reported, unless
+// the entry was recorded after before.
+func (m *CacheMap) correct(before time.Time, key entryKey, tokens int) {
 	element, found := m.entries[key]
-	if !found || element.Value.(*holding).believed.After(before) {
+	if !found || element.Value.(*cacheEntry).recordedAt.After(before) {
 		return
 	}
 	if tokens <= 0 {
-		m.drop(key)
+		m.remove(key)
 		return
 	}
-	element.Value.(*holding).tokens = tokens
+	element.Value.(*cacheEntry).tokens = tokens
 }
 
-// Apply corrects what is believed of an engine by its events, in their order.
+// Apply corrects the entries of an engine by its events, in order.
 func (m *CacheMap) Apply(now time.Time, engine string, events []backend.CacheEvent) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, event := range events {
-		key := holdingKey{backend: engine, branchKey: branchKey{program: event.Prefix.Program, branch: event.Prefix.Branch}}
-		m.correct(now.Add(-m.settle), key, event.Prefix.Tokens)
+		key := entryKey{backend: engine, branchKey: branchKey{program: event.Prefix.Program, branch: event.Prefix.Branch}}
+		m.correct(now.Add(-m.ownEntryGrace), key, event.Prefix.Tokens)
 	}
 }
 
-// Replace corrects what is believed of an engine by the list of all that it
-// held when it was asked, at asked. What it does not list is gone.
-func (m *CacheMap) Replace(asked time.Time, engine string, held []backend.HeldPrefix) {
+// Replace corrects the entries of an engine by a listing of its whole cache that
+// was requested at requestedAt. Entries that are not listed are removed.
+func (m *CacheMap) Replace(requestedAt time.Time, engine string, listed []backend.HeldPrefix) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	tokens := make(map[branchKey]int, len(held))
-	for _, prefix := range held {
+	tokens := make(map[branchKey]int, len(listed))
+	for _, prefix := range listed {
 		tokens[branchKey{program: prefix.Program, branch: prefix.Branch}] = prefix.Tokens
 	}
 	for key := range m.entries {
 		if key.backend == engine {
-			m.correct(asked, key, tokens[key.branchKey])
+			m.correct(requestedAt, key, tokens[key.branchKey])
 		}
 	}
 }
 
-// Forget drops all that is believed of an engine, as after its death.
+// Forget removes all entries of an engine.
 func (m *CacheMap) Forget(engine string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for key := range m.entries {
 		if key.backend == engine {
-			m.drop(key)
+			m.remove(key)
 		}
 	}
 }
 
-// HasEntries tells whether anything is believed of an engine, so that its events matter.
+// HasEntries reports whether the map has entries of an engine. Without any, the
+// engine's events need not be read.
 func (m *CacheMap) HasEntries(engine string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.engines[engine] > 0
 }
 
-// Tokens returns how many tokens of the branch's prefix the engine is believed
-// to hold; 0 also where nothing is known.
+// Tokens returns how many tokens of the branch's prefix the engine is expected to
+// have cached, 0 if there is no entry.
 func (m *CacheMap) Tokens(engine string, program identity.ProgramID, branch identity.BranchID) int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	element, found := m.entries[holdingKey{backend: engine, branchKey: branchKey{program: program, branch: branch}}]
+	element, found := m.entries[entryKey{backend: engine, branchKey: branchKey{program: program, branch: branch}}]
 	if !found {
 		return 0
 	}
-	return element.Value.(*holding).tokens
+	return element.Value.(*cacheEntry).tokens
 }
 
-// Holders returns the engines that are believed to hold the branch's prefix, in
-// no particular order.
+// Holders returns the engines that are expected to have the branch's prefix
+// cached, in no particular order.
 func (m *CacheMap) Holders(program identity.ProgramID, branch identity.BranchID) []CachedPrefix {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	var holdings []CachedPrefix
+	var prefixes []CachedPrefix
 	key := branchKey{program: program, branch: branch}
 	for engine := range m.branches[key] {
-		element := m.entries[holdingKey{backend: engine, branchKey: key}]
-		holdings = append(holdings, CachedPrefix{Backend: engine, Tokens: element.Value.(*holding).tokens})
+		element := m.entries[entryKey{backend: engine, branchKey: key}]
+		prefixes = append(prefixes, CachedPrefix{Backend: engine, Tokens: element.Value.(*cacheEntry).tokens})
 	}
-	return holdings
+	return prefixes
 }
 
-// Len returns the number of prefixes.
+// Len returns the number of entries.
 func (m *CacheMap) Len() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/controller/backends/controller.go
+++ b/internal/controller/backends/controller.go
@@ -1,16 +1,17 @@
-// Package backends watches the back ends: it polls their load, notices those
-// that leave or fail, and keeps the blackboard's Backends in step with the
-// machine list.
+// Package backends monitors the back ends: it polls their load, detects those that
+// leave or fail, and keeps the blackboard's Backends in sync with the machine
+// list.
 //
-// A back end counts as leaving from the first sign on: the machine list, its own
-// report, or a refusal. Its health follows failed polls, failed calls and calls
-// that were far slower than its pool's; an ejected one comes back through a
-// trial. What calls teach (health, rates, held prefixes) comes through Observe,
-// most simply by dispatching through the directory that Observe makes.
+// A back end counts as leaving as soon as the machine list, its own report or a
+// refusal says so. Its health depends on failed polls, failed calls and calls
+// that are much slower than those of its pool; an ejected back end returns through
+// probation. The outcomes of calls (health, rates, cached prefixes) are reported
+// through Controller.Observe, usually by dispatching through
+// Controller.Directory.
 //
 // The board's values may be as old as the poll interval plus the lag of the
-// report; ReportedAt and the report's AsOf tell how old. A back end that this
-// node does not poll stands on the board without a report.
+// report; ReportedAt and the report's AsOf give their age. A back end that this
+// node does not poll is on the board without a report.
 package backends
 
 import (
@@ -44,95 +45,100 @@
 )
 
 const (
-	// pollJitter spreads the polls of many nodes: each interval varies by this share.
+	// pollJitter is the fraction by which each poll interval varies, so that the
+	// polls of many nodes are spread.
 	pollJitter = 0.2
-	// longestPollInterval is how rarely a back end that never answers is polled.
-	longestPollInterval = 4 * time.Second
-	// usedWithin is how long a back end counts as in use after a call; in use, it is
-	// polled also outside this node's share, and more often in a large fleet.
-	usedWithin = 10 * time.Second
-	// reviewInterval is how often pools are compared and ended ejections shown.
+	// maxPollInterval bounds the backoff for a back end that does not answer polls.
+	maxPollInterval = 4 * time.Second
+	// activeWithin is how long a back end counts as in use after a call. Back ends
+	// in use are polled even outside this node's share, and more often than idle
+	// ones in a large fleet.
+	activeWithin = 10 * time.Second
+	// reviewInterval is the time between two reviews.
 	reviewInterval = 250 * time.Millisecond
-	// eventSettle is how long a belief of our own stands against cache events,
-	// resyncInterval how often an engine is asked for its whole list after a gap.
-	eventSettle    = 3 * time.Second
+	// ownEntryGrace is how long cache map entries of this node's calls take
+	// precedence over cache events. resyncInterval is the minimum time between two
+	// listings of an engine's cache.
+	ownEntryGrace  = 3 * time.Second
 	resyncInterval = 10 * time.Second
 )
 
-// Config is what a Controller needs. Node, Board and Directory are required;
-// what is zero takes its default.
+// Config configures a Controller. Node, Board and Directory are required; other
+// zero values take their defaults.
 type Config struct {
 	Node      identity.NodeName
 	Board     *blackboard.Board
 	Directory backend.Directory
-	// PollInterval is the time between two polls of one back end, PollTimeout
-	// bounds each.
+	// PollInterval is the time between two polls of one back end, PollTimeout the
+	// timeout of each.
 	PollInterval time.Duration
 	PollTimeout  time.Duration
-	// PollAll is up to how many back ends every node polls all of them, each at
-	// PollInterval. With more, it polls a share of them with at least PerService of
-	// each service, ShareRate polls a second in all.
+	// PollAll is the fleet size up to which every node polls all back ends, each at
+	// PollInterval. In a larger fleet a node polls a share of the back ends, with at
+	// least PerService of each service and ShareRate polls per second in total.
 	PollAll    int
 	PerService int
 	ShareRate  float64
-	// Concurrency bounds the polls under way.
+	// Concurrency is the maximum number of polls in flight.
 	Concurrency int
-	// LeavingTTL is how long a back end's own word that it leaves stands; it must
-	// be longer than the machine list lags.
+	// LeavingTTL is how long a back end's own signal that it is leaving is valid.
+	// It must exceed the lag of the machine list.
 	LeavingTTL time.Duration
-	// CachePrefixes bounds the cache map.
+	// CachePrefixes is the maximum number of entries in the cache map.
 	CachePrefixes int
-	// Random draws from 0 to 1 for jitter and is safe for concurrent use; nil
-	// leaves jitter out.
+	// Random returns numbers in [0, 1) for jitter and must be safe for concurrent
+	// use; nil disables jitter.
 	Random func() float64
 	Logger *slog.Logger
-	// Registerer takes the metrics; nil keeps none.
+	// Registerer registers the metrics; nil disables them.
 	Registerer prometheus.Registerer
 }
 
-// Controller keeps Board.Backends. Serving may set Leaving there too.
+// Controller maintains Board.Backends. The serving code may set Leaving there
+// too.
 type Controller struct {
 	config  Config
 	metrics *metrics
 	cache   *CacheMap
 	slots   chan struct{}
 
-	// mutex guards all below and what watched points to.
+	// mutex guards all below and the values of states.
 	mutex     sync.Mutex
-	watched   map[string]*watched
+	states    map[string]*backendState
 	byAddress map[netip.AddrPort]string
 	pools     map[string]pool
-	// budget is the polls per second for all, 0 without bound.
-	budget float64
-	pace   pace
-	// region is the one that the share was chosen for.
+	// budget is the number of polls per second over all back ends, 0 is no limit.
+	budget    float64
+	intervals pollIntervals
+	// region is the region for which the share was chosen.
 	region identity.Region
 }
 
-// watched is the controller's own knowledge of one back end.
-type watched struct {
+// backendState is the controller's state of one back end.
+type backendState struct {
 	machine siteservices.Machine
-	// polled tells that the back end is in this node's share.
-	polled   bool
+	// inShare is true if the back end is in this node's poll share.
+	inShare  bool
 	polling  bool
 	nextPoll time.Time
 	lastUsed time.Time
-	// reported is when the last report came.
-	reported time.Time
-	health   health
-	leaving  leaving
-	// published is what the board last got, to tell a mark of serving's from it.
-	published bool
-	latency   average
-	prefill   average
-	decode    average
+	// lastReport is when the last report was received.
+	lastReport time.Time
+	health     health
+	leaving    leavingState
+	// publishedLeaving is the value of Leaving last written to the board, to detect
+	// when the serving code has set it.
+	publishedLeaving bool
+	latency          average
+	prefill          average
+	decode           average
 	// nextEvent is the number of the next cache event, 0 before the first;
-	// resynced is when the engine was last asked for its whole list.
-	nextEvent uint64
-	resynced  time.Time
+	// lastResync is when the engine's cache was last listed.
+	nextEvent  uint64
+	lastResync time.Time
 }
 
-// New returns a controller that Run starts.
+// New returns a controller. Call Run to start it.
 func New(config Config) *Controller {
 	defaults.Set(&config.PollInterval, defaultPollInterval)
 	defaults.Set(&config.PollTimeout, defaultPollTimeout)
@@ -150,21 +156,21 @@
 	}
 	controller := &Controller{
 		config:    config,
-		cache:     NewCacheMap(config.CachePrefixes, eventSettle),
+		cache:     NewCacheMap(config.CachePrefixes, ownEntryGrace),
 		slots:     make(chan struct{}, config.Concurrency),
-		watched:   map[string]*watched{},
+		states:    map[string]*backendState{},
 		byAddress: map[netip.AddrPort]string{},
 		pools:     map[string]pool{},
-		pace:      pace{used: config.PollInterval, idle: config.PollInterval},
+		intervals: pollIntervals{active: config.PollInterval, idle: config.PollInterval},
 	}
 	controller.metrics = newMetrics(config.Registerer, controller)
 	return controller
 }
 
-// CacheMap returns which engine is believed to hold which prefix.
+// CacheMap returns the map of cached prefixes.
 func (c *Controller) CacheMap() *CacheMap { return c.cache }
 
-// Run watches until ctx ends, and waits for its polls.
+// Run polls the back ends until ctx ends and then waits for the polls in flight.
 func (c *Controller) Run(ctx context.Context) {
 	var polls sync.WaitGroup
 	defer polls.Wait()
@@ -190,14 +196,14 @@
 	}
 }
 
-// reconcile takes a new machine list in: new back ends go onto the board, those
-// that are gone leave it, and the share to poll is chosen anew.
+// reconcile applies a new machine list: it adds new back ends to the board,
+// removes those that are no longer listed, and recomputes the poll share.
 func (c *Controller) reconcile(machines []siteservices.Machine) {
 	backEnds := lo.Filter(machines, func(machine siteservices.Machine, _ int) bool {
 		return machine.Role == siteservices.RoleEngine || machine.Role == siteservices.RoleApplication
 	})
 	region := ownRegion(c.config.Board.Members.Load())
-	chosen := share(c.config.Node, region, backEnds, c.config.PollAll, c.config.PerService)
+	chosen := pollShare(c.config.Node, region, backEnds, c.config.PollAll, c.config.PerService)
 	now := time.Now()
 	listed := make(map[string]bool, len(backEnds))
 	c.mutex.Lock()
@@ -209,71 +215,71 @@
 	}
 	for _, machine := range backEnds {
 		listed[machine.Name] = true
-		known, found := c.watched[machine.Name]
-		if found && (known.machine.Address != machine.Address || known.machine.Role != machine.Role) {
-			c.remove(machine.Name, known) // another life under the same name
+		state, found := c.states[machine.Name]
+		if found && (state.machine.Address != machine.Address || state.machine.Role != machine.Role) {
+			c.remove(machine.Name, state) // another incarnation under the same name
 			found = false
 		}
 		if !found {
-			known = &watched{nextPoll: now.Add(c.firstPoll())}
-			c.watched[machine.Name] = known
+			state = &backendState{nextPoll: now.Add(c.firstPollDelay())}
+			c.states[machine.Name] = state
 			c.byAddress[machine.Address] = machine.Name
 		}
-		known.machine = machine
-		known.polled = chosen[machine.Name]
-		known.leaving.listed = machine.State == siteservices.MachineLeaving
-		c.publish(now, known)
+		state.machine = machine
+		state.inShare = chosen[machine.Name]
+		state.leaving.listed = machine.State == siteservices.MachineLeaving
+		c.publish(now, state)
 	}
-	for name, known := range c.watched {
+	for name, state := range c.states {
 		if !listed[name] {
-			c.remove(name, known)
+			c.remove(name, state)
 		}
 	}
 }
 
-// firstPoll spreads the first polls of a large fleet over some seconds, so that
-// they keep to the budget. A small one is polled at once. The mutex is held.
-func (c *Controller) firstPoll() time.Duration {
+// firstPollDelay spreads the first polls of a large fleet so that they stay
+// within the budget; a small fleet is polled at once. The caller holds mutex.
+func (c *Controller) firstPollDelay() time.Duration {
 	if c.budget <= 0 {
 		return 0
 	}
 	return time.Duration(c.config.Random() * float64(perSecond(c.config.PollAll, c.budget)))
 }
 
-func (c *Controller) remove(name string, known *watched) {
-	delete(c.watched, name)
-	if c.byAddress[known.machine.Address] == name {
-		delete(c.byAddress, known.machine.Address)
+func (c *Controller) remove(name string, state *backendState) {
+	delete(c.states, name)
+	if c.byAddress[state.machine.Address] == name {
+		delete(c.byAddress, state.machine.Address)
 	}
 	c.config.Board.Backends.Delete(name)
 	c.cache.Forget(name)
-	c.config.Logger.Info("back end is gone from the machine list", "backend", name, "address", known.machine.Address)
+	c.config.Logger.Info("back end is gone from the machine list", "backend", name, "address", state.machine.Address)
 }
 
-// publish writes what is known of a back end onto the board. The mutex is held.
-func (c *Controller) publish(now time.Time, known *watched) {
-	name := known.machine.Name
-	before := known.published
+// publish writes the state of a back end to the board. The caller holds mutex.
+func (c *Controller) publish(now time.Time, state *backendState) {
+	name := state.machine.Name
+	before := state.publishedLeaving
 	c.config.Board.Backends.Update(name, func(shown blackboard.Backend, found bool) (blackboard.Backend, bool) {
 		if found && shown.Leaving && !before {
-			known.leaving.signed = now // serving was refused
+			state.leaving.signalledAt = now // set by the serving code after a refusal
 		}
 		shown.Name = name
-		shown.Role, shown.Address = known.machine.Role, known.machine.Address
-		shown.Zone, shown.Service = known.machine.Zone, known.machine.Service
-		shown.Leaving = known.leaving.at(now, c.config.LeavingTTL)
-		shown.Health = known.health.at(now)
-		shown.PrefillRate, shown.DecodeRate = known.prefill.value, known.decode.value
-		shown.Latency = time.Duration(known.latency.value * float64(time.Second))
-		known.published = shown.Leaving
+		shown.Role, shown.Address = state.machine.Role, state.machine.Address
+		shown.Zone, shown.Service = state.machine.Zone, state.machine.Service
+		shown.Leaving = state.leaving.at(now, c.config.LeavingTTL)
+		shown.Health = state.health.at(now)
+		shown.PrefillRate, shown.DecodeRate = state.prefill.value, state.decode.value
+		shown.Latency = time.Duration(state.latency.value * float64(time.Second))
+		state.publishedLeaving = shown.Leaving
 		return shown, true
 	})
-	if known.published != before {
-		c.config.Logger.Info("back end leaving changed", "backend", name, "leaving", known.published)
+	if state.publishedLeaving != before {
+		c.config.Logger.Info("back end leaving changed", "backend", name, "leaving", state.publishedLeaving)
 	}
 }
 
-// ownRegion returns the region of the node itself, empty before it is known.
+// ownRegion returns the region of this node, empty if it is not in view yet.
 func ownRegion(view membership.View) identity.Region {
 	for _, member := range view.Members {
 		if member.Node.Reference() == view.Self {
@@ -283,38 +289,40 @@
 	return ""
 }
 
-// review compares the pools, and shows ejections and leavings that ran out. It
-// returns false if the share has to be chosen anew, for another region.
+// review updates the pool statistics and the poll intervals, and publishes
+// ejections and leaving signals that have expired. It returns false if this
+// node's region has changed and the poll share must be recomputed.
 func (c *Controller) review() bool {
 	region := ownRegion(c.config.Board.Members.Load())
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.pools = comparePools(now, c.watched)
-	c.choosePace(now)
-	for _, known := range c.watched {
-		shown, found := c.config.Board.Backends.Load(known.machine.Name)
-		stale := !found || shown.Leaving != known.leaving.at(now, c.config.LeavingTTL) || shown.Health != known.health.at(now)
+	c.pools = comparePools(now, c.states)
+	c.updateIntervals(now)
+	for _, state := range c.states {
+		shown, found := c.config.Board.Backends.Load(state.machine.Name)
+		stale := !found || shown.Leaving != state.leaving.at(now, c.config.LeavingTTL) || shown.Health != state.health.at(now)
 		if stale {
-			c.publish(now, known)
+			c.publish(now, state)
 		}
 	}
 	return region == c.region
 }
 
-// choosePace adapts the polls to how many back ends are in use. The mutex is held.
-func (c *Controller) choosePace(now time.Time) {
-	used, idle := 0, 0
-	for _, known := range c.watched {
+// updateIntervals adapts the poll intervals to the number of back ends in use.
+// The caller holds mutex.
+func (c *Controller) updateIntervals(now time.Time) {
+	active, idle := 0, 0
+	for _, state := range c.states {
 		switch {
-		case known.inUse(now):
-			used++
-		case known.polled:
+		case state.inUse(now):
+			active++
+		case state.inShare:
 			idle++
 		}
 	}
-	c.pace = choosePace(c.config.PollInterval, c.budget, used, idle)
+	c.intervals = chooseIntervals(c.config.PollInterval, c.budget, active, idle)
 }
 
-// inUse tells whether a call went there lately.
-func (w *watched) inUse(now time.Time) bool { return now.Sub(w.lastUsed) < usedWithin }
+// inUse reports whether this node recently sent a call to the back end.
+func (s *backendState) inUse(now time.Time) bool { return now.Sub(s.lastUsed) < activeWithin }
--- a/internal/controller/backends/controller_test.go
+++ b/internal/controller/backends/controller_test.go
@@ -25,10 +25,10 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// listLag is how far the machine list of these tests is behind the truth.
+// listLag is the lag of the machine list in these tests.
 const listLag = 10 * time.Second
 
-// site is a node's watch over in-process back ends.
+// site is a controller with emulated in-process back ends.
 type site struct {
 	engines      map[netip.AddrPort]*engine.Engine
 	applications map[netip.AddrPort]*application.Application
@@ -49,8 +49,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(index)}), 80)
 }
 
-// inBubble runs test beside a controller over three engines and two replicas of
-// an application, in virtual time.
+// inBubble runs test with a controller over three engines and two replicas of an
+// application, in virtual time.
 func inBubble(t *testing.T, test func(t *testing.T, s *site)) {
 	t.Helper()
 	inBubbleWith(t, func(*backends.Config) {}, test)
@@ -101,7 +101,7 @@
 	})
 }
 
-// setState changes the machine list, as it is seen.
+// setState changes the state of a machine in the node's machine list.
 func (s *site) setState(address netip.AddrPort, state siteservices.MachineState) {
 	s.board.Machines.Update(func(machines []siteservices.Machine) []siteservices.Machine {
 		changed := append([]siteservices.Machine(nil), machines...)
@@ -123,7 +123,7 @@
 	return blackboard.Backend{}
 }
 
-func ask(s *site, address netip.AddrPort, program string) error {
+func generate(s *site, address netip.AddrPort, program string) error {
 	_, err := s.directory.Engine(address).Generate(context.Background(), backend.GenerateRequest{
 		Stream: identity.StreamID{Call: identity.CallID{Program: identity.ProgramID(program), Branch: "main", Sequence: 1}},
 		Model:  "advisor", MaxTokens: 32, Messages: []backend.Message{{Role: "user", Content: "hello"}},
@@ -140,7 +140,7 @@
 		is.Equal(shown.Report.Models, []string{"advisor"})
 		is.Equal(shown.Health, scheduling.Healthy)
 		is.True(time.Since(shown.ReportedAt) < time.Second)
-		is.NoErr(ask(s, addressOf(0), "p"))
+		is.NoErr(generate(s, addressOf(0), "p"))
 		is.True(s.shown(addressOf(0)).DecodeRate > 10)
 		is.Equal(s.controller.CacheMap().Holders("p", "main")[0].Backend, "engine-0")
 
@@ -151,20 +151,20 @@
 	})
 }
 
-// keepAsking sends work to an engine, five times a second, while the board does
-// not call it leaving; it waits for the answers at the end.
-func (s *site) keepAsking(ctx context.Context, address netip.AddrPort) {
+// sendCalls sends five calls per second to an engine while the board does not mark
+// it as leaving, and waits for the answers at the end.
+func (s *site) sendCalls(ctx context.Context, address netip.AddrPort) {
 	var answers sync.WaitGroup
 	defer answers.Wait()
 	for i := 0; ctx.Err() == nil; i++ {
 		if !s.shown(address).Leaving {
-			answers.Go(func() { _ = ask(s, address, fmt.Sprintf("%s-%d", address, i)) })
+			answers.Go(func() { _ = generate(s, address, fmt.Sprintf("%s-%d", address, i)) })
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// arrivedBetween counts what an engine saw arrive after from and before until.
+// arrivedBetween counts the calls that an engine received between from and until.
 func arrivedBetween(e *engine.Engine, from, until time.Time) int {
 	count := 0
 	for _, arrival := range e.Truth().Arrivals {
@@ -175,17 +175,17 @@
 	return count
 }
 
-// Whoever sends work only to back ends that the board doesn't call leaving sends
-// none to one that left 3 s ago, though the machine list says so 10 s late. What
-// counts is what the engines saw arrive.
-func TestALeavingBackEndGetsNoWorkAfterThreeSeconds(t *testing.T) {
+// A sender that avoids back ends marked as leaving sends no call to one that has
+// been leaving for 3 s, although the machine list lags by 10 s. The check uses the
+// calls that the engines received.
+func TestLeavingBackEndGetsNoCallsAfterThreeSeconds(t *testing.T) {
 	const limit = 3 * time.Second
 	inBubble(t, func(t *testing.T, s *site) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		var load sync.WaitGroup
 		for address := range s.engines {
-			load.Go(func() { s.keepAsking(ctx, address) })
+			load.Go(func() { s.sendCalls(ctx, address) })
 		}
 		started := time.Now()
 		time.Sleep(5 * time.Second)
@@ -202,14 +202,15 @@
 		cancel()
 		load.Wait()
 		for _, e := range s.engines {
-			is.True(arrivedBetween(e, started, left) > 10) // it did work before
+			is.True(arrivedBetween(e, started, left) > 10) // it received calls before
 			is.Equal(arrivedBetween(e, left.Add(limit), time.Now()), 0)
 		}
 	})
 }
 
-// The report alone tells in time too: nobody sends work that could be refused.
-func TestAnIdleLeavingBackEndIsNoticed(t *testing.T) {
+// A leaving back end is detected by its reports alone, without any call that it
+// could refuse.
+func TestIdleLeavingBackEndIsDetected(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		is := is.New(t)
 		time.Sleep(2 * time.Second)
@@ -221,14 +222,14 @@
 		is.True(!s.shown(addressOf(0)).Leaving)
 		is.True(!s.shown(addressOf(4)).Leaving)
 
-		// One that stays after all is used again, once its own word has run out.
+		// A back end that stops leaving is used again once its signal has expired.
 		s.engines[addressOf(1)].SetDraining(false)
 		time.Sleep(20 * time.Second)
 		is.True(!s.shown(addressOf(1)).Leaving)
 	})
 }
 
-func TestTheMachineListAloneMarksLeaving(t *testing.T) {
+func TestMachineListAloneMarksLeaving(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.setState(addressOf(2), siteservices.MachineLeaving)
@@ -237,19 +238,19 @@
 	})
 }
 
-func TestAMarkOfServingsStands(t *testing.T) {
+func TestLeavingSetByServingIsKept(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.board.Backends.Update("portal-3", func(b blackboard.Backend, found bool) (blackboard.Backend, bool) {
 			b.Leaving = true
 			return b, found
 		})
-		time.Sleep(5 * time.Second) // many polls say nothing of leaving
+		time.Sleep(5 * time.Second) // many polls without a leaving signal
 		is.True(s.shown(addressOf(3)).Leaving)
 	})
 }
 
-func TestADeadEngineIsEjectedAndComesBack(t *testing.T) {
+func TestFailedEngineIsEjectedAndReinstated(t *testing.T) {
 	for name, faults := range map[string]engine.Faults{"down": {Down: true}, "frozen": {Frozen: true}} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, s *site) {
@@ -257,7 +258,7 @@
 				time.Sleep(2 * time.Second)
 				s.engines[addressOf(0)].SetFaults(faults)
 				time.Sleep(4 * time.Second)
-				for range 100 { // it stays ejected, with no trial while it answers no poll
+				for range 100 { // it stays ejected, without probation, while polls fail
 					is.Equal(s.shown(addressOf(0)).Health, scheduling.Ejected)
 					time.Sleep(100 * time.Millisecond)
 				}
@@ -265,41 +266,41 @@
 				s.engines[addressOf(0)].SetFaults(engine.Faults{})
 				time.Sleep(6 * time.Second)
 				is.Equal(s.shown(addressOf(0)).Health, scheduling.Probation)
-				is.NoErr(ask(s, addressOf(0), "trial"))
+				is.NoErr(generate(s, addressOf(0), "trial"))
 				is.Equal(s.shown(addressOf(0)).Health, scheduling.Healthy)
 			})
 		})
 	}
 }
 
-// An engine that answers polls and loses its calls is ejected all the same; its
-// trial call heals it.
+// An engine that answers polls but fails calls is ejected, and reinstated by a
+// successful call on probation.
 func TestFailingCallsEject(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		is := is.New(t)
-		// Polls come at whole multiples of 500 ms; between them, the lost answer is
-		// that of the call.
+		// Polls happen at multiples of 500 ms; between them, the response that gets
+		// lost is that of the call.
 		time.Sleep(2100 * time.Millisecond)
 		for i := range 2 {
 			s.engines[addressOf(0)].SetFaults(engine.Faults{LoseNext: 1})
-			is.True(errors.Is(ask(s, addressOf(0), fmt.Sprint(i)), backend.ErrBroken))
+			is.True(errors.Is(generate(s, addressOf(0), fmt.Sprint(i)), backend.ErrBroken))
 			time.Sleep(600 * time.Millisecond)
 		}
 		is.Equal(s.shown(addressOf(0)).Health, scheduling.Ejected)
 		time.Sleep(3 * time.Second)
 		is.Equal(s.shown(addressOf(0)).Health, scheduling.Probation)
-		is.NoErr(ask(s, addressOf(0), "trial"))
+		is.NoErr(generate(s, addressOf(0), "trial"))
 		is.Equal(s.shown(addressOf(0)).Health, scheduling.Healthy)
 	})
 }
 
-func TestASlowEngineIsEjected(t *testing.T) {
+func TestSlowEngineIsEjected(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.engines[addressOf(0)].SetFaults(engine.Faults{Slow: 20})
 		for i := range 6 {
 			for address := range s.engines {
-				is.NoErr(ask(s, address, fmt.Sprint(i)))
+				is.NoErr(generate(s, address, fmt.Sprint(i)))
 			}
 			time.Sleep(time.Second)
 		}
@@ -309,28 +310,28 @@
 	})
 }
 
-// The cache map follows an eviction that it learns of only by late events with
-// gaps, and the loss of all by a restart.
-func TestTheCacheMapFollowsTheEngine(t *testing.T) {
+// The cache map reflects an eviction although cache events are late and may be
+// lost.
+func TestCacheMapFollowsEngine(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		is := is.New(t)
-		is.NoErr(ask(s, addressOf(0), "kept"))
-		is.NoErr(ask(s, addressOf(0), "released"))
+		is.NoErr(generate(s, addressOf(0), "kept"))
+		is.NoErr(generate(s, addressOf(0), "released"))
 		cache := s.controller.CacheMap()
 		is.True(cache.Tokens("engine-0", "released", "main") > 0)
 		time.Sleep(5 * time.Second)
 		is.NoErr(s.engines[addressOf(0)].Release(t.Context(), "released", ""))
 		time.Sleep(30 * time.Second)
-		is.NoErr(ask(s, addressOf(0), "another")) // its event shows the gap, if there was one
+		is.NoErr(generate(s, addressOf(0), "another")) // its event reveals a gap, if there was one
 		time.Sleep(30 * time.Second)
 		is.Equal(cache.Tokens("engine-0", "released", "main"), 0)
 		is.True(cache.Tokens("engine-0", "kept", "main") > 0)
 	})
 }
 
-// In a large fleet a report may be old when a call goes out. Then the back end is
-// asked before, and one that left gets nothing.
-func TestAnOldReportIsRenewedBeforeUse(t *testing.T) {
+// In a large fleet the last report may be stale at a dispatch. A new one is
+// requested first, and a leaving back end receives no call.
+func TestStaleReportIsRefreshedBeforeDispatch(t *testing.T) {
 	rarely := func(config *backends.Config) { config.PollAll, config.ShareRate = 1, 0.1 }
 	inBubbleWith(t, rarely, func(t *testing.T, s *site) {
 		is := is.New(t)
@@ -339,20 +340,20 @@
 		s.engines[addressOf(1)].SetDraining(true)
 		s.applications[addressOf(3)].SetDraining(true)
 		time.Sleep(3 * time.Second)
-		is.True(!s.shown(addressOf(1)).Leaving) // not known yet
+		is.True(!s.shown(addressOf(1)).Leaving) // not detected yet
 
-		err := ask(s, addressOf(1), "p")
+		err := generate(s, addressOf(1), "p")
 		is.True(errors.Is(err, backend.ErrDraining))
 		is.True(backend.NotRun(err))
 		is.Equal(len(s.engines[addressOf(1)].Truth().Arrivals), 0)
 		is.True(s.shown(addressOf(1)).Leaving)
 		_, err = s.directory.Application(addressOf(3)).Invoke(t.Context(), backend.InvokeRequest{Operation: "enrol"})
 		is.True(errors.Is(err, backend.ErrDraining))
-		is.NoErr(ask(s, addressOf(0), "p"))
+		is.NoErr(generate(s, addressOf(0), "p"))
 	})
 }
 
-// countingEngine counts its load reports and does nothing else.
+// countingEngine counts its load reports and implements nothing else.
 type countingEngine struct {
 	backend.Engine
 	polls *atomic.Int64
@@ -364,7 +365,7 @@
 	return backend.LoadReport{AsOf: time.Now()}, nil
 }
 
-// fleet is a directory of engines that count.
+// fleet is a directory of counting engines.
 type fleet map[netip.AddrPort]*atomic.Int64
 
 // Engine implements backend.Directory.
@@ -375,7 +376,7 @@
 // Application implements backend.Directory.
 func (f fleet) Application(netip.AddrPort) backend.Application { return nil }
 
-// The fleet of the two-year size.
+// The size of the large fleet.
 const (
 	fleetReplicas = 600
 	fleetServices = 28
@@ -402,9 +403,9 @@
 	})
 }
 
-// At 600 engines a node polls its share within the budget, and those it uses
-// more often than the others.
-func TestALargeFleetIsPolledWithinItsBudget(t *testing.T) {
+// With 600 engines a node polls its share within the budget, and engines in use
+// more often than idle ones.
+func TestLargeFleetIsPolledWithinBudget(t *testing.T) {
 	const duration = 3 * time.Minute
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -430,14 +431,14 @@
 		}
 		is.True(polled >= fleetServices*4)
 		is.True(float64(total) <= fleetBudget*duration.Seconds()*1.05)
-		is.True(float64(total) >= fleetBudget*duration.Seconds()*0.7) // it is used, too
+		is.True(float64(total) >= fleetBudget*duration.Seconds()*0.7) // the budget is used
 		is.True(engines[used].Load() > 5*total/int64(polled))
 	})
 }
 
-// A node that learns its region only after its start polls that region's back
+// A node whose region becomes known only after its start polls that region's back
 // ends from then on.
-func TestTheShareFollowsTheRegion(t *testing.T) {
+func TestPollShareFollowsRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		board, controller := largeFleet()
--- a/internal/controller/backends/directory.go
+++ b/internal/controller/backends/directory.go
@@ -9,30 +9,29 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Result is how one call ended at a back end.
+// Result is the outcome of one call at a back end.
 type Result struct {
 	Address netip.AddrPort
 	Stream  identity.StreamID
 	Err     error
-	// Usage is set where a model call was answered.
+	// Usage is set if a model call was answered.
 	Usage backend.Usage
-	// FirstToken and Total are counted from the dispatch; FirstToken is 0 where
-	// no token came.
+	// FirstToken and Total are durations since the dispatch; FirstToken is 0 if no
+	// token was received.
 	FirstToken time.Duration
 	Total      time.Duration
 }
 
-// Observe returns a directory whose clients tell observe how each call ended
-// and are inner's otherwise. So whoever dispatches through it feeds a Controller
-// without knowing of it.
+// Observe returns a directory that wraps inner and reports the outcome of each
+// call to observe.
 func Observe(inner backend.Directory, observe func(context.Context, Result)) backend.Directory {
 	return observedDirectory{inner: inner, observe: observe}
 }
 
-// Directory is Observe for the controller's own directory, with one check more:
-// before a call goes to a back end whose last report is old, as in a large fleet,
-// it is asked for a new one, and if that says that it leaves, the call is refused
-// here with ErrDraining and not sent.
+// Directory returns the controller's directory wrapped by Observe, with one more
+// check: before a call goes to a back end whose last report is stale, as in a
+// large fleet, a new report is requested. If the back end is leaving, the call is
+// not sent and fails with ErrDraining.
 func (c *Controller) Directory() backend.Directory {
 	return observedDirectory{inner: c.config.Directory, observe: c.Observe, confirm: c.confirm}
 }
@@ -40,7 +39,7 @@
 type observedDirectory struct {
 	inner   backend.Directory
 	observe func(context.Context, Result)
-	// confirm may refuse a call before it is sent; nil lets all pass.
+	// confirm may refuse a call before it is sent; nil allows all calls.
 	confirm func(context.Context, netip.AddrPort) error
 }
 
@@ -52,7 +51,7 @@
 	return observedApplication{Application: d.inner.Application(address), address: address, directory: d}
 }
 
-// mayCall returns why a call must not be sent, or nil.
+// mayCall returns an error if a call must not be sent.
 func (d observedDirectory) mayCall(ctx context.Context, address netip.AddrPort) error {
 	if d.confirm == nil {
 		return nil
@@ -87,8 +86,8 @@
 	return result, err
 }
 
-// Resume implements backend.Engine. Its times say nothing of the engine's speed,
-// since tokens may have waited for it.
+// Resume implements backend.Engine. It reports no FirstToken, since the tokens may
+// have been buffered and say nothing about the engine's speed.
 func (e observedEngine) Resume(ctx context.Context, stream identity.StreamID, from int, onToken func(backend.Token) error) (backend.GenerateResult, error) {
 	started := time.Now()
 	result, err := e.Engine.Resume(ctx, stream, from, onToken)
@@ -113,7 +112,7 @@
 	return answer, err
 }
 
-// Load lets the observed replica report its load, if it can.
+// Load returns the load report of the replica if it supports reports.
 func (a observedApplication) Load(ctx context.Context) (backend.LoadReport, error) {
 	return backend.LoadOf(ctx, a.Application)
 }
--- a/internal/controller/backends/export_test.go
+++ b/internal/controller/backends/export_test.go
@@ -5,11 +5,11 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// Reconcile and Review let benchmarks run single steps of Run.
+// Reconcile runs one reconciliation.
 func (c *Controller) Reconcile(machines []siteservices.Machine) { c.reconcile(machines) }
 
 // Review runs one review.
 func (c *Controller) Review() bool { return c.review() }
 
-// Inner returns the directory that the controller was given.
+// Inner returns the configured directory without the observer.
 func (c *Controller) Inner() backend.Directory { return c.config.Directory }
--- a/internal/controller/backends/metrics.go
+++ b/internal/controller/backends/metrics.go
@@ -6,12 +6,11 @@
 	"stepseam.example/stepseam/internal/scheduling"
 )
 
-// metrics are what operators see of the controller.
 type metrics struct {
 	pollFailures *prometheus.CounterVec
 	callFailures *prometheus.CounterVec
 	resyncs      prometheus.Counter
-	// confirmations counts reports that a dispatch waited for.
+	// confirmations counts the reports that dispatches waited for.
 	confirmations prometheus.Counter
 }
 
@@ -41,7 +40,8 @@
 	return m
 }
 
-// stateCollector counts the back ends on the board by their state when asked.
+// stateCollector counts the back ends on the board by role and state at each
+// scrape.
 type stateCollector struct{ controller *Controller }
 
 var stateDescription = prometheus.NewDesc("stepseam_backends",
--- a/internal/controller/backends/observe.go
+++ b/internal/controller/backends/observe.go
@@ -14,15 +14,15 @@
 const (
 	// averageWeight is the weight of a new value in a moving average.
 	averageWeight = 0.2
-	// prefillTokens is how many uncached tokens a prompt must have for the time to
-	// its first token to tell of the prefill.
-	prefillTokens = 128
-	// hungAfter is how long an application must have been silent for the end of
-	// its caller's patience to speak against it.
+	// minPrefillTokens is the minimum number of uncached prompt tokens for the time
+	// to the first token to count as a measurement of the prefill rate.
+	minPrefillTokens = 128
+	// hungAfter is how long a call to an application must have taken for a deadline
+	// exceeded to count as a failure of the application.
 	hungAfter = 10 * time.Second
 )
 
-// average is an exponentially weighted moving average; 0 is unknown.
+// average is an exponentially weighted moving average; 0 means no value yet.
 type average struct{ value float64 }
 
 func (a *average) add(value float64) {
@@ -33,7 +33,7 @@
 	a.value += averageWeight * (value - a.value)
 }
 
-// Observe takes in how a call ended. It updates rates, health, leaving and the
+// Observe records the outcome of a call. It updates rates, health, leaving and the
 // cache map.
 func (c *Controller) Observe(ctx context.Context, result Result) {
 	now := time.Now()
@@ -43,88 +43,88 @@
 	if !listed {
 		return
 	}
-	known := c.watched[name]
-	c.use(now, known)
-	before := known.health.at(now)
+	state := c.states[name]
+	c.markUsed(now, state)
+	before := state.health.at(now)
 	switch {
 	case result.Err == nil:
-		c.answered(now, known, result)
+		c.recordAnswer(now, state, result)
 	case errors.Is(result.Err, backend.ErrDraining):
-		known.leaving.signed = now
-	case failed(ctx, result) || hung(known.machine.Role, result):
+		state.leaving.signalledAt = now
+	case isBackendFailure(ctx, result) || isHung(state.machine.Role, result):
 		c.metrics.callFailures.WithLabelValues(name).Inc()
-		known.health = known.health.afterCall(now, false)
+		state.health = state.health.afterCall(now, false)
 	default:
 		return
 	}
-	c.publish(now, known)
-	c.logHealth(known, before, known.health.at(now), result.Err)
+	c.publish(now, state)
+	c.logHealth(state, before, state.health.at(now), result.Err)
 }
 
-// use notes a call to a back end; one that was idle is polled sooner from now on.
-// The mutex is held.
-func (c *Controller) use(now time.Time, known *watched) {
-	known.lastUsed = now
-	if soon := now.Add(c.pace.used); known.nextPoll.After(soon) && known.health.missed == 0 {
-		known.nextPoll = soon
+// markUsed records that a call went to a back end and brings its next poll
+// forward if it was idle. The caller holds mutex.
+func (c *Controller) markUsed(now time.Time, state *backendState) {
+	state.lastUsed = now
+	if soon := now.Add(c.intervals.active); state.nextPoll.After(soon) && state.health.failedPolls == 0 {
+		state.nextPoll = soon
 	}
 }
 
-// failed tells whether an error speaks against the back end. A refusal, a
-// cancelled stream and a caller that went away do not.
-func failed(ctx context.Context, result Result) bool {
+// isBackendFailure reports whether the error counts against the back end's
+// health. Refusals, cancelled streams and calls abandoned by the caller do not.
+func isBackendFailure(ctx context.Context, result Result) bool {
 	return ctx.Err() == nil && (errors.Is(result.Err, backend.ErrNotDelivered) || errors.Is(result.Err, backend.ErrBroken))
 }
 
-// hung tells whether an application kept a call until its time ran out. An
-// engine's calls may have waited for their turn, so they say nothing.
-func hung(role siteservices.MachineRole, result Result) bool {
+// isHung reports whether an application did not answer before the call's
+// deadline. It is false for engines, whose calls may have been queued.
+func isHung(role siteservices.MachineRole, result Result) bool {
 	return role == siteservices.RoleApplication && result.Total >= hungAfter && errors.Is(result.Err, context.DeadlineExceeded)
 }
 
-// answered takes in a call that ended well. The mutex is held.
-func (c *Controller) answered(now time.Time, known *watched, result Result) {
+// recordAnswer records a successful call. The caller holds mutex.
+func (c *Controller) recordAnswer(now time.Time, state *backendState, result Result) {
 	usage := result.Usage
 	if usage.CompletionTokens == 0 {
-		known.health = known.health.afterFastCall(now) // an application: no rates
+		state.health = state.health.afterFastCall(now) // applications have no rates
 		return
 	}
 	call := result.Stream.Call
-	c.cache.Record(now, known.machine.Name, call.Program, call.Branch, usage.PromptTokens+usage.CompletionTokens)
-	if uncached := usage.PromptTokens - usage.CachedTokens; uncached >= prefillTokens && result.FirstToken > 0 {
-		known.prefill.add(float64(uncached) / result.FirstToken.Seconds())
+	c.cache.Record(now, state.machine.Name, call.Program, call.Branch, usage.PromptTokens+usage.CompletionTokens)
+	if uncached := usage.PromptTokens - usage.CachedTokens; uncached >= minPrefillTokens && result.FirstToken > 0 {
+		state.prefill.add(float64(uncached) / result.FirstToken.Seconds())
 	}
 	rate := 0.0
 	if decoding := result.Total - result.FirstToken; usage.CompletionTokens > 1 && result.FirstToken > 0 && decoding > 0 {
 		rate = float64(usage.CompletionTokens-1) / decoding.Seconds()
-		known.decode.add(rate)
+		state.decode.add(rate)
 	}
-	peers := c.pools[known.machine.Service]
+	peers := c.pools[state.machine.Service]
 	if peers.isSlow(rate, usage.CompletionTokens) {
-		known.health = known.health.afterSlowCall(now, peers.mayEjectSlow())
+		state.health = state.health.afterSlowCall(now, peers.mayEjectSlow())
 		return
 	}
-	known.health = known.health.afterFastCall(now)
+	state.health = state.health.afterFastCall(now)
 }
 
-// comparePools returns what each service's back ends are compared with.
-func comparePools(now time.Time, all map[string]*watched) map[string]pool {
+// comparePools computes the pool statistics of each service.
+func comparePools(now time.Time, all map[string]*backendState) map[string]pool {
 	rates := map[string][]float64{}
 	pools := map[string]pool{}
-	for _, known := range all {
-		service := known.machine.Service
+	for _, state := range all {
+		service := state.machine.Service
 		entry := pools[service]
 		entry.members++
-		if known.health.at(now) == scheduling.Ejected {
+		if state.health.at(now) == scheduling.Ejected {
 			entry.ejected++
 		}
 		pools[service] = entry
-		if known.decode.value > 0 {
-			rates[service] = append(rates[service], known.decode.value)
+		if state.decode.value > 0 {
+			rates[service] = append(rates[service], state.decode.value)
 		}
 	}
 	for service, observed := range rates {
-		if len(observed) < slowPeers {
+		if len(observed) < minPoolSize {
 			continue
 		}
 		slices.Sort(observed)
--- a/internal/controller/backends/poll.go
+++ b/internal/controller/backends/poll.go
@@ -16,30 +16,30 @@
 type target struct {
 	name    string
 	machine siteservices.Machine
-	// events asks for cache events from this number on.
+	// events requests the cache events from nextEvent on.
 	events    bool
 	nextEvent uint64
 }
 
-// startPolls starts the polls that are due and returns how long to wait for the
-// next one.
+// startPolls starts the polls that are due and returns the time until the next
+// one.
 func (c *Controller) startPolls(ctx context.Context, polls *sync.WaitGroup) time.Duration {
 	now := time.Now()
 	wait := c.config.PollInterval
 	var due []target
 	c.mutex.Lock()
-	for name, known := range c.watched {
-		if known.polling || !known.polled && !known.inUse(now) {
+	for name, state := range c.states {
+		if state.polling || !state.inShare && !state.inUse(now) {
 			continue
 		}
-		if after := known.nextPoll.Sub(now); after > 0 {
+		if after := state.nextPoll.Sub(now); after > 0 {
 			wait = min(wait, after)
 			continue
 		}
-		known.polling = true
+		state.polling = true
 		due = append(due, target{
-			name: name, machine: known.machine, nextEvent: known.nextEvent,
-			events: known.machine.Role == siteservices.RoleEngine && c.cache.HasEntries(name),
+			name: name, machine: state.machine, nextEvent: state.nextEvent,
+			events: state.machine.Role == siteservices.RoleEngine && c.cache.HasEntries(name),
 		})
 	}
 	c.mutex.Unlock()
@@ -49,8 +49,9 @@
 	return wait
 }
 
-// poll asks one back end for its load, once a slot is free.
-func (c *Controller) poll(ctx context.Context, asked target) {
+// poll requests the load report of one back end, once a slot is free, and the
+// cache events if they are needed.
+func (c *Controller) poll(ctx context.Context, polled target) {
 	select {
 	case c.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -60,18 +61,18 @@
 	requestContext, cancel := context.WithTimeout(ctx, c.config.PollTimeout)
 	defer cancel()
 	started := time.Now()
-	report, err := c.load(requestContext, asked.machine)
+	report, err := c.load(requestContext, polled.machine)
 	if ctx.Err() != nil {
 		return
 	}
-	c.afterPoll(asked, report, err, time.Since(started))
+	c.afterPoll(polled, report, err, time.Since(started))
 	c.mutex.Lock()
-	if known, found := c.watched[asked.name]; found {
-		known.polling = false
+	if state, found := c.states[polled.name]; found {
+		state.polling = false
 	}
 	c.mutex.Unlock()
-	if err == nil && asked.events {
-		c.readEvents(requestContext, asked)
+	if err == nil && polled.events {
+		c.readEvents(requestContext, polled)
 	}
 }
 
@@ -82,105 +83,108 @@
 	return c.config.Directory.Engine(machine.Address).Load(ctx)
 }
 
-// afterPoll takes the outcome of a poll in.
-func (c *Controller) afterPoll(asked target, report backend.LoadReport, err error, took time.Duration) {
+// afterPoll records the outcome of a poll. A back end that does not support
+// reports counts as alive.
+func (c *Controller) afterPoll(polled target, report backend.LoadReport, err error, took time.Duration) {
 	now := time.Now()
 	reported := err == nil
 	alive := reported || errors.Is(err, backend.ErrNoReport)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known, found := c.watched[asked.name]
-	if !found || known.machine.Address != asked.machine.Address {
-		return // gone, or replaced meanwhile
+	state, found := c.states[polled.name]
+	if !found || state.machine.Address != polled.machine.Address {
+		return // removed or replaced in the meantime
 	}
-	before := known.health.at(now)
-	known.health = known.health.afterPoll(alive)
+	before := state.health.at(now)
+	state.health = state.health.afterPoll(alive)
 	if alive {
-		known.latency.add(took.Seconds() / 2)
+		state.latency.add(took.Seconds() / 2)
 	} else {
-		c.metrics.pollFailures.WithLabelValues(asked.name).Inc()
+		c.metrics.pollFailures.WithLabelValues(polled.name).Inc()
 	}
-	known.nextPoll = now.Add(c.nextInterval(now, known))
+	state.nextPoll = now.Add(c.nextInterval(now, state))
 	if reported {
-		known.reported = now
-		c.showReport(now, asked.name, report)
+		state.lastReport = now
+		c.publishReport(now, polled.name, report)
 	}
 	if reported && report.Draining {
-		known.leaving.signed = now
+		state.leaving.signalledAt = now
 	}
-	c.publish(now, known)
-	c.logHealth(known, before, known.health.at(now), err)
+	c.publish(now, state)
+	c.logHealth(state, before, state.health.at(now), err)
 }
 
-// showReport puts a report on the board; the rest is publish's.
-func (c *Controller) showReport(now time.Time, name string, report backend.LoadReport) {
+// publishReport writes a report to the board unless the board has a newer one.
+// publish writes the other fields.
+func (c *Controller) publishReport(now time.Time, name string, report backend.LoadReport) {
 	c.config.Board.Backends.Update(name, func(shown blackboard.Backend, found bool) (blackboard.Backend, bool) {
-		if !found || !report.AsOf.Before(shown.Report.AsOf) || now.Sub(shown.ReportedAt) > longestPollInterval {
+		if !found || !report.AsOf.Before(shown.Report.AsOf) || now.Sub(shown.ReportedAt) > maxPollInterval {
 			shown.Report, shown.ReportedAt = report, now
 		}
 		return shown, found
 	})
 }
 
-// nextInterval is the time to the next poll, with jitter. It doubles with each
-// failure after those that eject, so that many dead back ends cost little.
-func (c *Controller) nextInterval(now time.Time, known *watched) time.Duration {
-	interval := c.pace.idle
-	if known.inUse(now) {
-		interval = c.pace.used
-	}
-	rarest := max(longestPollInterval, interval)
-	for range min(max(known.health.missed-failedPolls, 0), 8) {
+// nextInterval returns the time to the next poll, with jitter. It doubles with
+// each failure after failedPollsToEject, which limits the cost of polling many
+// failed back ends.
+func (c *Controller) nextInterval(now time.Time, state *backendState) time.Duration {
+	interval := c.intervals.idle
+	if state.inUse(now) {
+		interval = c.intervals.active
+	}
+	longest := max(maxPollInterval, interval)
+	for range min(max(state.health.failedPolls-failedPollsToEject, 0), 8) {
 		interval *= 2
 	}
-	return time.Duration(float64(min(interval, rarest)) * (1 + pollJitter*(2*c.config.Random()-1)))
+	return time.Duration(float64(min(interval, longest)) * (1 + pollJitter*(2*c.config.Random()-1)))
 }
 
-func (c *Controller) logHealth(known *watched, before, after scheduling.Health, err error) {
+func (c *Controller) logHealth(state *backendState, before, after scheduling.Health, err error) {
 	if before == after {
 		return
 	}
-	c.config.Logger.Warn("back end health changed", "backend", known.machine.Name,
-		"address", known.machine.Address, "from", healthName(before), "to", healthName(after), "error", err)
+	c.config.Logger.Warn("back end health changed", "backend", state.machine.Name,
+		"address", state.machine.Address, "from", healthName(before), "to", healthName(after), "error", err)
 }
 
-// readEvents corrects the cache map by the engine's events, and by its whole
-// list where they have a gap.
-func (c *Controller) readEvents(ctx context.Context, asked target) {
-	client := c.config.Directory.Engine(asked.machine.Address)
+// readEvents corrects the cache map by the engine's events, and by a listing of its
+// cache if the events have a gap.
+func (c *Controller) readEvents(ctx context.Context, polled target) {
+	client := c.config.Directory.Engine(polled.machine.Address)
 	started := time.Now()
-	events, err := client.CacheEvents(ctx, asked.nextEvent)
+	events, err := client.CacheEvents(ctx, polled.nextEvent)
 	if err != nil {
 		return
 	}
-	c.cache.Apply(started, asked.name, events)
-	if !c.takeEvents(started, asked, events) {
+	c.cache.Apply(started, polled.name, events)
+	if !c.recordEvents(started, polled, events) {
 		return
 	}
 	c.metrics.resyncs.Inc()
 	held, err := client.Held(ctx)
 	if err == nil {
-		c.cache.Replace(started, asked.name, held)
+		c.cache.Replace(started, polled.name, held)
 	}
 }
 
-// takeEvents notes the numbers of events and tells whether a gap asks for the
-// engine's whole list now. A first look counts as a gap.
-func (c *Controller) takeEvents(now time.Time, asked target, events []backend.CacheEvent) bool {
+// recordEvents records the numbers of events and reports whether the engine's cache
+// must be listed because of a gap. The first events count as a gap.
+func (c *Controller) recordEvents(now time.Time, polled target, events []backend.CacheEvent) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known, found := c.watched[asked.name]
-	if !found || known.machine.Address != asked.machine.Address || len(events) == 0 {
+	state, found := c.states[polled.name]
+	if !found || state.machine.Address != polled.machine.Address || len(events) == 0 {
 		return false
 	}
 	gap := false
 	for _, event := range events {
-		gap = gap || event.Number != known.nextEvent
-		known.nextEvent = event.Number + 1
+		gap = gap || event.Number != state.nextEvent
+		state.nextEvent = event.Number + 1
 	}
-	if !gap || now.Sub(known.resynced) < resyncInterval {
+	if !gap || now.Sub(state.lastResync) < resyncInterval {
 		return false
 	}
-	known.resynced = now
+	state.lastResync = now
 	return true
 }
--- a/internal/controller/backends/pure_test.go
+++ b/internal/controller/backends/units_test.go
@@ -16,9 +16,9 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A poll that works does not heal a back end that fails its calls, and it comes
-// back through one trial.
-func TestPollsDoNotHealFailingCalls(t *testing.T) {
+// Successful polls must not reinstate a back end whose calls fail; it returns
+// through probation.
+func TestPollsDoNotReinstateFailingBackend(t *testing.T) {
 	is := is.New(t)
 	var h health
 	for range 2 {
@@ -32,8 +32,7 @@
 	is.Equal(h.afterFastCall(later).at(later), scheduling.Healthy)
 }
 
-// A back end that misses its polls stays out for as long as it does, and comes
-// back through one trial.
+// A back end stays ejected while its polls fail and returns through probation.
 func TestFailedPollsEject(t *testing.T) {
 	is := is.New(t)
 	h := health{}.afterPoll(false)
@@ -48,7 +47,7 @@
 	is.Equal(h.afterCall(later, false).at(later), scheduling.Ejected)
 }
 
-func TestSlownessEjectsAfterAStreakAndNeverMostOfAPool(t *testing.T) {
+func TestConsecutiveSlowCallsEjectUpToPoolLimit(t *testing.T) {
 	is := is.New(t)
 	slow := func(mayEject bool, calls int) scheduling.Health {
 		var h health
@@ -57,17 +56,17 @@
 		}
 		return h.at(start)
 	}
-	is.Equal(slow(true, slowStreak), scheduling.Healthy)
-	is.Equal(slow(true, slowStreak+1), scheduling.Ejected)
-	is.Equal(slow(false, 10*slowStreak), scheduling.Healthy)
+	is.Equal(slow(true, slowCallsToEject), scheduling.Healthy)
+	is.Equal(slow(true, slowCallsToEject+1), scheduling.Ejected)
+	is.Equal(slow(false, 10*slowCallsToEject), scheduling.Healthy)
 	is.True(pool{members: 3}.mayEjectSlow())
 	is.True(!pool{members: 3, ejected: 1}.mayEjectSlow())
 	is.True(!pool{members: 2}.mayEjectSlow())
 
-	is.True(pool{decodeRate: 80}.isSlow(9, slowTokens))
-	is.True(!pool{decodeRate: 80}.isSlow(11, slowTokens))
-	is.True(!pool{decodeRate: 80}.isSlow(9, slowTokens-1))
-	is.True(!pool{}.isSlow(9, slowTokens))
+	is.True(pool{decodeRate: 80}.isSlow(9, minSpeedTokens))
+	is.True(!pool{decodeRate: 80}.isSlow(11, minSpeedTokens))
+	is.True(!pool{decodeRate: 80}.isSlow(9, minSpeedTokens-1))
+	is.True(!pool{}.isSlow(9, minSpeedTokens))
 }
 
 func machines(count, services int) []siteservices.Machine {
@@ -81,14 +80,14 @@
 	return all
 }
 
-// At the two-year size every engine is polled by some node, none by many, and
-// every node sees engines of each service.
-func TestSharesCoverALargeFleet(t *testing.T) {
+// With 380 nodes and 600 engines, each engine is polled by about the mean number
+// of nodes, and each node polls engines of every service.
+func TestPollSharesCoverLargeFleet(t *testing.T) {
 	const nodes, replicas, services = 380, 600, 28
 	all := machines(replicas, services)
 	pollers := map[string]int{}
 	for node := range nodes {
-		chosen := share(identity.NodeName(fmt.Sprintf("node-%d", node)), "", all, defaultPollAll, defaultPerService)
+		chosen := pollShare(identity.NodeName(fmt.Sprintf("node-%d", node)), "", all, defaultPollAll, defaultPerService)
 		seen := map[string]bool{}
 		for _, machine := range all {
 			if chosen[machine.Name] {
@@ -110,21 +109,21 @@
 	}
 }
 
-func TestASmallFleetIsPolledWhole(t *testing.T) {
+func TestSmallFleetIsPolledCompletely(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(share("node", "", machines(defaultPollAll, 3), defaultPollAll, defaultPerService)), defaultPollAll)
+	is.Equal(len(pollShare("node", "", machines(defaultPollAll, 3), defaultPollAll, defaultPerService)), defaultPollAll)
 }
 
-// A node polls back ends of its own region, and others where that has none or
-// all of its own leave.
-func TestTheOwnRegionGoesFirst(t *testing.T) {
+// A node polls back ends of its own region, and other regions only if its own has
+// none or all of them are leaving.
+func TestPollSharePrefersOwnRegion(t *testing.T) {
 	is := is.New(t)
 	all := machines(4*defaultPollAll, 2)
 	for i := range all {
 		all[i].Region = identity.Region(fmt.Sprintf("region-%d", i/2%3))
 	}
 	near := func(region identity.Region) (near, far int) {
-		chosen := share("node", region, all, defaultPollAll, 1)
+		chosen := pollShare("node", region, all, defaultPollAll, 1)
 		for _, machine := range all {
 			if chosen[machine.Name] && machine.Region == region {
 				near++
@@ -147,7 +146,8 @@
 	is.Equal([]int{n, f}, []int{0, defaultPollAll})
 }
 
-// The map stays within its limit and its indexes agree, whatever comes.
+// The map stays within its limit and its indexes agree after any sequence of
+// operations.
 func TestCacheMapStaysConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewCacheMap(5, time.Second)
@@ -188,10 +188,10 @@
 	counted := 0
 	for _, program := range []identity.ProgramID{"p", "q"} {
 		for _, branch := range []identity.BranchID{"main", "side"} {
-			for _, held := range m.Holders(program, branch) {
+			for _, prefix := range m.Holders(program, branch) {
 				counted++
-				if held.Tokens <= 0 || held.Tokens != m.Tokens(held.Backend, program, branch) || !m.HasEntries(held.Backend) {
-					t.Fatalf("holders say %+v", held)
+				if prefix.Tokens <= 0 || prefix.Tokens != m.Tokens(prefix.Backend, program, branch) || !m.HasEntries(prefix.Backend) {
+					t.Fatalf("holders say %+v", prefix)
 				}
 			}
 		}
@@ -201,33 +201,33 @@
 	}
 }
 
-func TestEventsCorrectOnlySettledBeliefs(t *testing.T) {
+func TestEventsDoNotOverrideRecentEntries(t *testing.T) {
 	is := is.New(t)
 	m := NewCacheMap(10, time.Second)
 	m.Record(start, "a", "p", "main", 100)
 	evicted := []backend.CacheEvent{{Kind: backend.CacheEvicted, Prefix: backend.HeldPrefix{Program: "p", Branch: "main", Tokens: 40}}}
 	m.Apply(start.Add(500*time.Millisecond), "a", evicted)
-	is.Equal(m.Tokens("a", "p", "main"), 100) // may be of before the call
+	is.Equal(m.Tokens("a", "p", "main"), 100) // the event may predate the call
 	m.Apply(start.Add(2*time.Second), "a", evicted)
 	is.Equal(m.Tokens("a", "p", "main"), 40)
 	m.Apply(start.Add(2*time.Second), "a", []backend.CacheEvent{{Prefix: backend.HeldPrefix{Program: "other", Branch: "main", Tokens: 7}}})
-	is.Equal(m.Len(), 1) // what others hold is not ours to know
+	is.Equal(m.Len(), 1) // prefixes of other nodes' programs are not added
 	m.Replace(start.Add(3*time.Second), "a", nil)
 	is.Equal(m.Len(), 0)
 }
 
-// The polls of any fleet keep to the budget, except that idle back ends are
-// polled once a minute in any case.
-func TestPaceKeepsToTheBudget(t *testing.T) {
+// The polls of any fleet stay within the budget, except that idle back ends are
+// always polled once per minute.
+func TestPollIntervalsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		used, idle := rapid.IntRange(0, 300).Draw(t, "used"), rapid.IntRange(0, 300).Draw(t, "idle")
 		budget := rapid.Float64Range(1, 100).Draw(t, "budget")
-		chosen := choosePace(500*time.Millisecond, budget, used, idle)
-		rate := float64(used)/chosen.used.Seconds() + float64(idle)/chosen.idle.Seconds()
-		if rate > budget*1.001 && chosen.idle < longestIdle {
+		chosen := chooseIntervals(500*time.Millisecond, budget, used, idle)
+		rate := float64(used)/chosen.active.Seconds() + float64(idle)/chosen.idle.Seconds()
+		if rate > budget*1.001 && chosen.idle < maxIdleInterval {
 			t.Fatalf("%+v makes %.1f polls a second of %.1f", chosen, rate, budget)
 		}
-		if chosen.used < 500*time.Millisecond || chosen.idle < chosen.used && chosen.idle < longestIdle {
+		if chosen.active < 500*time.Millisecond || chosen.idle < chosen.active && chosen.idle < maxIdleInterval {
 			t.Fatalf("%+v", chosen)
 		}
 	})
--- a/internal/controller/machines/machines.go
+++ b/internal/controller/machines/machines.go
@@ -1,7 +1,7 @@
 // Package machines reads the platform's machine list into the blackboard.
 //
-// The list is a hint that lags. While it can't be read, the last one stays on
-// the board: a platform that is away must not look like a site without
+// The list is a hint and may be stale. While it cannot be read, the last one
+// stays on the board: an unavailable platform must not look like a site without
 // machines.
 package machines
 
@@ -19,29 +19,29 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// Config is what a Controller needs.
+// Config configures a Controller.
 type Config struct {
 	List  siteservices.MachineList
 	Board *blackboard.Board
 	// Interval is the time between two reads.
 	Interval time.Duration
 	Logger   *slog.Logger
-	// Registerer takes the metrics; nil keeps none.
+	// Registerer registers the metrics; nil disables them.
 	Registerer prometheus.Registerer
 }
 
 // Controller is the only writer of Board.Machines.
 type Controller struct {
 	config Config
-	// away and findings are used by Run's goroutine alone. They tell what was
-	// logged last, so that an outage is one line and not one per read.
-	away     bool
-	findings []api.Finding
-	lastRead prometheus.Gauge
-	failures prometheus.Counter
+	// unavailable and findings are used by Run's goroutine only. They record what
+	// was logged last, so that an outage is logged once and not at each read.
+	unavailable bool
+	findings    []api.Finding
+	lastRead    prometheus.Gauge
+	failures    prometheus.Counter
 }
 
-// New returns a controller that Run starts.
+// New returns a controller. Call Run to start it.
 func New(config Config) *Controller {
 	controller := &Controller{
 		config: config,
@@ -60,7 +60,7 @@
 	return controller
 }
 
-// Run reads the list until ctx ends.
+// Run reads the list at each interval until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.config.Interval)
 	defer ticker.Stop()
@@ -74,7 +74,7 @@
 	}
 }
 
-// read puts one answer on the board, if there is one and it is news.
+// read reads the list once and stores it on the board if it has changed.
 func (c *Controller) read(ctx context.Context) {
 	machines, err := c.config.List.Machines(ctx)
 	if ctx.Err() != nil {
@@ -82,16 +82,16 @@
 	}
 	if err != nil {
 		c.failures.Inc()
-		if !c.away {
+		if !c.unavailable {
 			c.config.Logger.Warn("machine list is away; the last one stays in use", "error", err)
 		}
-		c.away = true
+		c.unavailable = true
 		return
 	}
-	if c.away {
+	if c.unavailable {
 		c.config.Logger.Info("machine list is back")
 	}
-	c.away = false
+	c.unavailable = false
 	c.lastRead.SetToCurrentTime()
 	valid, findings := Check(machines)
 	if len(findings) > 0 && !slices.Equal(findings, c.findings) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Check returns the usable rows of a machine list, in their order, and the
-// findings about the others.
+// Check returns the valid rows of a machine list, in order, and the findings about
+// the others.
 func Check(machines []siteservices.Machine) ([]siteservices.Machine, []api.Finding) {
 	valid := make([]siteservices.Machine, 0, len(machines))
 	names := make(map[string]bool, len(machines))
--- a/internal/controller/machines/machines_test.go
+++ b/internal/controller/machines/machines_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestControllerKeepsTheLastListWhileAway(t *testing.T) {
+func TestControllerKeepsLastListDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		list := machinelist.New([]siteservices.Machine{engine("e1")})
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestCheckLeavesOutFaultyRowsWithTheirPlace(t *testing.T) {
+func TestCheckRejectsInvalidRowsWithTheirPlace(t *testing.T) {
 	check := is.New(t)
 	node := engine("n1")
 	node.Role = siteservices.RoleNode
--- a/internal/controller/members/members.go
+++ b/internal/controller/members/members.go
@@ -1,9 +1,9 @@
 // Package members runs the membership protocol and is the only writer of
 // Board.Members.
 //
-// Invariant: the first view appears only once this node has met others or has
-// tried for a while, so that a starting node does not take itself for the whole
-// site and claim everybody's shards.
+// Invariant: the first view is published only once this node has found other
+// members or joinTimeout has elapsed. Otherwise a starting node would regard
+// itself as the whole site and claim all shards.
 package members
 
 import (
@@ -25,62 +25,62 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// ErrSuperseded tells that a later life of this node's name runs elsewhere: this
-// process has to end.
+// ErrSuperseded is returned by Run if a later incarnation of this node's name runs
+// elsewhere. The process must end.
 var ErrSuperseded = errors.New("members: a later life of this node runs elsewhere")
 
-// Config is what a Controller needs.
+// Config configures a Controller.
 type Config struct {
 	Self  identity.Node
 	Board *blackboard.Board
 	// Seeds are probe addresses from the settings; the machine list adds to them.
 	Seeds []netip.AddrPort
 	Conn  membership.PacketConn
-	// Protocol holds the protocol's times; the zero value takes the defaults.
+	// Protocol contains the protocol's timing; the zero value takes the defaults.
 	Protocol membership.Config
-	// RandomSeed seeds the choice of whom to probe.
+	// RandomSeed seeds the choice of probe targets.
 	RandomSeed uint64
-	// OwnedShards returns how many shards this node owns, to tell others; nil
-	// tells 0.
+	// OwnedShards returns the number of shards that this node owns, which is
+	// broadcast to other members; nil counts as 0.
 	OwnedShards func() int
 	Logger      *slog.Logger
-	// Registerer takes the metrics; nil keeps none.
+	// Registerer registers the metrics; nil disables them.
 	Registerer prometheus.Registerer
 }
 
 const (
-	// joinPatience is how long a starting node looks for others before it shows a
-	// view of itself alone.
-	joinPatience = 2 * time.Second
-	// joinQuiet is how long the view of a starting node that has met others must
-	// stay as it is to count as whole.
-	joinQuiet = 300 * time.Millisecond
-	// infoInterval is the time between two looks at what others are told.
+	// joinTimeout is how long a starting node looks for other members before it
+	// publishes a view that contains only itself.
+	joinTimeout = 2 * time.Second
+	// joinStable is how long the view of a starting node that has found other
+	// members must be unchanged to count as complete.
+	joinStable = 300 * time.Millisecond
+	// infoInterval is the time between two updates of the broadcast information.
 	infoInterval = 250 * time.Millisecond
 )
 
-// Controller joins the site's membership and keeps the view on the board.
+// Controller joins the site's membership and publishes its view on the board.
 type Controller struct {
 	config  Config
 	runner  *membership.Runner
 	started time.Time
-	// arrived tells Run of a new value of latest.
-	arrived chan struct{}
+	// updated signals Run that latest has changed.
+	updated chan struct{}
 
 	// mutex guards latest.
 	mutex  sync.Mutex
 	latest membership.View
 }
 
-// New returns a controller that Run starts.
+// New returns a controller. Call Run to start it.
 func New(config Config) *Controller {
 	if config.Protocol == (membership.Config{}) {
 		config.Protocol = membership.DefaultConfig()
 	}
-	controller := &Controller{config: config, arrived: make(chan struct{}, 1)}
+	controller := &Controller{config: config, updated: make(chan struct{}, 1)}
 	controller.runner = membership.NewRunner(membership.Options{
 		Self: config.Self, Config: config.Protocol, Seeds: config.Seeds, Conn: config.Conn,
-		RandomSeed: config.RandomSeed, OnView: controller.take, Logger: config.Logger,
+		RandomSeed: config.RandomSeed, OnView: controller.setLatest, Logger: config.Logger,
 	})
 	if config.Registerer != nil {
 		config.Registerer.MustRegister(newCollector(controller))
@@ -88,24 +88,25 @@
 	return controller
 }
 
-// AnnounceLeaving tells the other nodes that this one wants no shards any more.
-// Run does the same when Board.Draining becomes true.
+// AnnounceLeaving informs the other nodes that this one takes no more shards. Run
+// does the same when Board.Draining becomes true.
 func (c *Controller) AnnounceLeaving() { c.runner.AnnounceLeaving() }
 
-// Traffic returns what the protocol sent and received so far.
+// Traffic returns the protocol's counters of sent and received messages.
 func (c *Controller) Traffic() membership.Traffic { return c.runner.Traffic() }
 
-// Statistics returns what the protocol did so far.
+// Statistics returns the protocol's event counters.
 func (c *Controller) Statistics() membership.Statistics { return c.runner.Statistics() }
 
-// Run takes part until ctx ends, then says that this node has left.
+// Run takes part in the membership until ctx ends, then announces that this node
+// has left.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	ended := make(chan error, 1)
 	c.started = time.Now()
 	go func() { ended <- c.runner.Run(ctx) }()
-	err := c.follow(ctx, ended)
+	err := c.synchronize(ctx, ended)
 	if err != nil {
 		return err
 	}
@@ -115,11 +116,12 @@
 	return nil
 }
 
-// follow keeps board and protocol in step. It returns nil when ctx ends.
-func (c *Controller) follow(ctx context.Context, ended chan error) error {
+// synchronize keeps the board and the protocol in sync. It returns nil when ctx
+// ends.
+func (c *Controller) synchronize(ctx context.Context, ended chan error) error {
 	info := time.NewTicker(infoInterval)
 	defer info.Stop()
-	join := time.NewTimer(joinPatience)
+	join := time.NewTimer(joinTimeout)
 	defer join.Stop()
 	joined := false
 	_, _, listed := c.config.Board.Machines.Watch()
@@ -131,12 +133,12 @@
 		case err := <-ended:
 			ended <- err
 			if ctx.Err() != nil {
-				return nil // both ended at once, and this was seen first
+				return nil // ctx ended at the same time
 			}
 			return fmt.Errorf("members: ended early: %w", err)
 		case <-c.runner.Superseded():
 			return fmt.Errorf("%w: %s", ErrSuperseded, c.config.Self.Name)
-		case <-c.arrived:
+		case <-c.updated:
 			if joined {
 				c.publish()
 			} else {
@@ -151,12 +153,12 @@
 		case <-drained:
 		case <-info.C:
 		}
-		c.tell()
+		c.updateInfo()
 	}
 }
 
-// tell passes on what others should know of this node.
-func (c *Controller) tell() {
+// updateInfo updates the information about this node that is broadcast.
+func (c *Controller) updateInfo() {
 	version, owned := uint64(0), 0
 	if current := c.config.Board.Table.Load(); current != nil {
 		version = uint64(current.Version)
@@ -170,24 +172,24 @@
 	}
 }
 
-// joinWait returns how long to wait before the first view is shown.
+// joinWait returns how long to wait before the first view is published.
 func (c *Controller) joinWait() time.Duration {
-	left := joinPatience - time.Since(c.started)
+	left := joinTimeout - time.Since(c.started)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.latest.Members) > 1 {
-		left = min(left, joinQuiet)
+		left = min(left, joinStable)
 	}
 	return max(left, 0)
 }
 
-// take keeps the latest view for Run.
-func (c *Controller) take(view membership.View) {
+// setLatest records the latest view and signals Run.
+func (c *Controller) setLatest(view membership.View) {
 	c.mutex.Lock()
 	c.latest = view
 	c.mutex.Unlock()
 	select {
-	case c.arrived <- struct{}{}:
+	case c.updated <- struct{}{}:
 	default:
 	}
 }
@@ -198,11 +200,11 @@
 	c.mutex.Unlock()
 	former := c.config.Board.Members.Load()
 	c.config.Board.Members.Store(view)
-	c.report(former, view)
+	c.logChanges(former, view)
 }
 
-// report logs who came, went or changed.
-func (c *Controller) report(former, view membership.View) {
+// logChanges logs members that were added, removed or changed.
+func (c *Controller) logChanges(former, view membership.View) {
 	if former.Version == view.Version {
 		return
 	}
@@ -220,7 +222,7 @@
 	}
 }
 
-// seeds returns the settings' seeds and the listed nodes' probe addresses.
+// seeds returns the configured seeds and the probe addresses in the machine list.
 func (c *Controller) seeds() []netip.AddrPort {
 	seeds := slices.Clone(c.config.Seeds)
 	for _, machine := range c.config.Board.Machines.Load() {
--- a/internal/controller/members/members_test.go
+++ b/internal/controller/members/members_test.go
@@ -22,7 +22,7 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// site is some controllers on one in-memory network.
+// site is a set of controllers on one in-memory network.
 type site struct {
 	links *network.Network
 	nodes []*node
@@ -71,7 +71,7 @@
 	s.links.Close()
 }
 
-func TestViewHoldsWhatOthersTell(t *testing.T) {
+func TestViewContainsBroadcastInfo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &site{links: network.New(1)}
@@ -97,7 +97,7 @@
 	})
 }
 
-func TestMachineListGivesSeeds(t *testing.T) {
+func TestMachineListProvidesSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &site{links: network.New(1)}
@@ -115,9 +115,9 @@
 	})
 }
 
-// A node that shows itself as the whole site for a moment would claim every
-// shard that it finds unowned.
-func TestNoViewOfItselfAloneWhileOthersAnswer(t *testing.T) {
+// Guards against a starting node that briefly regards itself as the whole site: it
+// would claim every unowned shard.
+func TestStartingNodePublishesNoPartialView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &site{links: network.New(1)}
@@ -130,20 +130,21 @@
 		for range 500 {
 			time.Sleep(10 * time.Millisecond)
 			members := len(late.board.Members.Load().Members)
-			is.True(members == 0 || members == 6) // nothing or the whole site
+			is.True(members == 0 || members == 6) // no view or the whole site
 		}
 		s.close(is)
 	})
 }
 
-func TestFormerLifeEnds(t *testing.T) {
+func TestSupersededIncarnationEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &site{links: network.New(1)}
 		s.add(0)
 		former := s.add(1, address(0, 7200))
 		time.Sleep(3 * time.Second)
-		// The later life runs on another machine; the former is not told to stop.
+		// The later incarnation runs on another machine and does not stop the former
+		// one.
 		later := former.identity
 		later.Name, later.ProbeAddress = "elsewhere", address(7, 7200)
 		endpoint := s.links.Join(later, peer.NewRegistry())
--- a/internal/controller/members/metrics.go
+++ b/internal/controller/members/metrics.go
@@ -6,7 +6,7 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// collector reads the metrics when they are asked for.
+// collector reads the metrics at each scrape.
 type collector struct {
 	controller  *Controller
 	members     *prometheus.Desc
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -184,7 +184,7 @@
 	})
 }
 
-func TestAdmitNeverRefusesRunningPrograms(t *testing.T) {
+func TestAdmitEnforcesLimitsOnNewProgramsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		admission := scheduling.Admission{
 			Call:          drawCall(t, "p"),
