--- a/internal/controller/models/controller.go
+++ b/internal/controller/models/controller.go
@@ -1,16 +1,17 @@
-// Package models keeps models and adapters on the engines as the table says. One
-// node acts for a service at a time: the owner of the service's shard.
+// Package models loads and unloads models and adapters on the engines as the
+// table requires. One node acts for a service at a time: the owner of the
+// service's shard.
 //
 // Invariants:
 //   - An order carries a fence of (epoch of the shard, counter of this node), so
-//     that a later owner's orders are always above an earlier one's.
-//   - Before its first order an owner raises the fence at every usable engine of
-//     the service and waits until their reports show it. From then on an order of
-//     a former owner is refused by each of them, and what the reports show as
-//     loaded and under way is all that there is.
-//   - Lease and epoch are checked right before each order and each repeat of one. An
-//     order whose answer was lost is repeated with the same fence, which an engine
-//     takes as the same order.
+//     that a later owner's fences always exceed those of an earlier one.
+//   - Before its first order an owner raises the fence at every schedulable engine
+//     of the service and waits until their reports show it. From then on each of
+//     them refuses orders of former owners, and the reports are complete: they
+//     show everything that is loaded and every order in progress.
+//   - Lease and epoch are checked right before each order and each retry. An order
+//     whose outcome is unknown is retried with the same fence, which an engine
+//     treats as the same order.
 package models
 
 import (
@@ -32,64 +33,68 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// Timing of the controller; none of it has to be exact.
+// Timing of the controller. Correctness does not depend on these values.
 const (
-	// interval is the time between two looks.
+	// interval is the time between two reconciliations.
 	interval = time.Second
-	// freshFor is how old a report may be to act on it; refreshAfter is when the
-	// acting node asks for one itself.
-	freshFor     = 15 * time.Second
+	// reportTTL is how old a report may be to be acted on; refreshAfter is the age
+	// at which the acting node requests a new one itself.
+	reportTTL    = 15 * time.Second
 	refreshAfter = 5 * time.Second
-	// awayGrace is how long an engine that is ejected or silent still counts, so
-	// that a hiccup does not load a model elsewhere.
-	awayGrace = 10 * time.Second
-	// orderRetry is the pause before an order without an answer is repeated, and
-	// orderLimit how long it is.
-	orderRetry = time.Second
-	orderLimit = 5 * time.Minute
-	// refusedFor is how long an engine that refused a load is passed over.
-	refusedFor = 2 * time.Minute
-	// reportLimit is how long a done order waits to show in a report.
-	reportLimit = 30 * time.Second
-	// fenceRetry is the time between two tries to raise an engine's fence; after
-	// fenceTries without an answer the engine is passed over for refusedFor.
-	// requestTimeout bounds one such try and one request for a report.
-	fenceRetry     = 3 * time.Second
-	fenceTries     = 3
-	requestTimeout = 2 * time.Second
-	// weightRetry bounds the pause before the weight store is asked again.
-	weightRetry = 15 * time.Second
-	// requestsAtOnce and refreshesPerLook bound fences and requests for reports.
-	requestsAtOnce   = 16
-	refreshesPerLook = 64
+	// unreachableGrace is how long an ejected or unreachable engine still counts as
+	// available, so that a short outage does not load its models elsewhere.
+	unreachableGrace = 10 * time.Second
+	// orderRetryInterval is the pause before an order with unknown outcome is
+	// retried; orderTimeout is how long it is retried.
+	orderRetryInterval = time.Second
+	orderTimeout       = 5 * time.Minute
+	// refusalTTL is how long an engine that refused a load is excluded.
+	refusalTTL = 2 * time.Minute
+	// reportTimeout is how long a completed order stays pending if no report
+	// reflects it.
+	reportTimeout = 30 * time.Second
+	// fenceRetryInterval is the time between two attempts to raise an engine's
+	// fence; after maxFenceAttempts failures the engine is excluded for refusalTTL.
+	// requestTimeout bounds each attempt and each request for a report.
+	fenceRetryInterval = 3 * time.Second
+	maxFenceAttempts   = 3
+	requestTimeout     = 2 * time.Second
+	// maxWeightWait bounds the pause before the weight store is queried again.
+	maxWeightWait = 15 * time.Second
+	// maxConcurrentRequests bounds concurrent fences and requests for reports,
+	// maxRefreshes the requests for reports per reconciliation.
+	maxConcurrentRequests = 16
+	maxRefreshes          = 64
 )
 
-// Config is what a Controller needs.
+// Config configures a Controller.
 type Config struct {
 	ShardCount int
 	Board      *blackboard.Board
-	// Directory gives the clients that orders go through.
+	// Directory provides the clients for orders.
 	Directory backend.Directory
 	Weights   siteservices.WeightStore
-	// OwnedEpoch returns the epoch in which this node owns shard now, or an error.
+	// OwnedEpoch returns the epoch in which this node currently owns shard, or an
+	// error if it does not.
 	OwnedEpoch func(shard identity.ShardID) (identity.Epoch, error)
 	Demand     *Demand
-	// Parameters bound the plans; the zero value takes the defaults.
+	// Parameters are the limits of plans; the zero value takes the defaults.
 	Parameters modelplacement.Parameters
 	Logger     *slog.Logger
-	// Registerer takes the metrics; nil keeps none.
+	// Registerer registers the metrics; nil disables them.
 	Registerer prometheus.Registerer
 	Hooks      Hooks
 }
 
-// Hooks replace single rules by wrong ones, so that tests can show that they
-// notice. All are nil in a daemon.
+// Hooks replace single rules by faulty ones, so that tests can verify that they
+// detect the fault. All are nil in production.
 type Hooks struct {
 	// Fence replaces the fence of an order.
 	Fence func(epoch identity.Epoch, counter uint32) uint64
 }
 
-// Controller watches all services and acts for those whose shard this node owns.
+// Controller observes all services and places models for those whose shard this
+// node owns.
 type Controller struct {
 	config  Config
 	metrics metrics
@@ -100,19 +105,19 @@
 	counter  uint32
 	engines  map[string]*engineState
 	services map[string]*serviceState
-	// loadTimes is how long the last load of a subject took.
+	// loadTimes is the duration of the last load of each subject.
 	loadTimes map[string]time.Duration
 }
 
-// serviceState is what the controller remembers of one service.
+// serviceState is the controller's state of one service.
 type serviceState struct {
 	status Status
-	// notBefore is when the weight store may be asked again.
+	// notBefore is the earliest time of the next query to the weight store.
 	notBefore time.Time
-	demand    smoothed
+	demand    smoothedDemand
 }
 
-// New returns a controller that Run starts.
+// New returns a controller. Call Run to start it.
 func New(config Config) *Controller {
 	if config.Parameters == (modelplacement.Parameters{}) {
 		config.Parameters = modelplacement.DefaultParameters()
@@ -130,12 +135,13 @@
 	}
 }
 
-// Shard is the shard whose owner acts for service.
+// Shard returns the shard whose owner places the models of service.
 func Shard(service string, count int) identity.ShardID {
 	return identity.ProgramID("service:" + service).Shard(count)
 }
 
-// Run looks at all services until ctx ends.
+// Run reconciles all services at each interval until ctx ends, and then waits for
+// the orders in progress.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -143,21 +149,21 @@
 	for {
 		select {
 		case <-ticker.C:
-			c.look(ctx)
+			c.reconcile(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// rows are the rows of one service, by name.
+// rows are the table's rows of one service, sorted by name.
 type rows struct {
 	models   []table.Model
 	adapters []table.Adapter
 }
 
-// asks tells that a row asks to be placed.
-func (r rows) asks() bool {
+// needsPlacement reports whether any model has min_replicas above 0.
+func (r rows) needsPlacement() bool {
 	return slices.ContainsFunc(r.models, func(model table.Model) bool { return model.MinReplicas > 0 })
 }
 
@@ -179,19 +185,20 @@
 	return byService
 }
 
-// look takes in the board and acts for the services that this node holds.
-func (c *Controller) look(ctx context.Context) {
+// reconcile updates the engines' state from the board and acts for the services
+// whose shard this node owns.
+func (c *Controller) reconcile(ctx context.Context) {
 	published := c.config.Board.Table.Load()
 	if published == nil {
 		return
 	}
 	now := time.Now()
 	services := rowsByService(published)
-	engines := c.observe(now, published)
+	engines := c.syncEngines(now, published)
 	for _, service := range slices.Sorted(maps.Keys(services)) {
-		c.sample(now, service, services[service], engines[service])
+		c.sampleDemand(now, service, services[service], engines[service])
 		epoch, err := c.config.OwnedEpoch(Shard(service, c.config.ShardCount))
-		acting := err == nil && services[service].asks() && !c.config.Board.Draining.Load()
+		acting := err == nil && services[service].needsPlacement() && !c.config.Board.Draining.Load()
 		c.setActing(service, epoch, acting)
 		if acting {
 			c.act(ctx, service, epoch, published, engines[service])
@@ -203,7 +210,7 @@
 func (c *Controller) service(name string) *serviceState {
 	state, found := c.services[name]
 	if !found {
-		state = &serviceState{status: Status{Service: name}, demand: smoothed{}}
+		state = &serviceState{status: Status{Service: name}, demand: smoothedDemand{}}
 		c.services[name] = state
 	}
 	return state
@@ -238,38 +245,39 @@
 	}
 }
 
-// act makes the plan of one service and begins at most one of its orders, so
-// that the next one sees what the weight store says after this one.
+// act makes the plan of one service and starts at most one of its orders, so that
+// the query to the weight store for the next order takes this one into account.
 func (c *Controller) act(ctx context.Context, service string, epoch identity.Epoch, published *table.Table, names []string) {
 	rows := rowsByService(published)[service]
-	c.refresh(ctx, time.Now(), published, names)
-	now := time.Now() // the engines' answers took their time
-	snapshot, settled := c.snapshot(now, service, rows, names)
-	if !settled {
-		c.note(service, modelplacement.Plan{}, "for the engines' reports")
+	c.refreshReports(ctx, time.Now(), published, names)
+	now := time.Now() // refreshReports may have taken long
+	snapshot, complete := c.snapshot(now, service, rows, names)
+	if !complete {
+		c.setStatus(service, modelplacement.Plan{}, "for the engines' reports")
 		return
 	}
 	plan := modelplacement.Decide(snapshot, c.config.Parameters)
 	if len(plan.Orders) == 0 {
-		c.note(service, plan, "")
+		c.setStatus(service, plan, "")
 		return
 	}
 	if unfenced := c.unfenced(now, epoch, names); len(unfenced) > 0 {
-		c.note(service, plan, "for the engines to take the epoch's fence")
-		c.fence(ctx, service, epoch, unfenced)
+		c.setStatus(service, plan, "for the engines to take the epoch's fence")
+		c.raiseFence(ctx, service, epoch, unfenced)
 		return
 	}
 	next := plan.Orders[0]
-	wait, reason := c.awaitWeights(ctx, now, service, next)
-	c.note(service, plan, reason)
+	wait, reason := c.checkWeightStore(ctx, now, service, next)
+	c.setStatus(service, plan, reason)
 	if wait {
 		return
 	}
-	c.begin(ctx, service, epoch, next)
+	c.startOrder(ctx, service, epoch, next)
 }
 
-// awaitWeights asks the weight store whether a load may begin now.
-func (c *Controller) awaitWeights(ctx context.Context, now time.Time, service string, order modelplacement.Order) (wait bool, reason string) {
+// checkWeightStore queries the weight store whether a load may begin now. It
+// returns the reason if it has to wait.
+func (c *Controller) checkWeightStore(ctx context.Context, now time.Time, service string, order modelplacement.Order) (wait bool, reason string) {
 	if order.Kind == backend.OrderUnloadModel {
 		return false, ""
 	}
@@ -285,7 +293,7 @@
 	queue, err := c.config.Weights.Wait(ctx, order.Subject, order.Version)
 	switch {
 	case err != nil:
-		queue, reason = weightRetry, "for the weight store, which does not answer"
+		queue, reason = maxWeightWait, "for the weight store, which does not answer"
 	case queue > 0:
 		reason = "for the weight store, which is busy for " + queue.Round(time.Second).String()
 	default:
@@ -294,12 +302,13 @@
 	c.metrics.weightWaits.Inc()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.service(service).notBefore = now.Add(min(queue, weightRetry))
+	c.service(service).notBefore = now.Add(min(queue, maxWeightWait))
 	return true, reason
 }
 
-// note keeps what is missing or waited for, and logs it when it changes.
-func (c *Controller) note(service string, plan modelplacement.Plan, waiting string) {
+// setStatus records shortfalls and what the next order waits for, and logs them
+// when they change.
+func (c *Controller) setStatus(service string, plan modelplacement.Plan, waiting string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	status := &c.service(service).status
--- a/internal/controller/models/controller_test.go
+++ b/internal/controller/models/controller_test.go
@@ -14,16 +14,16 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// longEnough is longer than any plan here takes to be carried out.
+// longEnough exceeds the time that any plan in these tests takes.
 const longEnough = 3 * time.Minute
 
 var (
-	holding = []string{"m"}
-	empty   = []string{}
+	withModel = []string{"m"}
+	empty     = []string{}
 )
 
-func TestASilentTableOrdersNothing(t *testing.T) {
-	inSite(t, [][]string{holding, holding, holding, empty}, models.Hooks{}, func(t *testing.T, s *site) {
+func TestNoOrdersWhileTableIsSatisfied(t *testing.T) {
+	inSite(t, [][]string{withModel, withModel, withModel, empty}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 1}, table.Model{Name: "other", Version: "1", MaxReplicas: 2})
 		time.Sleep(longEnough)
@@ -35,8 +35,8 @@
 	})
 }
 
-func TestRaisingTheMinimumLoadsOnce(t *testing.T) {
-	inSite(t, [][]string{holding, empty, empty}, models.Hooks{}, func(t *testing.T, s *site) {
+func TestRaisingMinReplicasLoadsOnce(t *testing.T) {
+	inSite(t, [][]string{withModel, empty, empty}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 1})
 		time.Sleep(30 * time.Second)
@@ -44,17 +44,17 @@
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 2})
 		time.Sleep(longEnough)
 		is.Equal(len(s.loads("m")), 1)
-		is.Equal(s.loads("m")[0].Fence, models.Fence(1, 4)) // after one fence for each engine
+		is.Equal(s.loads("m")[0].Fence, models.Fence(1, 4)) // after one fence per engine
 		report, err := s.engines[1].Load(t.Context())
 		is.NoErr(err)
-		is.Equal(report.Models, holding) // the first engine of the other zone
+		is.Equal(report.Models, withModel) // the first engine of the other zone
 	})
 }
 
-// TestEnginesThatTheNodeDoesNotPollAreAsked is a large fleet in small: most engines
-// stand on the board without a report.
-func TestEnginesThatTheNodeDoesNotPollAreAsked(t *testing.T) {
-	inSite(t, [][]string{empty, holding, holding, holding}, models.Hooks{}, func(t *testing.T, s *site) {
+// TestReportsOfUnpolledEnginesAreRequested covers engines that are on the board
+// without a report, as most are in a large fleet.
+func TestReportsOfUnpolledEnginesAreRequested(t *testing.T) {
+	inSite(t, [][]string{empty, withModel, withModel, withModel}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.setUnpolled(3)
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 3})
@@ -68,10 +68,10 @@
 	})
 }
 
-func TestAnEngineThatTakesNoOrdersHoldsNothingUp(t *testing.T) {
+func TestEngineWithoutOrderSupportIsSkipped(t *testing.T) {
 	inSite(t, [][]string{empty, empty, empty}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
-		s.deaf = s.engines[0]
+		s.unresponsive = s.engines[0]
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 2})
 		time.Sleep(longEnough)
 		is.Equal(len(s.loads("m")), 2)
@@ -79,8 +79,8 @@
 	})
 }
 
-func TestAVersionRollsOneEngineAtATime(t *testing.T) {
-	inSite(t, [][]string{holding, holding, holding}, models.Hooks{}, func(t *testing.T, s *site) {
+func TestNewVersionRollsOutOneEngineAtATime(t *testing.T) {
+	inSite(t, [][]string{withModel, withModel, withModel}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 2})
 		time.Sleep(30 * time.Second)
@@ -105,8 +105,8 @@
 	})
 }
 
-func TestADeadEngineIsReplaced(t *testing.T) {
-	inSite(t, [][]string{holding, holding, empty}, models.Hooks{}, func(t *testing.T, s *site) {
+func TestReplicaOfFailedEngineIsReplaced(t *testing.T) {
+	inSite(t, [][]string{withModel, withModel, empty}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 2, MaxReplicas: 2})
 		time.Sleep(30 * time.Second)
@@ -114,25 +114,25 @@
 		time.Sleep(5 * time.Second)
 		s.engines[0].SetFaults(engine.Faults{})
 		time.Sleep(longEnough)
-		is.Equal(len(s.loads("m")), 0) // a hiccup loads nothing
+		is.Equal(len(s.loads("m")), 0) // a short outage loads nothing
 		s.engines[0].SetFaults(engine.Faults{Down: true})
 		time.Sleep(longEnough)
 		is.Equal(s.holders("m"), 2)
 		is.Equal(len(s.loads("m")), 1)
 		s.engines[0].SetFaults(engine.Faults{})
 		time.Sleep(longEnough)
-		is.Equal(s.holders("m"), 2) // the one that came back is over max_replicas
+		is.Equal(s.holders("m"), 2) // the recovered replica exceeds max_replicas and is unloaded
 	})
 }
 
-func TestAdaptersGoWhereTheirModelIs(t *testing.T) {
-	inSite(t, [][]string{holding, empty, holding}, models.Hooks{}, func(t *testing.T, s *site) {
+func TestAdaptersAreLoadedWithTheirModel(t *testing.T) {
+	inSite(t, [][]string{withModel, empty, withModel}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.put(&table.Table{
 			Models:   map[string]table.Model{"m": {Name: "m", Version: "1", Service: service, Weight: 1, MinReplicas: 1}},
 			Adapters: map[string]table.Adapter{"a": {Name: "a", Model: "m", Version: "7", Weight: 1}},
 		})
-		time.Sleep(1100 * time.Millisecond) // the engines are known, the adapter is not there yet
+		time.Sleep(1100 * time.Millisecond) // the engines are known, the adapter is not loaded yet
 		wait, expected := s.nodes[1].controller.ExpectedWait("m", "a")
 		is.True(expected && wait > 0)
 		time.Sleep(longEnough)
@@ -145,8 +145,8 @@
 	})
 }
 
-func TestDemandLoadsOneMore(t *testing.T) {
-	inSite(t, [][]string{holding, empty, empty}, models.Hooks{}, func(t *testing.T, s *site) {
+func TestDemandLoadsAnotherReplica(t *testing.T) {
+	inSite(t, [][]string{withModel, empty, empty}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 1, MaxReplicas: 2})
 		ended := time.Now().Add(longEnough)
@@ -155,11 +155,11 @@
 		}
 		time.Sleep(2 * longEnough)
 		is.Equal(len(s.loads("m")), 1)
-		is.Equal(s.holders("m"), 2) // the demand is gone, the replica stays
+		is.Equal(s.holders("m"), 2) // the replica stays after the demand has ended
 	})
 }
 
-func TestALostAnswerLoadsOnce(t *testing.T) {
+func TestLostResponseLoadsOnce(t *testing.T) {
 	for _, losses := range []int{1, 3} {
 		inSite(t, [][]string{empty, empty}, models.Hooks{}, func(t *testing.T, s *site) {
 			is := is.New(t)
@@ -174,12 +174,12 @@
 					repeats++
 				}
 			}
-			is.Equal(repeats, losses) // each lost answer brought the same fence again
+			is.Equal(repeats, losses) // each lost response caused a retry with the same fence
 		})
 	}
 }
 
-func TestABusyWeightStoreIsWaitedFor(t *testing.T) {
+func TestLoadsWaitForBusyWeightStore(t *testing.T) {
 	inSite(t, [][]string{empty, empty, empty, empty}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		for range 20 { // 40 s of fetches
@@ -194,29 +194,29 @@
 		is.Equal(len(s.loads("m")), 0)
 		s.weights.SetDown(false)
 		time.Sleep(17 * time.Second)
-		is.True(len(s.loads("m")) <= 2) // never more than the orders under way
+		is.True(len(s.loads("m")) <= 2) // bounded by MaxInFlight
 		time.Sleep(longEnough)
 		is.Equal(len(s.loads("m")), 4)
 	})
 }
 
-// lateHolder freezes the owner between its check and its order, lets another
-// node act, and returns the loads that engines began and the late orders they
-// refused.
-func lateHolder(t *testing.T, hooks models.Hooks) (loads, refused int) {
+// runFormerOwner pauses the owner between its lease check and its order, lets
+// another node act, and returns the number of loads that engines began and of late
+// orders that they refused.
+func runFormerOwner(t *testing.T, hooks models.Hooks) (loads, refused int) {
 	inSite(t, [][]string{empty, empty, empty}, hooks, func(t *testing.T, s *site) {
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 1})
 		for s.fences() < len(s.engines) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		s.stall(s.nodes[0], true)
-		time.Sleep(10 * time.Second) // the order is held back by now
+		time.Sleep(10 * time.Second) // the order is delayed by now
 		if len(s.loads("m")) != 0 {
 			t.Fatal("the order was not held back")
 		}
 		s.takeOver(1)
-		// The engine that the late order is for gets another model first, so that the
-		// next owner loads this one elsewhere.
+		// The target of the late order gets another model first, so that the next
+		// owner loads this one elsewhere.
 		s.publish(table.Model{Name: "m", Version: "1", MinReplicas: 1}, table.Model{Name: "a", Version: "1", MinReplicas: 1})
 		time.Sleep(longEnough)
 		s.stall(s.nodes[0], false)
@@ -233,7 +233,7 @@
 	return loads, refused
 }
 
-// fences counts the engines that took a fence.
+// fences counts the engines that accepted a fence.
 func (s *site) fences() (count int) {
 	for _, one := range s.engines {
 		for _, record := range one.Truth().Orders {
@@ -246,9 +246,9 @@
 	return count
 }
 
-// TestAnOrderOfAFormerEpochIsNotRepeated lets a node lose the shard and win it
-// again while its order has no answer: it asks the engines anew.
-func TestAnOrderOfAFormerEpochIsNotRepeated(t *testing.T) {
+// TestOrderOfFormerEpochIsNotRetried covers a node that loses the shard and
+// acquires it again while the outcome of its order is unknown.
+func TestOrderOfFormerEpochIsNotRetried(t *testing.T) {
 	inSite(t, [][]string{empty, empty}, models.Hooks{}, func(t *testing.T, s *site) {
 		is := is.New(t)
 		s.nodes[0].losses = 1
@@ -261,22 +261,23 @@
 		time.Sleep(longEnough)
 		is.Equal(len(s.loads("m")), 1)
 		for _, record := range s.engines[0].Truth().Orders {
-			is.True(record.Done) // no repeat, and nothing that was refused
+			is.True(record.Done) // no retry and no refusal
 		}
 	})
 }
 
-func TestALateHolderIsRefused(t *testing.T) {
+func TestLateOrderOfFormerOwnerIsRefused(t *testing.T) {
 	is := is.New(t)
-	loads, refused := lateHolder(t, models.Hooks{})
+	loads, refused := runFormerOwner(t, models.Hooks{})
 	is.Equal(loads, 1)
 	is.Equal(refused, 1)
 }
 
-// TestALateHolderLoadsAgainWithoutFences shows that the test above can fail.
-func TestALateHolderLoadsAgainWithoutFences(t *testing.T) {
+// TestLateOrderLoadsAgainWithoutFences verifies that the previous test detects
+// missing fences.
+func TestLateOrderLoadsAgainWithoutFences(t *testing.T) {
 	is := is.New(t)
-	loads, _ := lateHolder(t, models.Hooks{
+	loads, _ := runFormerOwner(t, models.Hooks{
 		Fence: func(identity.Epoch, uint32) uint64 { return math.MaxUint64 },
 	})
 	is.True(loads > 1)
--- a/internal/controller/models/demand.go
+++ b/internal/controller/models/demand.go
@@ -11,10 +11,10 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// demandSpan is the time constant over which demand is smoothed.
-const demandSpan = time.Minute
+// demandTimeConstant is the time constant of the smoothing of demand.
+const demandTimeConstant = time.Minute
 
-// Demand counts this node's model calls under way. It is safe for concurrent use.
+// Demand counts this node's model calls in flight. It is safe for concurrent use.
 type Demand struct {
 	mutex sync.Mutex
 	calls map[demandKey]int
@@ -25,11 +25,10 @@
 	model, adapter string
 }
 
-// NewDemand returns a count of no calls.
+// NewDemand returns a Demand without calls.
 func NewDemand() *Demand { return &Demand{calls: map[demandKey]int{}} }
 
-// Count returns a directory whose engines' calls are counted, and is inner's
-// otherwise.
+// Count returns a directory that wraps inner and counts the calls to its engines.
 func (d *Demand) Count(inner backend.Directory) backend.Directory {
 	return countedDirectory{Directory: inner, demand: d}
 }
@@ -43,8 +42,8 @@
 	}
 }
 
-// at returns the calls under way at an engine by model, and by adapter.
-func (d *Demand) at(address netip.AddrPort) (models, adapters map[string]int) {
+// callsAt returns the calls in flight at an engine by model and by adapter.
+func (d *Demand) callsAt(address netip.AddrPort) (models, adapters map[string]int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	models, adapters = map[string]int{}, map[string]int{}
@@ -84,25 +83,26 @@
 	return e.Engine.Generate(ctx, request, onToken)
 }
 
-// smoothed is the demand on a service's models and adapters.
-type smoothed struct {
+// smoothedDemand is the exponentially smoothed demand on a service's models and
+// adapters, as of at.
+type smoothedDemand struct {
 	at               time.Time
 	models, adapters map[string]float64
 }
 
-// sample takes one look at the engines' load into the service's demand. An
-// engine's load is split among its models by this node's own calls there, and
-// evenly where it has none.
-func (c *Controller) sample(now time.Time, service string, rows rows, names []string) {
+// sampleDemand adds a sample of the engines' load to the service's demand. An
+// engine's load is attributed to its models in proportion to this node's own calls
+// there, and evenly if there are none.
+func (c *Controller) sampleDemand(now time.Time, service string, rows rows, names []string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	models, adapters := map[string]float64{}, map[string]float64{}
 	for _, name := range names {
 		state := c.engines[name]
-		if !state.counted(now) || len(state.report.Models) == 0 {
+		if !state.available(now) || len(state.report.Models) == 0 {
 			continue
 		}
-		ownModels, ownAdapters := c.config.Demand.at(state.address)
+		ownModels, ownAdapters := c.config.Demand.callsAt(state.address)
 		own := 0
 		for _, calls := range ownModels {
 			own += calls
@@ -120,7 +120,7 @@
 		}
 	}
 	demand := &c.service(service).demand
-	part := 1 - math.Exp(-now.Sub(demand.at).Seconds()/demandSpan.Seconds())
+	part := 1 - math.Exp(-now.Sub(demand.at).Seconds()/demandTimeConstant.Seconds())
 	if demand.at.IsZero() {
 		demand.models, demand.adapters, part = map[string]float64{}, map[string]float64{}, 0
 	}
@@ -133,13 +133,14 @@
 	}
 }
 
-// Status is one service as this node sees it.
+// Status is the state of one service as seen by this node.
 type Status struct {
 	Service string `json:"service"`
-	// Acting is true at the node that gives the orders, in Epoch.
+	// Acting is true on the node that gives the orders, as owner in Epoch.
 	Acting bool           `json:"acting"`
 	Epoch  identity.Epoch `json:"epoch,omitempty"`
-	// Waiting is what the next order waits for, Shortfalls which rows are not met.
+	// Waiting is what the next order waits for, Shortfalls lists the rows that are
+	// not met.
 	Waiting    string   `json:"waiting,omitempty"`
 	Shortfalls []string `json:"shortfalls,omitempty"`
 }
--- a/internal/controller/models/observe.go
+++ b/internal/controller/models/engines.go
@@ -17,7 +17,7 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// engineState is what the controller remembers of one engine, guarded by the
+// engineState is the controller's state of one engine. It is guarded by the
 // controller's mutex.
 type engineState struct {
 	address netip.AddrPort
@@ -25,55 +25,60 @@
 	service string
 	leaving bool
 	health  scheduling.Health
-	// report is the newest, of the board or asked for; reportedAt is zero before
-	// the first.
-	report     backend.LoadReport
-	reportedAt time.Time
-	askedAt    time.Time
-	// soundAt is when the engine was last healthy with a fresh report, busyAt when
-	// it last had a call.
-	soundAt time.Time
-	busyAt  time.Time
-	// assumed are the versions of what the engine reports without one: those in
-	// force when this node first saw it, or those of its own orders.
+	// report is the newest report, from the board or requested by this controller;
+	// reportedAt is zero before the first. requestedAt is when this controller last
+	// requested one.
+	report      backend.LoadReport
+	reportedAt  time.Time
+	requestedAt time.Time
+	// lastHealthyAt is when the engine was last not ejected and had a fresh report,
+	// lastCallAt when it last had a call.
+	lastHealthyAt time.Time
+	lastCallAt    time.Time
+	// assumedModels and assumedAdapters are the versions of what the engine reports
+	// without one: those in force when this node first saw it loaded, or those of
+	// this node's orders.
 	assumedModels   map[string]string
 	assumedAdapters map[string]string
-	// pending is this node's order until a report shows it.
+	// pending is this node's order until a report reflects it.
 	pending *pendingOrder
-	// fencedAt is when this node last tried to raise the fence, fenceFailures how
-	// many tries had no answer.
-	fencedAt      time.Time
-	fenceFailures int
-	// refused are the subjects that the engine refused, with when to try again.
+	// fenceSentAt is when this node last attempted to raise the fence,
+	// unansweredFences the number of failed attempts.
+	fenceSentAt      time.Time
+	unansweredFences int
+	// refused maps the subjects that the engine refused to the time until which it
+	// is excluded for them.
 	refused map[string]time.Time
-	// loadingSince is when a subject's load was first reported.
+	// loadingSince maps subjects to when their load was first reported.
 	loadingSince map[string]time.Time
 }
 
 func newEngineState(now time.Time) *engineState {
 	return &engineState{
-		busyAt:        now,
+		lastCallAt:    now,
 		assumedModels: map[string]string{}, assumedAdapters: map[string]string{},
 		refused: map[string]time.Time{}, loadingSince: map[string]time.Time{},
 	}
 }
 
-// fresh tells that the report can be acted on.
-func (e *engineState) fresh(now time.Time) bool {
-	return !e.reportedAt.IsZero() && now.Sub(e.reportedAt) <= freshFor
+// hasFreshReport reports whether the last report is recent enough to be acted on.
+func (e *engineState) hasFreshReport(now time.Time) bool {
+	return !e.reportedAt.IsZero() && now.Sub(e.reportedAt) <= reportTTL
 }
 
-// counted tells that the engine's replicas count.
-func (e *engineState) counted(now time.Time) bool {
-	return !e.leaving && !e.soundAt.IsZero() && now.Sub(e.soundAt) <= awayGrace
+// available reports whether the engine's replicas count towards min_replicas.
+func (e *engineState) available(now time.Time) bool {
+	return !e.leaving && !e.lastHealthyAt.IsZero() && now.Sub(e.lastHealthyAt) <= unreachableGrace
 }
 
-func (e *engineState) usable(now time.Time) bool {
-	return !e.leaving && e.health == scheduling.Healthy && e.fresh(now) && !e.refused[fenceSubject].After(now)
+// schedulable reports whether the engine may receive orders.
+func (e *engineState) schedulable(now time.Time) bool {
+	return !e.leaving && e.health == scheduling.Healthy && e.hasFreshReport(now) && !e.refused[fenceSubject].After(now)
 }
 
-// observe takes in the board's engines and returns their names by service.
-func (c *Controller) observe(now time.Time, published *table.Table) map[string][]string {
+// syncEngines updates the engines' state from the board and returns their names by
+// service.
+func (c *Controller) syncEngines(now time.Time, published *table.Table) map[string][]string {
 	board := c.config.Board.Backends.Copy()
 	byService := map[string][]string{}
 	c.mutex.Lock()
@@ -92,7 +97,7 @@
 		if seen.ReportedAt.After(state.reportedAt) {
 			state.report, state.reportedAt = seen.Report, seen.ReportedAt
 		}
-		c.takeReport(now, state, published)
+		c.applyReport(now, state, published)
 		byService[seen.Service] = append(byService[seen.Service], name)
 	}
 	for name := range c.engines {
@@ -106,16 +111,17 @@
 	return byService
 }
 
-// takeReport draws from an engine's newest report what has to be remembered.
-func (c *Controller) takeReport(now time.Time, state *engineState, published *table.Table) {
-	if state.health != scheduling.Ejected && state.fresh(now) {
-		state.soundAt = now
+// applyReport updates an engine's derived state from its newest report. The caller
+// holds mutex.
+func (c *Controller) applyReport(now time.Time, state *engineState, published *table.Table) {
+	if state.health != scheduling.Ejected && state.hasFreshReport(now) {
+		state.lastHealthyAt = now
 	}
 	if state.report.Running+state.report.Waiting > 0 {
-		state.busyAt = now
+		state.lastCallAt = now
 	}
-	assume(state.assumedModels, state.report.Models, func(name string) string { return published.Models[name].Version })
-	assume(state.assumedAdapters, state.report.Adapters, func(name string) string { return published.Adapters[name].Version })
+	assumeVersions(state.assumedModels, state.report.Models, func(name string) string { return published.Models[name].Version })
+	assumeVersions(state.assumedAdapters, state.report.Adapters, func(name string) string { return published.Adapters[name].Version })
 	for _, order := range state.report.Loading {
 		if _, known := state.loadingSince[order.Subject]; !known {
 			state.loadingSince[order.Subject] = now
@@ -130,13 +136,14 @@
 			c.loadTimes[name] = now.Sub(since)
 		}
 	}
-	if state.pending != nil && state.pending.settled(now, state.report) {
+	if state.pending != nil && state.pending.reflectedIn(now, state.report) {
 		state.pending = nil
 	}
 }
 
-// assume gives what is loaded without a known version the one in force, once.
-func assume(assumed map[string]string, loaded []string, inForce func(string) string) {
+// assumeVersions records the version in force for each newly loaded name and
+// forgets names that are no longer loaded.
+func assumeVersions(assumed map[string]string, loaded []string, inForce func(string) string) {
 	for name := range assumed {
 		if !slices.Contains(loaded, name) {
 			delete(assumed, name)
@@ -149,7 +156,8 @@
 	}
 }
 
-// versions joins names with their versions, reported before assumed.
+// versions maps the loaded names to their versions. A reported version takes
+// precedence over an assumed one.
 func versions(loaded []string, reported, assumed map[string]string) map[string]string {
 	all := make(map[string]string, len(loaded))
 	for _, name := range loaded {
@@ -158,8 +166,9 @@
 	return all
 }
 
-// snapshot describes a service. It is not settled while an engine that stays has
-// neither reported nor failed to answer lately: nothing may be decided then.
+// snapshot returns the state of a service and whether it is complete. It is
+// incomplete while some engine that is not leaving has a stale report and has not
+// been queried within reportTTL; no plan may be made then.
 func (c *Controller) snapshot(now time.Time, service string, rows rows, names []string) (modelplacement.Snapshot, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -168,18 +177,18 @@
 		Models: rows.models, Adapters: rows.adapters,
 		ModelDemand: maps.Clone(demand.models), AdapterDemand: maps.Clone(demand.adapters),
 	}
-	settled := true
+	complete := true
 	for _, name := range names {
 		state := c.engines[name]
-		if !state.leaving && !state.fresh(now) && now.Sub(state.askedAt) > freshFor {
-			settled = false
+		if !state.leaving && !state.hasFreshReport(now) && now.Sub(state.requestedAt) > reportTTL {
+			complete = false
 		}
-		snapshot.Engines = append(snapshot.Engines, state.describe(now, name))
+		snapshot.Engines = append(snapshot.Engines, state.toSnapshot(now, name))
 	}
-	return snapshot, settled
+	return snapshot, complete
 }
 
-func (e *engineState) describe(now time.Time, name string) modelplacement.Engine {
+func (e *engineState) toSnapshot(now time.Time, name string) modelplacement.Engine {
 	report := e.report
 	loading := slices.Clone(report.Loading)
 	if e.pending != nil && !slices.Contains(loading, e.pending.order) {
@@ -190,10 +199,10 @@
 		refused[subject] = until.After(now)
 	}
 	described := modelplacement.Engine{
-		Name: name, Zone: e.zone, Schedulable: e.usable(now), Available: e.counted(now),
+		Name: name, Zone: e.zone, Schedulable: e.schedulable(now), Available: e.available(now),
 		Models:   versions(report.Models, report.ModelVersions, e.assumedModels),
 		Adapters: versions(report.Adapters, report.AdapterVersions, e.assumedAdapters),
-		Loading:  loading, Load: report.Running + report.Waiting, IdleFor: now.Sub(e.busyAt), Refused: refused,
+		Loading:  loading, Load: report.Running + report.Waiting, IdleFor: now.Sub(e.lastCallAt), Refused: refused,
 	}
 	if report.CacheCapacityTokens > 0 {
 		described.CacheUsed = float64(report.CacheUsedTokens) / float64(report.CacheCapacityTokens)
@@ -201,26 +210,27 @@
 	return described
 }
 
-// refresh asks engines for a report whose newest one is old, as in a fleet of
-// which this node polls a share, the oldest first.
-func (c *Controller) refresh(ctx context.Context, now time.Time, published *table.Table, names []string) {
+// refreshReports requests reports from engines whose newest one is stale, as in a
+// large fleet of which this node polls only a share. The least recently queried
+// engines come first.
+func (c *Controller) refreshReports(ctx context.Context, now time.Time, published *table.Table, names []string) {
 	c.mutex.Lock()
 	var stale []string
 	for _, name := range names {
 		state := c.engines[name]
-		if !state.leaving && now.Sub(state.reportedAt) > refreshAfter && now.Sub(state.askedAt) > refreshAfter {
+		if !state.leaving && now.Sub(state.reportedAt) > refreshAfter && now.Sub(state.requestedAt) > refreshAfter {
 			stale = append(stale, name)
 		}
 	}
 	slices.SortFunc(stale, func(a, b string) int {
-		return cmp.Or(c.engines[a].askedAt.Compare(c.engines[b].askedAt), cmp.Compare(a, b))
+		return cmp.Or(c.engines[a].requestedAt.Compare(c.engines[b].requestedAt), cmp.Compare(a, b))
 	})
-	stale = stale[:min(len(stale), refreshesPerLook)]
+	stale = stale[:min(len(stale), maxRefreshes)]
 	for _, name := range stale {
-		c.engines[name].askedAt = now
+		c.engines[name].requestedAt = now
 	}
 	c.mutex.Unlock()
-	c.each(stale, func(name string) {
+	c.forEach(stale, func(name string) {
 		engine, known := c.client(name)
 		if !known {
 			return
@@ -229,25 +239,25 @@
 		defer cancel()
 		report, err := engine.Load(ctx)
 		if err != nil {
-			return // the engine counts as away after awayGrace
+			return // the engine becomes unavailable after unreachableGrace
 		}
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		if state := c.engines[name]; state != nil {
 			state.report, state.reportedAt = report, time.Now()
-			c.takeReport(state.reportedAt, state, published)
+			c.applyReport(state.reportedAt, state, published)
 		}
 	})
 }
 
-// each runs work for all names, a bounded number at once.
-func (c *Controller) each(names []string, work func(name string)) {
-	places := make(chan struct{}, requestsAtOnce)
+// forEach runs work for all names with bounded concurrency.
+func (c *Controller) forEach(names []string, work func(name string)) {
+	slots := make(chan struct{}, maxConcurrentRequests)
 	var group sync.WaitGroup
 	for _, name := range names {
-		places <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			work(name)
 		})
 	}
--- a/internal/controller/models/metrics.go
+++ b/internal/controller/models/metrics.go
@@ -40,7 +40,7 @@
 	switch {
 	case err == nil:
 		outcome = "done"
-	case errors.Is(err, errNotHeld):
+	case errors.Is(err, errNotOwner):
 		outcome = "not_sent"
 	case errors.Is(err, backend.ErrStaleFence):
 		outcome = "stale"
--- a/internal/controller/models/site_test.go
+++ b/internal/controller/models/site_test.go
@@ -23,15 +23,15 @@
 
 const service = "pool"
 
-// site is some engines, and nodes of which one holds the service's shard.
+// site is a set of engines and of nodes, one of which owns the service's shard.
 type site struct {
 	engines []*engine.Engine
-	// deaf, if set, answers no order.
-	deaf    *engine.Engine
-	weights *weightstore.Store
-	demand  *models.Demand
-	stop    context.CancelFunc
-	group   sync.WaitGroup
+	// unresponsive, if set, does not answer orders.
+	unresponsive *engine.Engine
+	weights      *weightstore.Store
+	demand       *models.Demand
+	stop         context.CancelFunc
+	group        sync.WaitGroup
 
 	// mutex guards all below.
 	mutex sync.Mutex
@@ -46,11 +46,11 @@
 	index      int
 	board      *blackboard.Board
 	controller *models.Controller
-	// stalled holds its orders back after the look at the lease.
+	// stalled delays the node's orders after the lease check.
 	stalled bool
-	// losses is how many answers to loads get lost, after the order arrived.
+	// losses is how many responses to loads get lost after the order was received.
 	losses int
-	// unpolled is how many engines, from the last on, stand on the board without
+	// unpolled is how many engines, counted from the last, are on the board without
 	// a report.
 	unpolled int
 }
@@ -59,7 +59,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 2, byte(index + 1)}), 7000)
 }
 
-// inSite runs test in a bubble with two nodes and an engine for each list of models.
+// inSite runs test in virtual time with two nodes and one engine per list of models.
 func inSite(t *testing.T, loaded [][]string, hooks models.Hooks, test func(t *testing.T, s *site)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -75,7 +75,7 @@
 		for index := range 2 {
 			n := &node{site: s, index: index, board: blackboard.NewBoard()}
 			n.controller = models.New(models.Config{
-				ShardCount: 4, Board: n.board, Directory: n, Weights: s.weights, OwnedEpoch: n.held, Demand: s.demand, Hooks: hooks,
+				ShardCount: 4, Board: n.board, Directory: n, Weights: s.weights, OwnedEpoch: n.ownedEpoch, Demand: s.demand, Hooks: hooks,
 			})
 			s.nodes = append(s.nodes, n)
 			s.group.Go(func() { n.controller.Run(ctx) })
@@ -86,7 +86,7 @@
 	})
 }
 
-// close ends everything in the bubble.
+// close stops all goroutines of the site.
 func (s *site) close() {
 	for _, n := range s.nodes {
 		s.stall(n, false)
@@ -99,7 +99,7 @@
 	s.group.Wait()
 }
 
-func (n *node) held(identity.ShardID) (identity.Epoch, error) {
+func (n *node) ownedEpoch(identity.ShardID) (identity.Epoch, error) {
 	n.site.mutex.Lock()
 	defer n.site.mutex.Unlock()
 	if n.site.owner != n.index {
@@ -108,7 +108,7 @@
 	return n.site.epoch, nil
 }
 
-// poll keeps the board in step with the engines, as the back-end controller does.
+// poll updates the board from the engines, as the back-end controller does.
 func (n *node) poll(ctx context.Context) {
 	for ctx.Err() == nil {
 		for index, one := range n.site.engines {
@@ -142,13 +142,13 @@
 	node *node
 }
 
-// Order implements backend.Engine: what a stopped process held back after its
-// checks leaves once it goes on.
+// Order implements backend.Engine. The order of a stalled node is sent once the
+// node resumes, as after a process pause.
 func (e stallingEngine) Order(ctx context.Context, order backend.Order) error {
 	for e.node.site.isStalled(e.node) {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if deaf := e.node.site.deaf; deaf != nil && e.Engine == backend.Engine(deaf) {
+	if silent := e.node.site.unresponsive; silent != nil && e.Engine == backend.Engine(silent) {
 		return backend.ErrBroken
 	}
 	load := order.Kind == backend.OrderLoadModel || order.Kind == backend.OrderLoadAdapter
@@ -160,7 +160,7 @@
 	return e.Engine.Order(ctx, order)
 }
 
-// setUnpolled takes the last engines from the polls of all nodes.
+// setUnpolled excludes the last count engines from the polls of all nodes.
 func (s *site) setUnpolled(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -175,7 +175,7 @@
 	return n.unpolled
 }
 
-// loses uses up one loss.
+// loses reports whether the next response gets lost, and counts it.
 func (s *site) loses(n *node) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -195,7 +195,7 @@
 	n.stalled = stalled
 }
 
-// callUntil sends one call after the other to the first engine.
+// callUntil sends sequential calls to the first engine until ended.
 func (s *site) callUntil(ended time.Time, caller int) {
 	one := s.demand.Count(s.nodes[0]).Engine(address(0))
 	for sequence := identity.Sequence(1); time.Now().Before(ended); sequence++ {
@@ -207,14 +207,14 @@
 	}
 }
 
-// takeOver gives the service's shard to another node.
+// takeOver moves the service's shard to another node in a new epoch.
 func (s *site) takeOver(owner int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.owner, s.epoch = owner, s.epoch+1
 }
 
-// publish puts rows into force at all nodes.
+// publish puts a table with these rows in force on all nodes.
 func (s *site) publish(rows ...table.Model) {
 	next := &table.Table{Models: map[string]table.Model{}, Adapters: map[string]table.Adapter{}}
 	for _, row := range rows {
@@ -230,7 +230,7 @@
 	}
 }
 
-// loads are the loads of a subject that engines began, over the whole site.
+// loads returns the loads of a subject that engines began, over all engines.
 func (s *site) loads(subject string) (begun []backend.Order) {
 	for _, one := range s.engines {
 		for _, record := range one.Truth().Orders {
@@ -243,7 +243,7 @@
 	return begun
 }
 
-// holders counts the live engines that report the model.
+// holders counts the reachable engines that report the model as loaded.
 func (s *site) holders(model string) (count int) {
 	for _, one := range s.engines {
 		report, err := one.Load(context.Background())
--- a/internal/controller/models/wait.go
+++ b/internal/controller/models/wait.go
@@ -8,20 +8,21 @@
 	"stepseam.example/stepseam/internal/backend"
 )
 
-// Waits told to callers whose model is nowhere loaded.
+// Parameters of the waits that are returned to callers whose model is not loaded.
 const (
-	// firstLoadTime stands for the load time of what this node never saw loading.
-	firstLoadTime = 30 * time.Second
-	// decideTime is from the need of a load to its begin, with fences and reports;
-	// shortestWait is told where a load is overdue.
-	decideTime   = 5 * time.Second
-	shortestWait = 2 * time.Second
-	longestWait  = 2 * time.Minute
+	// defaultLoadTime is assumed for models and adapters whose loading this node
+	// has not observed.
+	defaultLoadTime = 30 * time.Second
+	// schedulingDelay is the expected time until a required load begins, including
+	// fences and reports. minWait is returned if a load is overdue.
+	schedulingDelay = 5 * time.Second
+	minWait         = 2 * time.Second
+	maxWait         = 2 * time.Minute
 )
 
-// ExpectedWait returns how long it takes until some engine has model, and adapter
-// unless empty, as far as this node knows. It is false where an engine has both,
-// where the table does not ask for them and where no engine is there to load them.
+// ExpectedWait returns the estimated time until some engine has model loaded, and
+// adapter unless empty. It returns false if an engine has both, if the table does
+// not require them to be loaded, or if no engine is available to load them.
 func (c *Controller) ExpectedWait(model, adapter string) (time.Duration, bool) {
 	published := c.config.Board.Table.Load()
 	if published == nil || published.Models[model].MinReplicas == 0 {
@@ -36,31 +37,32 @@
 	defer c.mutex.Unlock()
 	var engines []*engineState
 	for _, state := range c.engines {
-		if state.service == published.Models[model].Service && state.counted(now) {
+		if state.service == published.Models[model].Service && state.available(now) {
 			engines = append(engines, state)
 		}
 	}
 	if len(engines) == 0 {
 		return 0, false
 	}
-	wait := c.waitFor(now, engines, model, backend.OrderLoadModel, func(report backend.LoadReport) bool {
+	wait := c.loadWait(now, engines, model, backend.OrderLoadModel, func(report backend.LoadReport) bool {
 		return slices.Contains(report.Models, model)
 	})
 	if adapter != "" {
-		wait += c.waitFor(now, engines, adapter, backend.OrderLoadAdapter, func(report backend.LoadReport) bool {
+		wait += c.loadWait(now, engines, adapter, backend.OrderLoadAdapter, func(report backend.LoadReport) bool {
 			return slices.Contains(report.Adapters, adapter) && slices.Contains(report.Models, model)
 		})
 	}
-	return min(wait, longestWait), wait > 0
+	return min(wait, maxWait), wait > 0
 }
 
-// waitFor returns 0 where one of engines has the subject.
-func (c *Controller) waitFor(now time.Time, engines []*engineState, name string, kind backend.OrderKind, has func(backend.LoadReport) bool) time.Duration {
+// loadWait returns the estimated time until one of engines has loaded name, 0 if
+// one has.
+func (c *Controller) loadWait(now time.Time, engines []*engineState, name string, kind backend.OrderKind, has func(backend.LoadReport) bool) time.Duration {
 	expected, known := c.loadTimes[name]
 	if !known {
-		expected = firstLoadTime
+		expected = defaultLoadTime
 	}
-	wait := expected + decideTime
+	wait := expected + schedulingDelay
 	for _, state := range engines {
 		if has(state.report) {
 			return 0
@@ -69,13 +71,13 @@
 			return order.Kind == kind && order.Subject == name
 		})
 		if since, seen := state.loadingSince[name]; loading && seen {
-			wait = min(wait, max(shortestWait, expected-now.Sub(since)))
+			wait = min(wait, max(minWait, expected-now.Sub(since)))
 		}
 	}
 	return wait
 }
 
-// Status returns what this node knows and does about each service, by name.
+// Status returns the state of each service, sorted by name.
 func (c *Controller) Status() []Status {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
