--- a/internal/controller/tables/controller.go
+++ b/internal/controller/tables/controller.go
@@ -1,16 +1,16 @@
-// Package tables keeps the operators' table in force on this node: it follows
-// the table stream of the log, exchanges what it read with peers, writes
+// Package tables puts the operators' table in force on this node: it reads the
+// table stream of the log, exchanges versions with peers, writes
 // blackboard.Board.Table, and publishes new versions for operators.
 //
 // Invariants:
-//   - A version is in force here only if it was accepted in the log: this node
-//     read it there, or a peer that read it there handed it on.
-//   - The version in force only rises within a process. A fresh process puts
-//     nothing in force before it has read the stream to its end or, where the log
-//     stays out of reach for logPatience, has asked its peers; so it does not
-//     start below what it could have learned.
-//   - Publish tells an outcome only if it cannot turn out otherwise. What is not
-//     certain is an *UnknownError.
+//   - A version is in force only if it was accepted in the log: this node read it
+//     there, or received it from a peer that did.
+//   - The version in force never decreases within a process. A new process puts
+//     nothing in force before it has read the stream to its end or, if the log is
+//     unavailable for logStartTimeout, has queried its peers. Therefore it does
+//     not start with an older version than those it can reach.
+//   - Publish returns an outcome only if the outcome is final. Otherwise it returns
+//     an *OutcomeUnknownError.
 package tables
 
 import (
@@ -30,22 +30,22 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// Config holds what a Controller works with. Log, Peers, Board and Self must be
-// set; the zero values of the rest stand for their defaults.
+// Config configures a Controller. Log, Peers, Board and Self are required; other
+// zero values take their defaults.
 type Config struct {
 	Self  identity.NodeName
 	Log   siteservices.Log
 	Peers peer.Client
 	Board *blackboard.Board
-	// Logger takes the controller's lines; nil drops them.
+	// Logger receives the controller's log; nil discards it.
 	Logger *slog.Logger
 	// PollWait is how long one read of the stream waits for a record.
 	PollWait time.Duration
-	// PeerInterval is the time between two looks for peers that are ahead.
+	// PeerInterval is the time between two exchanges with peers.
 	PeerInterval time.Duration
-	// PublishTimeout bounds one Publish.
+	// PublishTimeout bounds each Publish.
 	PublishTimeout time.Duration
-	// Random draws from 0 to 1, for jitter and the choice of peers.
+	// Random returns numbers in [0, 1) for jitter and the choice of peers.
 	Random func() float64
 }
 
@@ -57,17 +57,18 @@
 )
 
 const (
-	// logPatience is how long a fresh node waits for the log before it takes the
-	// word of its peers alone.
-	logPatience = 2 * time.Second
-	// answerGrace is how long an answer may take beyond what it was asked to wait.
-	answerGrace = 2 * time.Second
-	// readLimit is the number of records of one read.
+	// logStartTimeout is how long a new node waits for the log before it puts a
+	// version in force that it only received from peers.
+	logStartTimeout = 2 * time.Second
+	// responseMargin is the time for a response in addition to the wait of a long
+	// poll.
+	responseMargin = 2 * time.Second
+	// readLimit is the maximum number of records per read.
 	readLimit = 256
-	// retryFirst and retryLast bound the pause after a failed read or append; it
-	// doubles from one to the other.
-	retryFirst = 100 * time.Millisecond
-	retryLast  = 2 * time.Second
+	// minRetryPause and maxRetryPause bound the exponential backoff after a failed
+	// read or append.
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = 2 * time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -89,69 +90,72 @@
 	return c
 }
 
-// Controller keeps the table of one node. It is safe for concurrent use.
+// Controller maintains the table of one node. It is safe for concurrent use.
 type Controller struct {
 	config  Config
 	started time.Time
-	// advanced wakes the exchange with peers when there is news to pass on or to fetch.
+	// advanced wakes the exchange with peers when a version is to be passed on or
+	// fetched.
 	advanced chan struct{}
 
 	// mutex guards all below, and every write of Board.Table.
-	mutex  sync.Mutex
-	ledger *table.VersionLog
-	// reachedEnd is true once a read of the stream came to its end.
+	mutex    sync.Mutex
+	versions *table.VersionLog
+	// reachedEnd is true once a read has reached the end of the stream.
 	reachedEnd bool
-	// peersAsked is true once a round among peers was answered after logPatience.
-	peersAsked bool
-	// ahead names peers that told of a longer stream than this node has folded.
+	// peersQueried is true once a peer has responded to a round of pulls after
+	// logStartTimeout.
+	peersQueried bool
+	// ahead contains the peers that have applied more of the stream than this node.
 	ahead map[identity.NodeName]bool
-	// failure is why the stream cannot be followed at the moment, or nil.
+	// failure is why the stream currently cannot be read, or nil.
 	failure error
 }
 
-// New returns a controller. Register and Run make it work.
+// New returns a controller. Call Register and Run to start it.
 func New(config Config) *Controller {
 	return &Controller{
 		config:   config.withDefaults(),
 		started:  time.Now(),
 		advanced: make(chan struct{}, 1),
-		ledger:   table.NewVersionLog(),
+		versions: table.NewVersionLog(),
 		ahead:    map[identity.NodeName]bool{},
 	}
 }
 
-// Run follows the stream and exchanges with peers until ctx ends.
+// Run reads the stream, exchanges versions with peers and writes snapshots until
+// ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	c.started = time.Now()
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return c.follow(ctx) })
+	group.Go(func() error { return c.readStream(ctx) })
 	group.Go(func() error { return c.exchange(ctx) })
-	group.Go(func() error { return c.summarize(ctx) })
+	group.Go(func() error { return c.writeSnapshots(ctx) })
 	if err := group.Wait(); err != nil && ctx.Err() == nil {
 		return fmt.Errorf("tables: %w", err)
 	}
 	return nil
 }
 
-// State is what this node knows of the table, for operators.
+// State is the state of the table on this node.
 type State struct {
-	// InForce is the version in force here, 0 before the first.
+	// InForce is the version in force on this node, 0 before the first.
 	InForce table.Version
 	// CSV is the newest accepted table as its author wrote it.
 	CSV []byte
-	// Known is the newest accepted version that this node knows of.
+	// Known is the newest accepted version that this node has seen.
 	Known table.Version
-	// Next is the offset that the node reads on from.
+	// Next is the offset of the next record to read.
 	Next siteservices.Offset
-	// Failure is why the stream cannot be followed at the moment; empty if it can.
+	// Failure is why the stream currently cannot be read, empty if it can.
 	Failure string
 }
 
-// State returns what this node knows of the table.
+// State returns the state of the table on this node.
 func (c *Controller) State() State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	state := State{CSV: c.ledger.CSV(), Known: c.ledger.Version(), Next: c.ledger.Next()}
+	state := State{CSV: c.versions.CSV(), Known: c.versions.Version(), Next: c.versions.Next()}
 	if current := c.config.Board.Table.Load(); current != nil {
 		state.InForce = current.Version
 	}
@@ -161,37 +165,39 @@
 	return state
 }
 
-// History returns the last publications that this node knows of, oldest first.
+// History returns the most recent publications that this node has seen, oldest
+// first.
 func (c *Controller) History() []table.Entry {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.ledger.History()
+	return c.versions.History()
 }
 
-// takeOver replaces the ledger by one of a peer, or of a summary that this node
-// read, if that one has folded more.
-func (c *Controller) takeOver(handed *table.VersionLog, from identity.NodeName) {
+// adopt replaces the version log by one received from a peer or read from a
+// snapshot, if that one has applied more records.
+func (c *Controller) adopt(received *table.VersionLog, from identity.NodeName) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.ahead, from)
-	if handed.Next() <= c.ledger.Next() {
+	if received.Next() <= c.versions.Next() {
 		return
 	}
 	c.config.Logger.Info("table taken over",
-		"from", from, "version", handed.Version(), "offset", handed.Next())
-	c.ledger = handed
-	c.enforce()
+		"from", from, "version", received.Version(), "offset", received.Next())
+	c.versions = received
+	c.putInForce()
 }
 
-// enforce puts the ledger's version in force if that may be done. The caller
-// holds mutex; there is no other writer of Board.Table.
-func (c *Controller) enforce() {
-	newest := c.ledger.Current()
+// putInForce puts the newest accepted version in force unless this node has neither
+// read the stream to its end nor queried its peers. The caller holds mutex. There
+// is no other writer of Board.Table.
+func (c *Controller) putInForce() {
+	newest := c.versions.Current()
 	inForce := c.config.Board.Table.Load()
 	if newest == nil || (inForce != nil && inForce.Version >= newest.Version) {
 		return
 	}
-	if inForce == nil && !c.reachedEnd && !c.peersAsked {
+	if inForce == nil && !c.reachedEnd && !c.peersQueried {
 		return
 	}
 	c.config.Board.Table.Store(newest)
@@ -199,7 +205,7 @@
 	c.wake()
 }
 
-// wake lets the exchange with peers run now.
+// wake starts the next exchange with peers immediately.
 func (c *Controller) wake() {
 	select {
 	case c.advanced <- struct{}{}:
@@ -207,7 +213,8 @@
 	}
 }
 
-// pause waits between two tries, shorter by chance so that nodes do not try in step.
+// pause sleeps between two attempts for at most longest, with jitter so that nodes
+// do not retry in lockstep.
 func (c *Controller) pause(ctx context.Context, longest time.Duration) {
 	const fixedShare = 0.5
 	share := fixedShare + (1-fixedShare)*c.config.Random()
--- a/internal/controller/tables/exchange.go
+++ b/internal/controller/tables/exchange.go
@@ -19,10 +19,11 @@
 // The kinds of messages of this package.
 const (
 	kindPull = peer.KindRangeTable + 1 + iota
-	kindHandOver
+	kindPullResponse
 )
 
-// pull tells how far its sender has folded the stream and asks for more.
+// pull requests the version log of a peer that has applied records from Next on.
+// Node is the sender.
 type pull struct {
 	Node identity.NodeName
 	Next siteservices.Offset
@@ -42,14 +43,15 @@
 	m.Node, m.Next = identity.NodeName(d.String()), siteservices.Offset(d.Uint64())
 }
 
-// handOver answers a pull. Ledger is nil unless the answering node has folded more.
-type handOver struct{ Ledger *table.VersionLog }
+// pullResponse is the response to a pull. Ledger is nil unless the responding node
+// has applied more records than the sender.
+type pullResponse struct{ Ledger *table.VersionLog }
 
 // Kind implements peer.Message.
-func (*handOver) Kind() peer.Kind { return kindHandOver }
+func (*pullResponse) Kind() peer.Kind { return kindPullResponse }
 
 // Encode implements peer.Message.
-func (m *handOver) Encode(e *wire.Encoder) {
+func (m *pullResponse) Encode(e *wire.Encoder) {
 	e.Bool(m.Ledger != nil)
 	if m.Ledger != nil {
 		m.Ledger.Encode(e)
@@ -57,62 +59,63 @@
 }
 
 // Decode implements peer.Message.
-func (m *handOver) Decode(d *wire.Decoder) {
+func (m *pullResponse) Decode(d *wire.Decoder) {
 	if !d.Bool() {
 		return
 	}
-	ledger, err := table.DecodeVersionLog(d)
+	versions, err := table.DecodeVersionLog(d)
 	if err != nil {
 		d.Fail(err)
 		return
 	}
-	m.Ledger = ledger
+	m.Ledger = versions
 }
 
 const (
-	// spreadCount is the number of peers that a node tells of a new version at
-	// once; each of them does the same, so that it reaches all in a few steps.
-	spreadCount = 3
-	// firstCount is the number of peers that a fresh node asks.
-	firstCount = 8
-	// quietRounds is the number of intervals between two pulls from a peer by
-	// chance, for what membership's updates did not tell yet.
-	quietRounds = 4
-	// pullTimeout bounds one pull.
+	// newsFanout is the number of peers that a node pulls from after a change, which
+	// also informs them that it is ahead. Each of them does the same, so that a new
+	// version spreads in a logarithmic number of steps.
+	newsFanout = 3
+	// initialFanout is the number of random peers that a new node pulls from.
+	initialFanout = 8
+	// randomPullRounds is the number of rounds between two pulls from a random peer,
+	// which detect versions that membership has not announced yet.
+	randomPullRounds = 4
+	// pullTimeout bounds each pull.
 	pullTimeout = time.Second
 )
 
 // Register adds this package's messages and handler to the node's registry.
 func (c *Controller) Register(registry *peer.Registry) {
-	registry.Add(func() peer.Message { return &pull{} }, func() peer.Message { return &handOver{} })
+	registry.Add(func() peer.Message { return &pull{} }, func() peer.Message { return &pullResponse{} })
 	registry.Handle(kindPull, peer.HandlerFunc(c.handlePull))
 }
 
 func (c *Controller) handlePull(_ context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
-	asked, ok := request.(*pull)
+	message, ok := request.(*pull)
 	if !ok {
 		return nil, fmt.Errorf("tables: unexpected message of kind %d", request.Kind())
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch {
-	case asked.Next < c.ledger.Next():
-		return &handOver{Ledger: c.ledger.Clone()}, nil
-	case asked.Next > c.ledger.Next():
-		c.ahead[asked.Node] = true
+	case message.Next < c.versions.Next():
+		return &pullResponse{Ledger: c.versions.Clone()}, nil
+	case message.Next > c.versions.Next():
+		c.ahead[message.Node] = true
 		c.wake()
 	}
-	return &handOver{}, nil
+	return &pullResponse{}, nil
 }
 
-// exchange pulls from peers until ctx ends: at once when something changed
-// here or a peer told that it is ahead, else at intervals.
+// exchange pulls from peers until ctx ends: immediately when the version log has
+// changed or a peer is known to be ahead, otherwise at intervals.
 func (c *Controller) exchange(ctx context.Context) error {
-	told := c.next()
+	seen := c.next()
 	for round := 0; ctx.Err() == nil; round++ {
 		next := c.next()
-		targets := c.targets(round, next > told)
-		told = next
+		targets := c.targets(round, next > seen)
+		seen = next
 		c.pullAll(ctx, targets)
 		select {
 		case <-c.advanced:
@@ -126,16 +129,17 @@
 func (c *Controller) next() siteservices.Offset {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.ledger.Next()
+	return c.versions.Next()
 }
 
-// targets chooses the peers of one round.
+// targets chooses the peers to pull from in one round. news is true if this node's
+// version log has advanced since the last round.
 func (c *Controller) targets(round int, news bool) []membership.Member {
 	others := lo.Filter(c.config.Board.Members.Load().Members, func(m membership.Member, _ int) bool {
 		return m.Node.Name != c.config.Self
 	})
 	c.mutex.Lock()
-	version, ahead := c.ledger.Version(), c.ahead
+	version, ahead := c.versions.Version(), c.ahead
 	c.ahead = map[identity.NodeName]bool{}
 	fresh := c.config.Board.Table.Load() == nil
 	c.mutex.Unlock()
@@ -144,18 +148,18 @@
 	})
 	switch {
 	case fresh:
-		return append(c.sample(known, spreadCount), c.sample(others, firstCount)...)
+		return append(c.sample(known, newsFanout), c.sample(others, initialFanout)...)
 	case len(known) > 0:
 		return c.sample(known, 1)
 	case news:
-		return c.sample(others, spreadCount)
-	case round%quietRounds == 0:
+		return c.sample(others, newsFanout)
+	case round%randomPullRounds == 0:
 		return c.sample(others, 1)
 	}
 	return nil
 }
 
-// sample draws up to count members.
+// sample returns up to count random members.
 func (c *Controller) sample(members []membership.Member, count int) []membership.Member {
 	drawn := append([]membership.Member(nil), members...)
 	for i := range min(count, len(drawn)) {
@@ -165,9 +169,9 @@
 	return drawn[:min(count, len(drawn))]
 }
 
-// pullAll pulls from all targets side by side and waits for them.
+// pullAll pulls from all targets concurrently and waits for them.
 func (c *Controller) pullAll(ctx context.Context, targets []membership.Member) {
-	patient := time.Since(c.started) >= logPatience
+	timedOut := time.Since(c.started) >= logStartTimeout
 	var group sync.WaitGroup
 	var mutex sync.Mutex
 	answered := false
@@ -181,16 +185,16 @@
 		})
 	}
 	group.Wait()
-	if !answered || !patient {
+	if !answered || !timedOut {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.peersAsked = true
-	c.enforce()
+	c.peersQueried = true
+	c.putInForce()
 }
 
-// pullFrom pulls from one peer and tells whether it answered.
+// pullFrom pulls from one peer and reports whether it responded.
 func (c *Controller) pullFrom(ctx context.Context, target membership.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -200,12 +204,12 @@
 		c.config.Logger.Debug("table not pulled", "peer", target.Node.Name, "error", err)
 		return false
 	}
-	handed, ok := answer.(*handOver)
+	received, ok := answer.(*pullResponse)
 	if !ok {
 		return false
 	}
-	if handed.Ledger != nil {
-		c.takeOver(handed.Ledger, target.Node.Name)
+	if received.Ledger != nil {
+		c.adopt(received.Ledger, target.Node.Name)
 	}
 	return true
 }
--- a/internal/controller/tables/site_test.go
+++ b/internal/controller/tables/site_test.go
@@ -30,43 +30,43 @@
 
 func sheetOf(number int) []byte { return fmt.Appendf(nil, sheet, number+1) }
 
-// publisher is what is tested: Controller.Publish or a wrong variant of it.
+// publisher is the function under test: Controller.Publish or a faulty variant.
 type publisher func(ctx context.Context, n *node, p tables.Publication) (table.Entry, error)
 
-func publishRight(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
+func publishCorrectly(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
 	return n.controller.Publish(ctx, p)
 }
 
-// site is a whole site in memory: the real controllers over an emulated log and
-// network. Everything runs in one synctest bubble.
+// site is a complete site in memory: the production controllers over an emulated
+// log and network, in one synctest bubble.
 type site struct {
 	t       *testing.T
 	random  *rand.Rand
 	log     *logservice.Service
 	network *network.Network
 	publish publisher
-	// onStart is run for each new life; wrong variants set it.
+	// onStart is called for each new incarnation; faulty variants set it.
 	onStart func(n *node)
-	// hints tells whether members' versions ride on the membership updates.
+	// hints is true if membership updates include the members' table versions.
 	hints bool
 
-	ctx   context.Context
-	names []identity.NodeName
-	lives sync.WaitGroup
+	ctx        context.Context
+	names      []identity.NodeName
+	background sync.WaitGroup
 
 	mutex sync.Mutex
 	nodes map[identity.NodeName]*node
-	// last is the last version in force under a node name, over its lives.
+	// last is the last version in force under a node name, over its incarnations.
 	last map[identity.NodeName]table.Version
-	// forced is the publication that was seen in force as each version.
-	forced      map[table.Version]string
-	disturbed   time.Time
-	violations  []string
-	reports     []report
-	publication int
+	// publicationIDs maps versions to the publication that was observed in force.
+	publicationIDs map[table.Version]string
+	lastFault      time.Time
+	violations     []string
+	reports        []report
+	publication    int
 }
 
-// node is one life of one node.
+// node is one incarnation of a node.
 type node struct {
 	site       *site
 	self       identity.Node
@@ -78,36 +78,37 @@
 	started    time.Time
 }
 
-// report is what one publisher was told.
+// report is the result that one publisher received.
 type report struct {
 	publication tables.Publication
 	entry       table.Entry
 	err         error
 }
 
-// gatedLog is the log as a node sees it that can be frozen and killed.
-type gatedLog struct {
+// nodeLog is a node's view of the log. Requests and responses are lost while the
+// node is paused or killed.
+type nodeLog struct {
 	endpoint *network.Endpoint
 	view     *logservice.View
 }
 
-func (g gatedLog) Append(ctx context.Context, stream string, records [][]byte) (siteservices.Offset, error) {
-	if err := g.endpoint.Gate(ctx); err != nil {
+func (l nodeLog) Append(ctx context.Context, stream string, records [][]byte) (siteservices.Offset, error) {
+	if err := l.endpoint.Gate(ctx); err != nil {
 		return 0, errors.Join(siteservices.ErrUnavailable, err)
 	}
-	offset, err := g.view.Append(ctx, stream, records)
-	if gateErr := g.endpoint.Gate(context.Background()); gateErr != nil {
+	offset, err := l.view.Append(ctx, stream, records)
+	if gateErr := l.endpoint.Gate(context.Background()); gateErr != nil {
 		return 0, errors.Join(siteservices.ErrAnswerLost, gateErr)
 	}
 	return offset, err
 }
 
-func (g gatedLog) Read(ctx context.Context, stream string, from siteservices.Offset, limit int, wait time.Duration) (siteservices.ReadResult, error) {
-	if err := g.endpoint.Gate(ctx); err != nil {
+func (l nodeLog) Read(ctx context.Context, stream string, from siteservices.Offset, limit int, wait time.Duration) (siteservices.ReadResult, error) {
+	if err := l.endpoint.Gate(ctx); err != nil {
 		return siteservices.ReadResult{}, errors.Join(siteservices.ErrUnavailable, err)
 	}
-	result, err := g.view.Read(ctx, stream, from, limit, wait)
-	if gateErr := g.endpoint.Gate(context.Background()); gateErr != nil {
+	result, err := l.view.Read(ctx, stream, from, limit, wait)
+	if gateErr := l.endpoint.Gate(context.Background()); gateErr != nil {
 		return siteservices.ReadResult{}, errors.Join(siteservices.ErrAnswerLost, gateErr)
 	}
 	return result, err
@@ -117,9 +118,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &site{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), log: logservice.New(seed), network: network.New(seed),
-		publish: publishRight, onStart: func(*node) {}, ctx: ctx,
+		publish: publishCorrectly, onStart: func(*node) {}, ctx: ctx,
 		nodes: map[identity.NodeName]*node{}, last: map[identity.NodeName]table.Version{},
-		forced: map[table.Version]string{},
+		publicationIDs: map[table.Version]string{},
 	}
 	s.network.SetLatency("a", "a", 1500*time.Microsecond)
 	for i := range size {
@@ -128,8 +129,8 @@
 	t.Cleanup(func() {
 		cancel()
 		s.network.Close()
-		s.lives.Wait()
-		time.Sleep(time.Minute) // lets what is on the network come to its end
+		s.background.Wait()
+		time.Sleep(time.Minute) // lets messages in flight complete
 	})
 	return s
 }
@@ -152,7 +153,7 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	n := &node{site: s, self: self, board: blackboard.NewBoard(), cancel: cancel, started: time.Now()}
 	n.endpoint = s.network.Join(self, registry)
-	n.log = gatedLog{endpoint: n.endpoint, view: s.log.ViewFor(string(name))}
+	n.log = nodeLog{endpoint: n.endpoint, view: s.log.ViewFor(string(name))}
 	random := rand.New(rand.NewPCG(s.random.Uint64(), 2))
 	var mutex sync.Mutex
 	n.controller = tables.New(tables.Config{
@@ -166,9 +167,9 @@
 	former := s.last[name]
 	s.mutex.Unlock()
 	best := s.bestConnected(n)
-	s.lives.Go(func() { _ = n.controller.Run(ctx) })
-	s.lives.Go(func() { n.watch(ctx, former, best) })
-	s.lives.Go(func() { n.members(ctx) })
+	s.background.Go(func() { _ = n.controller.Run(ctx) })
+	s.background.Go(func() { n.watch(ctx, former, best) })
+	s.background.Go(func() { n.members(ctx) })
 	s.onStart(n)
 	return n
 }
@@ -177,7 +178,7 @@
 	s.mutex.Lock()
 	n := s.nodes[name]
 	delete(s.nodes, name)
-	s.disturbed = time.Now()
+	s.lastFault = time.Now()
 	s.mutex.Unlock()
 	if n != nil {
 		n.endpoint.Kill()
@@ -191,10 +192,10 @@
 	return s.nodes[name]
 }
 
-func (s *site) disturb() {
+func (s *site) markFault() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.disturbed = time.Now()
+	s.lastFault = time.Now()
 }
 
 func (n *node) version() table.Version {
@@ -204,7 +205,7 @@
 	return 0
 }
 
-// connected tells whether both nodes run and reach each other.
+// connected reports whether both nodes run and can reach each other.
 func (n *node) connected(other *node) bool {
 	return !n.endpoint.Frozen() && !other.endpoint.Frozen() &&
 		n.site.network.Reaches(n.self, other.self) && n.site.network.Reaches(other.self, n.self)
@@ -223,7 +224,7 @@
 	return best
 }
 
-// members stands in for the membership controller: it lists connected nodes.
+// members replaces the membership controller: it lists the connected nodes.
 func (n *node) members(ctx context.Context) {
 	for ctx.Err() == nil {
 		view := membership.View{Self: n.self.Reference()}
@@ -246,8 +247,9 @@
 	}
 }
 
-// watch checks the versions in force during one life. former is the last one of
-// the lives before, best the highest at connected nodes when this one began.
+// watch checks the versions in force during one incarnation. former is the last
+// version of the previous incarnations, best the highest version on connected
+// nodes when this incarnation started.
 func (n *node) watch(ctx context.Context, former, best table.Version) {
 	highest := table.Version(0)
 	for {
@@ -260,7 +262,7 @@
 				n.checkFirst(former, best, current.Version)
 			}
 			highest = max(highest, current.Version)
-			n.noteInForce(current)
+			n.recordInForce(current)
 		}
 		select {
 		case <-changed:
@@ -270,11 +272,11 @@
 	}
 }
 
-func (n *node) noteInForce(current *table.Table) {
+func (n *node) recordInForce(current *table.Table) {
 	s := n.site
 	s.mutex.Lock()
-	former, found := s.forced[current.Version]
-	s.forced[current.Version] = current.ID
+	former, found := s.publicationIDs[current.Version]
+	s.publicationIDs[current.Version] = current.ID
 	s.last[n.self.Name] = max(s.last[n.self.Name], current.Version)
 	s.mutex.Unlock()
 	if found && former != current.ID {
@@ -282,23 +284,23 @@
 	}
 }
 
-// checkFirst checks a new life against the former one, where this one could
-// know better: nothing was disturbed since it began, and it reaches the log or
-// a node that has the former version.
+// checkFirst checks that a new incarnation does not start with an older version
+// than the previous one, if it could know better: there was no fault since it
+// started, and it reaches the log or a node that has the previous version.
 func (n *node) checkFirst(former, best, first table.Version) {
 	s := n.site
 	s.mutex.Lock()
-	quiet := !s.disturbed.After(n.started)
+	noFault := !s.lastFault.After(n.started)
 	s.mutex.Unlock()
 	view := s.log.ViewFor(string(n.self.Name)).Faults()
 	logThere := s.log.Faults() == (logservice.Faults{}) && view == (logservice.Faults{})
-	if quiet && (logThere || best >= former) && first < former {
+	if noFault && (logThere || best >= former) && first < former {
 		s.violate("%s went back over a restart from version %d to %d", n.self.Name, former, first)
 	}
 }
 
-// publishAt publishes on the given base at a node and keeps what it was told.
-// The note is what the checker finds the publication by in the log.
+// publishAt publishes on the given base at a node and records the result. The
+// checker identifies the publication in the log by its note.
 func (s *site) publishAt(n *node, base table.Version, done *sync.WaitGroup) {
 	s.mutex.Lock()
 	s.publication++
@@ -316,7 +318,7 @@
 	})
 }
 
-// truth folds the log itself.
+// truth applies the records of the log.
 func (s *site) truth() *table.VersionLog {
 	ledger := table.NewVersionLog()
 	for _, raw := range s.log.Records(table.Stream) {
@@ -327,7 +329,7 @@
 	return ledger
 }
 
-// heal undoes all faults and starts all nodes.
+// heal removes all faults and starts all nodes.
 func (s *site) heal() {
 	s.log.SetFaults(logservice.Faults{})
 	s.network.SetFaults(network.Faults{})
@@ -342,7 +344,8 @@
 	}
 }
 
-// checkInForce checks that all running nodes have the truth's version in force.
+// checkInForce checks that after within all running nodes have the newest version of
+// the log in force.
 func (s *site) checkInForce(within time.Duration) {
 	time.Sleep(within)
 	synctest.Wait()
@@ -358,7 +361,7 @@
 	}
 }
 
-// checkReports holds what publishers were told against the log.
+// checkReports checks the results of all publishers against the log.
 func (s *site) checkReports() {
 	truth := s.truth()
 	byNote := map[string][]table.Entry{}
@@ -373,25 +376,25 @@
 		}
 		return table.Entry{}, false
 	}
-	for _, told := range s.reports {
-		inForce, won := accepted(told.publication.Note)
+	for _, outcome := range s.reports {
+		inForce, won := accepted(outcome.publication.Note)
 		var lost *tables.ConflictError
 		var unknown *tables.OutcomeUnknownError
 		var base *tables.BaseError
 		switch {
-		case told.err == nil && (!won || inForce.Version != told.entry.Version):
-			s.violate("%s told accepted as version %d, the log has %v", told.publication.Note, told.entry.Version, byNote[told.publication.Note])
-		case errors.As(told.err, &lost):
-			winner, _ := truth.AcceptedOn(told.publication.Base)
+		case outcome.err == nil && (!won || inForce.Version != outcome.entry.Version):
+			s.violate("%s told accepted as version %d, the log has %v", outcome.publication.Note, outcome.entry.Version, byNote[outcome.publication.Note])
+		case errors.As(outcome.err, &lost):
+			winner, _ := truth.AcceptedOn(outcome.publication.Base)
 			if won || winner.ID != lost.Winner.ID {
-				s.violate("%s told lost to %s, the log has %s", told.publication.Note, lost.Winner.ID, winner.ID)
+				s.violate("%s told lost to %s, the log has %s", outcome.publication.Note, lost.Winner.ID, winner.ID)
 			}
-		case errors.Is(told.err, tables.ErrNotPublished) || errors.As(told.err, &base):
-			if len(byNote[told.publication.Note]) > 0 {
-				s.violate("%s told not published (%v), the log has %v", told.publication.Note, told.err, byNote[told.publication.Note])
+		case errors.Is(outcome.err, tables.ErrNotPublished) || errors.As(outcome.err, &base):
+			if len(byNote[outcome.publication.Note]) > 0 {
+				s.violate("%s told not published (%v), the log has %v", outcome.publication.Note, outcome.err, byNote[outcome.publication.Note])
 			}
-		case told.err != nil && !errors.As(told.err, &unknown):
-			s.violate("%s told %v", told.publication.Note, told.err)
+		case outcome.err != nil && !errors.As(outcome.err, &unknown):
+			s.violate("%s told %v", outcome.publication.Note, outcome.err)
 		}
 	}
 }
--- a/internal/controller/tables/tables_test.go
+++ b/internal/controller/tables/tables_test.go
@@ -25,14 +25,14 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// TestMain sets rapid's seed and count unless the command line does.
+// TestMain sets rapid's seed and number of checks unless the command line does.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.checks", "60")
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-// action is what one step of a schedule does.
+// action is the kind of a step of a schedule.
 type action int
 
 const (
@@ -50,14 +50,14 @@
 	actionCount
 )
 
-// step is one step of a schedule. First and second choose nodes.
+// step is one step of a schedule. First and Second are indexes of nodes.
 type step struct {
 	Action        action
 	First, Second int
 	Pause         time.Duration
 }
 
-// schedule is one whole trial.
+// schedule is a sequence of publications and faults.
 type schedule struct {
 	Seed  uint64
 	Hints bool
@@ -78,7 +78,7 @@
 	return schedule{Seed: rapid.Uint64().Draw(t, "seed"), Hints: rapid.Bool().Draw(t, "hints"), Steps: steps.Draw(t, "steps")}
 }
 
-// run plays a schedule and returns what was violated, or "".
+// run executes a schedule and returns the violations, or "".
 func run(t *testing.T, plan schedule, publish publisher, onStart func(*node)) (verdict string, publications int) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, plan.Seed, siteSize)
@@ -89,7 +89,7 @@
 		var publishers sync.WaitGroup
 		for _, one := range plan.Steps {
 			time.Sleep(one.Pause)
-			s.play(one, &publishers)
+			s.execute(one, &publishers)
 		}
 		s.heal()
 		publishers.Wait()
@@ -100,7 +100,7 @@
 	return verdict, publications
 }
 
-func (s *site) play(one step, publishers *sync.WaitGroup) {
+func (s *site) execute(one step, publishers *sync.WaitGroup) {
 	first, second := s.names[one.First], s.names[one.Second]
 	switch one.Action {
 	case race:
@@ -111,27 +111,27 @@
 		s.kill(first)
 		s.start(first)
 	case freeze, thaw, cutPeers:
-		s.disturb()
-		s.disturbNetwork(one, first, second)
+		s.markFault()
+		s.injectNetworkFault(one, first, second)
 	case cutLog:
-		s.disturb()
+		s.markFault()
 		s.log.ViewFor(string(first)).SetDown(true)
 	case outage:
-		s.disturb()
+		s.markFault()
 		s.log.SetDown(true)
 	case loseAnswers:
-		s.disturb()
+		s.markFault()
 		s.log.SetFaults(logservice.Faults{LoseBefore: 0.3, LoseAfter: 0.3, Refuse: 0.1})
 		s.network.SetFaults(network.Faults{RequestLoss: 0.2, AnswerLoss: 0.2, Duplicate: 0.2, DuplicateDelay: time.Second})
 	case slowLog:
-		s.disturb()
+		s.markFault()
 		s.log.SetFaults(logservice.Faults{AppendDelay: 8 * time.Second, ReadDelay: 300 * time.Millisecond})
 	case healAll:
 		s.heal()
 	}
 }
 
-// race has up to three nodes publish at once, on the bases that they know.
+// race lets up to three nodes publish concurrently, each on its version in force.
 func (s *site) race(one step, publishers *sync.WaitGroup) {
 	for _, index := range []int{one.First, one.Second, (one.First + one.Second) % siteSize} {
 		if n := s.node(s.names[index]); n != nil {
@@ -140,7 +140,7 @@
 	}
 }
 
-func (s *site) disturbNetwork(one step, first, second identity.NodeName) {
+func (s *site) injectNetworkFault(one step, first, second identity.NodeName) {
 	switch one.Action {
 	case cutPeers:
 		s.network.Cut(first, second)
@@ -155,25 +155,26 @@
 	}
 }
 
-// TestTableHoldsUnderFailure checks, over seeded schedules of races, kills,
-// freezes, cuts, outages, slowness and lost answers: publishers are told the
-// truth, no version in force ever goes back, one version is one table, and
-// within 5 s of healing all nodes have the newest one in force.
-func TestTableHoldsUnderFailure(t *testing.T) {
+// TestTableInvariantsUnderFaults checks over random schedules of concurrent
+// publications, kills, pauses, partitions, outages, delays and lost responses that
+// publishers get correct results, that no version in force ever decreases, that
+// each version is one table, and that all nodes have the newest version in force
+// within 5 s after the last fault.
+func TestTableInvariantsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawSchedule(rt)
-		if verdict, _ := run(t, plan, publishRight, func(*node) {}); verdict != "" {
+		if verdict, _ := run(t, plan, publishCorrectly, func(*node) {}); verdict != "" {
 			rt.Fatal(verdict)
 		}
 	})
 }
 
-// caught plays schedules until the checker finds something: those that are made to
-// show the fault first.
-func caught(t *testing.T, publish publisher, onStart func(*node), made ...schedule) {
+// expectViolation runs schedules until the checker finds a violation, beginning with
+// those that were constructed to cause it.
+func expectViolation(t *testing.T, publish publisher, onStart func(*node), constructed ...schedule) {
 	t.Helper()
 	const tries = 200
-	for _, plan := range made {
+	for _, plan := range constructed {
 		verdict, _ := run(t, plan, publish, onStart)
 		if verdict != "" {
 			t.Logf("caught by a schedule made for it: %s", verdict)
@@ -190,33 +191,34 @@
 	t.Fatalf("%d schedules did not show the fault", tries)
 }
 
-func right(*node) {}
+func unmodified(*node) {}
 
-// TestCheckerCatchesNoReadBack takes a lost answer for a refusal.
-func TestCheckerCatchesNoReadBack(t *testing.T) {
-	caught(t, func(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
+// TestCheckerDetectsMissingReadBack treats a lost response as a refusal.
+func TestCheckerDetectsMissingReadBack(t *testing.T) {
+	expectViolation(t, func(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
 		record := table.Record{ID: p.ID, Base: p.Base, Author: p.Author, Note: p.Note, CSV: p.CSV}
 		if _, err := n.log.Append(ctx, table.Stream, [][]byte{record.Encode()}); err != nil {
 			return table.Entry{}, fmt.Errorf("%w: %w", tables.ErrNotPublished, err)
 		}
 		return n.controller.Publish(ctx, p)
-	}, right)
+	}, unmodified)
 }
 
-// TestCheckerCatchesAppendTakenForAcceptance believes that what was appended won.
-func TestCheckerCatchesAppendTakenForAcceptance(t *testing.T) {
-	caught(t, func(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
+// TestCheckerDetectsAppendTreatedAsAcceptance treats every appended record as
+// accepted.
+func TestCheckerDetectsAppendTreatedAsAcceptance(t *testing.T) {
+	expectViolation(t, func(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
 		record := table.Record{ID: p.ID, Base: p.Base, Author: p.Author, Note: p.Note, CSV: p.CSV}
 		if _, err := n.log.Append(ctx, table.Stream, [][]byte{record.Encode()}); err != nil {
 			return table.Entry{}, &tables.OutcomeUnknownError{ID: p.ID, Cause: err}
 		}
 		return table.Entry{Version: p.Base + 1, Status: table.Accepted}, nil
-	}, right)
+	}, unmodified)
 }
 
-// TestCheckerCatchesNewIDOnRetry tries again under another id.
-func TestCheckerCatchesNewIDOnRetry(t *testing.T) {
-	caught(t, func(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
+// TestCheckerDetectsNewIDOnRetry retries with another id.
+func TestCheckerDetectsNewIDOnRetry(t *testing.T) {
+	expectViolation(t, func(ctx context.Context, n *node, p tables.Publication) (table.Entry, error) {
 		record := table.Record{ID: p.ID + "-first", Base: p.Base, Author: p.Author, Note: p.Note, CSV: p.CSV}
 		_, err := n.log.Append(ctx, table.Stream, [][]byte{record.Encode()})
 		if errors.Is(err, siteservices.ErrUnavailable) {
@@ -226,14 +228,14 @@
 			p.ID = record.ID
 		}
 		return n.controller.Publish(ctx, p)
-	}, right)
+	}, unmodified)
 }
 
-// staleFirst freezes the first node before a second version is published and cuts it off
-// from the log and all others but the last one, so that it does not catch up once it is
-// thawed. What follows does not depend on the order of goroutines, as it does in schedules
-// that are drawn. The thaw comes at the given time from the start.
-func staleFirst(thawAt time.Duration, then ...step) schedule {
+// staleFirstNode pauses the first node before a second version is published and
+// partitions it from the log and all nodes but the last, so that it stays stale after
+// it resumes, thawAt after the start. Unlike in random schedules, the result does not
+// depend on the order of goroutines.
+func staleFirstNode(thawAt time.Duration, then ...step) schedule {
 	const stale, last, raced, frozen = 0, siteSize - 1, 100 * time.Millisecond, 3 * time.Second
 	steps := []step{
 		{Action: race, First: 1, Second: 2, Pause: raced},
@@ -251,18 +253,19 @@
 	return schedule{Seed: 1, Steps: append(steps, then...)}
 }
 
-// TestCheckerCatchesUnorderedHandOver stores what any peer has, older or newer.
-func TestCheckerCatchesUnorderedHandOver(t *testing.T) {
-	caught(t, publishRight, func(n *node) {
-		n.site.lives.Go(func() { n.copyFromAnyPeer() })
-	}, staleFirst(
+// TestCheckerDetectsUnorderedAdoption adopts the version of any peer, even if it is
+// older.
+func TestCheckerDetectsUnorderedAdoption(t *testing.T) {
+	expectViolation(t, publishCorrectly, func(n *node) {
+		n.site.background.Go(func() { n.copyFromAnyPeer() })
+	}, staleFirstNode(
 		copyRound-10*time.Millisecond,
 		step{Action: thaw, Pause: 3 * time.Second},
 	))
 }
 
-// copyPause is the time between two copies of copyFromAnyPeer, which begins with the
-// first node again at each multiple of copyRound from the start of a schedule.
+// copyPause is the time between two copies of copyFromAnyPeer, which starts again with
+// the first node at each multiple of copyRound from the start of a schedule.
 const (
 	copyPause = 250 * time.Millisecond
 	copyRound = 4 * siteSize * copyPause
@@ -279,37 +282,37 @@
 		if other == nil || !n.connected(other) {
 			continue
 		}
-		if handed := other.board.Table.Load(); handed != nil {
-			n.board.Table.Store(handed)
+		if received := other.board.Table.Load(); received != nil {
+			n.board.Table.Store(received)
 		}
 	}
 }
 
-// TestCheckerCatchesHastyStart puts in force what the first peer has, without
-// waiting for the log or the other peers.
-func TestCheckerCatchesHastyStart(t *testing.T) {
-	caught(t, publishRight, func(n *node) {
+// TestCheckerDetectsPrematureStart puts the version of the first peer in force
+// without waiting for the log or the other peers.
+func TestCheckerDetectsPrematureStart(t *testing.T) {
+	expectViolation(t, publishCorrectly, func(n *node) {
 		for _, name := range n.site.names {
 			other := n.site.node(name)
 			if other == nil || other == n || !n.connected(other) {
 				continue
 			}
-			if handed := other.board.Table.Load(); handed != nil {
-				n.board.Table.Store(handed)
+			if received := other.board.Table.Load(); received != nil {
+				n.board.Table.Store(received)
 				return
 			}
 		}
-	}, staleFirst(
+	}, staleFirstNode(
 		6*time.Second,
 		step{Action: restart, First: siteSize - 1},
 		step{Action: thaw, Pause: 3 * time.Second},
 	))
 }
 
-// TestRacersAreToldTheTruth has nodes publish on one base at once while some of
-// their appends are refused, lost or lose their answers: exactly one is told
-// that it won, and all others who won.
-func TestRacersAreToldTheTruth(t *testing.T) {
+// TestConcurrentPublishersGetCorrectResults lets nodes publish on one base
+// concurrently while some of their appends are refused or lost, or their responses
+// are lost: exactly one is accepted, and all others get a ConflictError.
+func TestConcurrentPublishersGetCorrectResults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		outcome := rapid.SampledFrom([]logservice.Outcome{
 			logservice.Succeed, logservice.RefuseAppend, logservice.LoseRequest, logservice.LoseAnswer,
@@ -327,12 +330,12 @@
 			publishers.Wait()
 			s.checkInForce(5 * time.Second)
 			s.checkReports()
-			for _, told := range s.reports[1:] {
+			for _, outcome := range s.reports[1:] {
 				var lost *tables.ConflictError
 				switch {
-				case told.err == nil:
+				case outcome.err == nil:
 					winners++
-				case errors.As(told.err, &lost):
+				case errors.As(outcome.err, &lost):
 					losers++
 				}
 			}
@@ -344,7 +347,8 @@
 	})
 }
 
-// inBubble runs a test with a site whose nodes all have version 1 in force.
+// inBubble runs a test in virtual time with a site whose nodes all have version 1 in
+// force.
 func inBubble(t *testing.T, test func(is *is.I, s *site)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 7, siteSize)
@@ -373,7 +377,7 @@
 		s.log.SetDown(true)
 		s.checkInForce(5 * time.Second)
 		is.Equal(s.node("n5").version(), table.Version(2))
-		s.kill("n5") // a fresh node takes the version from its peers
+		s.kill("n5") // a new incarnation receives the version from its peers
 		s.start("n5")
 		s.checkInForce(5 * time.Second)
 		is.Equal(s.node("n5").version(), table.Version(2))
@@ -392,7 +396,7 @@
 		began := time.Now()
 		_, err := fresh.controller.Publish(s.ctx, tables.Publication{Base: 1, CSV: sheetOf(9)})
 		is.True(errors.Is(err, tables.ErrNotPublished))
-		is.True(time.Since(began) < 5*time.Second) // told soon, not held until the timeout
+		is.True(time.Since(began) < 5*time.Second) // before PublishTimeout
 	})
 }
 
@@ -411,23 +415,23 @@
 		_, err = publish(tables.Publication{Base: 9, CSV: sheetOf(3)})
 		is.True(errors.As(err, &base))
 		is.Equal(base.Current, table.Version(1))
-		is.Equal(len(s.log.Records(table.Stream)), 1) // none of these reached the log
+		is.Equal(len(s.log.Records(table.Stream)), 1) // none of these was appended
 
 		view := s.log.ViewFor("n1")
 		view.Script(logservice.LoseRequest, logservice.LoseAnswer)
 		entry, err := publish(tables.Publication{ID: "mine", Base: 1, CSV: sheetOf(3)})
 		is.NoErr(err)
 		is.Equal(entry.Version, table.Version(2))
-		is.Equal(len(s.log.Records(table.Stream)), 2) // lost, landed with its answer lost, found
+		is.Equal(len(s.log.Records(table.Stream)), 2) // the first append was lost, the second succeeded without a response
 		entry, err = s.node("n2").controller.Publish(s.ctx, tables.Publication{ID: "mine", Repeated: true, Base: 1, CSV: sheetOf(3)})
-		is.NoErr(err) // the same publication again, elsewhere
+		is.NoErr(err) // the same publication on another node
 		is.Equal(entry.Version, table.Version(2))
 		_, err = publish(tables.Publication{ID: "mine", Base: 2, CSV: sheetOf(4)})
 		is.True(errors.Is(err, tables.ErrIDReused))
 	})
 }
 
-func TestUnknownOutcomeIsFoundOutLater(t *testing.T) {
+func TestUnknownOutcomeIsResolvedByRepeat(t *testing.T) {
 	inBubble(t, func(is *is.I, s *site) {
 		s.log.ViewFor("n1").Script(logservice.LoseAnswer)
 		time.AfterFunc(time.Millisecond, func() { s.log.SetDown(true) })
@@ -444,9 +448,9 @@
 	})
 }
 
-// TestColdStartReadsFromASummary grows the stream, starts the site anew and
-// counts what the first node reads.
-func TestColdStartReadsFromASummary(t *testing.T) {
+// TestColdStartReadsFromSnapshot restarts the site after many records and counts the
+// records that the first node reads.
+func TestColdStartReadsFromSnapshot(t *testing.T) {
 	inBubble(t, func(is *is.I, s *site) {
 		const versions = 2000
 		for base := 1; base < versions; base++ {
@@ -456,14 +460,14 @@
 		}
 		time.Sleep(2 * time.Minute)
 		records := len(s.log.Records(table.Stream))
-		is.True(records > versions && records < versions+20) // a few summaries, not one per node
+		is.True(records > versions && records < versions+20) // a few snapshots, not one per node
 		for _, name := range s.names {
 			s.kill(name)
 		}
 		counted := &countingLog{Log: s.log}
 		fresh := tables.New(tables.Config{Self: "n9", Log: counted, Peers: s.network.Join(identity.Node{Name: "n9"}, peer.NewRegistry()), Board: blackboard.NewBoard()})
 		ctx, cancel := context.WithCancel(s.ctx)
-		s.lives.Go(func() { _ = fresh.Run(ctx) })
+		s.background.Go(func() { _ = fresh.Run(ctx) })
 		time.Sleep(time.Second)
 		cancel()
 		is.Equal(fresh.State().InForce, table.Version(versions))
@@ -483,11 +487,10 @@
 	return result, err
 }
 
-// TestSpreadOnALargeSite has one node of many read a version while the log is
-// out of reach for all others, and no versions ride on membership: the version
-// reaches every node by pulls alone, at a cost per node that does not grow with
-// the site.
-func TestSpreadOnALargeSite(t *testing.T) {
+// TestSpreadOnLargeSite lets one node read a version while the log is unavailable to
+// all others and membership updates include no versions. The version must reach
+// every node by pulls alone, at a cost per node that does not grow with the site.
+func TestSpreadOnLargeSite(t *testing.T) {
 	for _, size := range []int{12, 48} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) { spread(t, size) })
 	}
@@ -510,9 +513,9 @@
 			s.log.ViewFor(string(name)).SetDown(true)
 		}
 		messages, bytes := s.sent()
-		const quiet = 20 * time.Second
-		time.Sleep(quiet)
-		quietMessages, quietBytes := s.sent()
+		const idle = 20 * time.Second
+		time.Sleep(idle)
+		idleMessages, idleBytes := s.sent()
 		began := time.Now()
 		publish(1)
 		for !s.allAt(2) && time.Since(began) < limit {
@@ -526,10 +529,10 @@
 		allMessages, allBytes := s.sent()
 		perNode := func(count int64) float64 { return float64(count) / float64(size) }
 		t.Logf("%d nodes: in force on all after %s; quiet %.2f messages and %.0f bytes a second per node; %.1f messages and %.0f bytes per node for the version",
-			size, took, perNode(quietMessages-messages)/quiet.Seconds(), perNode(quietBytes-bytes)/quiet.Seconds(),
-			perNode(allMessages-quietMessages), perNode(allBytes-quietBytes))
-		is.True(perNode(quietMessages-messages)/quiet.Seconds() < 2)
-		is.True(perNode(allMessages-quietMessages) < 25)
+			size, took, perNode(idleMessages-messages)/idle.Seconds(), perNode(idleBytes-bytes)/idle.Seconds(),
+			perNode(allMessages-idleMessages), perNode(allBytes-idleBytes))
+		is.True(perNode(idleMessages-messages)/idle.Seconds() < 2)
+		is.True(perNode(allMessages-idleMessages) < 25)
 	})
 }
 
