--- a/internal/controller/backends/controller.go
+++ b/internal/controller/backends/controller.go
@@ -253,7 +253,7 @@
 	}
 	c.config.Board.Backends.Delete(name)
 	c.cache.Forget(name)
-	c.config.Logger.Info("back end is gone from the machine list", "backend", name, "address", state.machine.Address)
+	c.config.Logger.Info("back end removed from the machine list", "backend", name, "address", state.machine.Address)
 }
 
 // publish writes the state of a back end to the board. The caller holds mutex.
@@ -275,7 +275,7 @@
 		return shown, true
 	})
 	if state.publishedLeaving != before {
-		c.config.Logger.Info("back end leaving changed", "backend", name, "leaving", state.publishedLeaving)
+		c.config.Logger.Info("back end changed its leaving state", "backend", name, "leaving", state.publishedLeaving)
 	}
 }
 
--- a/internal/controller/backends/units_test.go
+++ b/internal/controller/backends/units_test.go
@@ -96,7 +96,7 @@
 			}
 		}
 		if len(seen) != services || len(chosen) != services*defaultPerService {
-			t.Fatalf("node %d polls %d of %d services, %d engines", node, len(seen), services, len(chosen))
+			t.Fatalf("node %d polls %d of %d services and %d engines", node, len(seen), services, len(chosen))
 		}
 	}
 	least, most := nodes, 0
@@ -167,7 +167,7 @@
 				e := engine(t)
 				m.Record(now, e, p.Program, p.Branch, p.Tokens)
 				if got := m.Tokens(e, p.Program, p.Branch); got != p.Tokens {
-					t.Fatalf("believed %d, got %d", p.Tokens, got)
+					t.Fatalf("recorded %d tokens, got %d", p.Tokens, got)
 				}
 			},
 			"apply":   func(t *rapid.T) { m.Apply(now, engine(t), []backend.CacheEvent{{Prefix: prefix(t)}}) },
@@ -176,7 +176,7 @@
 				e := engine(t)
 				m.Forget(e)
 				if m.HasEntries(e) {
-					t.Fatalf("%s is known still", e)
+					t.Fatalf("%s still has entries", e)
 				}
 			},
 			"": func(t *rapid.T) { checkCacheMap(t, m) },
@@ -191,13 +191,13 @@
 			for _, prefix := range m.Holders(program, branch) {
 				counted++
 				if prefix.Tokens <= 0 || prefix.Tokens != m.Tokens(prefix.Backend, program, branch) || !m.HasEntries(prefix.Backend) {
-					t.Fatalf("holders say %+v", prefix)
+					t.Fatalf("inconsistent entry %+v", prefix)
 				}
 			}
 		}
 	}
 	if counted != m.Len() || counted > 5 {
-		t.Fatalf("%d holdings, length %d", counted, m.Len())
+		t.Fatalf("%d prefixes, length %d", counted, m.Len())
 	}
 }
 
@@ -225,10 +225,10 @@
 		chosen := chooseIntervals(500*time.Millisecond, budget, used, idle)
 		rate := float64(used)/chosen.active.Seconds() + float64(idle)/chosen.idle.Seconds()
 		if rate > budget*1.001 && chosen.idle < maxIdleInterval {
-			t.Fatalf("%+v makes %.1f polls a second of %.1f", chosen, rate, budget)
+			t.Fatalf("%+v causes %.1f polls per second, budget %.1f", chosen, rate, budget)
 		}
 		if chosen.active < 500*time.Millisecond || chosen.idle < chosen.active && chosen.idle < maxIdleInterval {
-			t.Fatalf("%+v", chosen)
+			t.Fatalf("intervals out of range: %+v", chosen)
 		}
 	})
 }
--- a/internal/controller/machines/machines.go
+++ b/internal/controller/machines/machines.go
@@ -83,19 +83,19 @@
 	if err != nil {
 		c.failures.Inc()
 		if !c.unavailable {
-			c.config.Logger.Warn("machine list is away; the last one stays in use", "error", err)
+			c.config.Logger.Warn("machine list is unavailable; using the last one", "error", err)
 		}
 		c.unavailable = true
 		return
 	}
 	if c.unavailable {
-		c.config.Logger.Info("machine list is back")
+		c.config.Logger.Info("machine list is available again")
 	}
 	c.unavailable = false
 	c.lastRead.SetToCurrentTime()
 	valid, findings := Check(machines)
 	if len(findings) > 0 && !slices.Equal(findings, c.findings) {
-		c.config.Logger.Warn("machine list has faulty rows, which are left out", "findings", findings)
+		c.config.Logger.Warn("ignoring invalid rows of the machine list", "findings", findings)
 	}
 	c.findings = findings
 	if !slices.Equal(valid, c.config.Board.Machines.Load()) {
--- a/internal/controller/members/members.go
+++ b/internal/controller/members/members.go
@@ -27,7 +27,7 @@
 
 // ErrSuperseded is returned by Run if a later incarnation of this node's name runs
 // elsewhere. The process must end.
-var ErrSuperseded = errors.New("members: a later life of this node runs elsewhere")
+var ErrSuperseded = errors.New("members: a later incarnation of this node runs elsewhere")
 
 // Config configures a Controller.
 type Config struct {
@@ -135,7 +135,7 @@
 			if ctx.Err() != nil {
 				return nil // ctx ended at the same time
 			}
-			return fmt.Errorf("members: ended early: %w", err)
+			return fmt.Errorf("members: membership protocol ended unexpectedly: %w", err)
 		case <-c.runner.Superseded():
 			return fmt.Errorf("%w: %s", ErrSuperseded, c.config.Self.Name)
 		case <-c.updated:
@@ -218,7 +218,7 @@
 		}
 	}
 	for name, known := range before {
-		c.config.Logger.Info("member gone", "member", name, "zone", known.Node.Zone, "was", known.Status)
+		c.config.Logger.Info("member removed", "member", name, "zone", known.Node.Zone, "was", known.Status)
 	}
 }
 
--- a/internal/controller/models/controller.go
+++ b/internal/controller/models/controller.go
@@ -237,7 +237,7 @@
 	defer c.mutex.Unlock()
 	state := c.service(service)
 	if acting && !state.status.Acting {
-		c.config.Logger.Info("acts for the models of a service", "service", service, "epoch", epoch)
+		c.config.Logger.Info("placing the models of a service", "service", service, "epoch", epoch)
 	}
 	state.status.Acting, state.status.Epoch = acting, epoch
 	if !acting {
@@ -313,10 +313,10 @@
 	defer c.mutex.Unlock()
 	status := &c.service(service).status
 	if !slices.Equal(status.Shortfalls, plan.Shortfalls) && len(plan.Shortfalls) > 0 {
-		c.config.Logger.Warn("models lack replicas", "service", service, "shortfalls", plan.Shortfalls)
+		c.config.Logger.Warn("models have too few replicas", "service", service, "shortfalls", plan.Shortfalls)
 	}
 	if waiting != "" && waiting != status.Waiting {
-		c.config.Logger.Info("orders wait "+waiting, "service", service)
+		c.config.Logger.Info("orders are waiting "+waiting, "service", service)
 	}
 	status.Shortfalls, status.Waiting = plan.Shortfalls, waiting
 }
--- a/internal/controller/models/controller_test.go
+++ b/internal/controller/models/controller_test.go
@@ -212,7 +212,7 @@
 		s.stall(s.nodes[0], true)
 		time.Sleep(10 * time.Second) // the order is delayed by now
 		if len(s.loads("m")) != 0 {
-			t.Fatal("the order was not held back")
+			t.Fatal("the order was not delayed")
 		}
 		s.takeOver(1)
 		// The target of the late order gets another model first, so that the next
--- a/internal/controller/models/orders.go
+++ b/internal/controller/models/orders.go
@@ -96,7 +96,7 @@
 			c.markRefused(name, fenceSubject)
 		}
 		if err != nil {
-			c.config.Logger.Warn("an engine did not take the fence", "engine", name, "epoch", epoch, "error", err)
+			c.config.Logger.Warn("engine did not accept the fence", "engine", name, "epoch", epoch, "error", err)
 		}
 	})
 }
@@ -140,7 +140,7 @@
 	}
 	state.pending = pending
 	c.mutex.Unlock()
-	c.config.Logger.Info("order", "service", service, "engine", next.Engine, "kind", next.Kind,
+	c.config.Logger.Info("sending order to engine", "service", service, "engine", next.Engine, "kind", next.Kind,
 		"subject", next.Subject, "version", next.Version, "fence", pending.order.Fence, "reason", next.Reason)
 	c.orders.Go(func() { c.executeOrder(ctx, service, epoch, next.Engine, pending) })
 }
@@ -157,24 +157,24 @@
 		switch {
 		case err == nil:
 			c.confirmOrder(name, pending)
-			logger.Info("order done", "took", time.Since(pending.began))
+			logger.Info("order completed", "took", time.Since(pending.began))
 			return
 		case errors.Is(err, errNotOwner), errors.Is(err, backend.ErrStaleFence):
-			logger.Warn("order given up, another owner acts", "error", err)
+			logger.Warn("order abandoned, another node owns the service", "error", err)
 			c.dropPending(name, pending)
 			return
 		case errors.Is(err, backend.ErrRefused):
-			logger.Warn("order refused", "error", err)
+			logger.Warn("engine refused order", "error", err)
 			c.markRefused(name, pending.order.Subject)
 			c.dropPending(name, pending)
 			return
 		}
 		if ctx.Err() != nil || time.Since(pending.began) > orderTimeout || !c.isAvailable(name) {
-			logger.Warn("order given up", "error", err)
+			logger.Warn("order abandoned", "error", err)
 			c.dropPending(name, pending)
 			return
 		}
-		logger.Info("order is repeated, its answer did not come", "error", err)
+		logger.Info("retrying order, its outcome is unknown", "error", err)
 		select {
 		case <-time.After(orderRetryInterval):
 		case <-ctx.Done():
@@ -184,7 +184,7 @@
 
 // errNotOwner is returned if this node no longer owns the service's shard in the
 // epoch of the order.
-var errNotOwner = errors.New("models: the service's shard is not held")
+var errNotOwner = errors.New("models: this node does not own the service's shard")
 
 // send checks the lease and immediately sends the order.
 func (c *Controller) send(ctx context.Context, service string, epoch identity.Epoch, name string, order backend.Order) error {
@@ -199,7 +199,7 @@
 	// A later epoch may be this node's own, but another node may have acted in
 	// between. The next reconciliation makes a new plan.
 	if ownedEpoch != epoch {
-		return fmt.Errorf("%w in epoch %d but in %d", errNotOwner, epoch, ownedEpoch)
+		return fmt.Errorf("%w in epoch %d, it owns it in epoch %d", errNotOwner, epoch, ownedEpoch)
 	}
 	return engine.Order(ctx, order)
 }
--- a/internal/controller/tables/controller.go
+++ b/internal/controller/tables/controller.go
@@ -182,7 +182,7 @@
 	if received.Next() <= c.versions.Next() {
 		return
 	}
-	c.config.Logger.Info("table taken over",
+	c.config.Logger.Info("adopted table versions",
 		"from", from, "version", received.Version(), "offset", received.Next())
 	c.versions = received
 	c.putInForce()
@@ -201,7 +201,7 @@
 		return
 	}
 	c.config.Board.Table.Store(newest)
-	c.config.Logger.Info("table in force", "version", newest.Version, "author", newest.Author, "id", newest.ID)
+	c.config.Logger.Info("table version in force", "version", newest.Version, "author", newest.Author, "id", newest.ID)
 	c.wake()
 }
 
--- a/internal/controller/tables/exchange.go
+++ b/internal/controller/tables/exchange.go
@@ -201,7 +201,7 @@
 	request := &pull{Node: c.config.Self, Next: c.next()}
 	answer, err := c.config.Peers.Call(ctx, target.Node.PeerAddress, request, nil)
 	if err != nil {
-		c.config.Logger.Debug("table not pulled", "peer", target.Node.Name, "error", err)
+		c.config.Logger.Debug("pull of table versions failed", "peer", target.Node.Name, "error", err)
 		return false
 	}
 	received, ok := answer.(*pullResponse)
--- a/internal/controller/tables/site_test.go
+++ b/internal/controller/tables/site_test.go
@@ -256,7 +256,7 @@
 		current, _, changed := n.board.Table.Watch()
 		if current != nil {
 			if current.Version < highest {
-				n.site.violate("%s went back from version %d to %d", n.self.Name, highest, current.Version)
+				n.site.violate("%s decreased from version %d to %d", n.self.Name, highest, current.Version)
 			}
 			if highest == 0 {
 				n.checkFirst(former, best, current.Version)
@@ -295,7 +295,7 @@
 	view := s.log.ViewFor(string(n.self.Name)).Faults()
 	logThere := s.log.Faults() == (logservice.Faults{}) && view == (logservice.Faults{})
 	if noFault && (logThere || best >= former) && first < former {
-		s.violate("%s went back over a restart from version %d to %d", n.self.Name, former, first)
+		s.violate("%s decreased over a restart from version %d to %d", n.self.Name, former, first)
 	}
 }
 
@@ -356,7 +356,7 @@
 			continue
 		}
 		if have := n.board.Table.Load(); have == nil || have.Version != want.Version || have.ID != want.ID {
-			s.violate("%s has %v in force %s later, not version %d", name, have, within, want.Version)
+			s.violate("%s has %v in force after %s, want version %d", name, have, within, want.Version)
 		}
 	}
 }
@@ -383,18 +383,18 @@
 		var base *tables.BaseError
 		switch {
 		case outcome.err == nil && (!won || inForce.Version != outcome.entry.Version):
-			s.violate("%s told accepted as version %d, the log has %v", outcome.publication.Note, outcome.entry.Version, byNote[outcome.publication.Note])
+			s.violate("%s was reported as accepted in version %d, the log has %v", outcome.publication.Note, outcome.entry.Version, byNote[outcome.publication.Note])
 		case errors.As(outcome.err, &lost):
 			winner, _ := truth.AcceptedOn(outcome.publication.Base)
 			if won || winner.ID != lost.Winner.ID {
-				s.violate("%s told lost to %s, the log has %s", outcome.publication.Note, lost.Winner.ID, winner.ID)
+				s.violate("%s was reported as lost to %s, the log has %s", outcome.publication.Note, lost.Winner.ID, winner.ID)
 			}
 		case errors.Is(outcome.err, tables.ErrNotPublished) || errors.As(outcome.err, &base):
 			if len(byNote[outcome.publication.Note]) > 0 {
-				s.violate("%s told not published (%v), the log has %v", outcome.publication.Note, outcome.err, byNote[outcome.publication.Note])
+				s.violate("%s was reported as not published (%v), the log has %v", outcome.publication.Note, outcome.err, byNote[outcome.publication.Note])
 			}
 		case outcome.err != nil && !errors.As(outcome.err, &unknown):
-			s.violate("%s told %v", outcome.publication.Note, outcome.err)
+			s.violate("%s failed with an unexpected error: %v", outcome.publication.Note, outcome.err)
 		}
 	}
 }
--- a/internal/controller/tables/snapshot.go
+++ b/internal/controller/tables/snapshot.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		if err := c.appendSnapshot(ctx, record); err != nil {
-			c.config.Logger.Debug("summary of the table stream not appended", "error", err)
+			c.config.Logger.Debug("snapshot of the table stream not appended", "error", err)
 		}
 	}
 	return nil
--- a/internal/controller/tables/stream.go
+++ b/internal/controller/tables/stream.go
@@ -55,9 +55,9 @@
 	c.mutex.Unlock()
 	switch {
 	case err != nil && before == nil:
-		c.config.Logger.Warn("table stream cannot be followed, versions come from peers alone", "error", err)
+		c.config.Logger.Warn("cannot read the table stream, receiving versions from peers only", "error", err)
 	case err == nil && before != nil:
-		c.config.Logger.Info("table stream followed again")
+		c.config.Logger.Info("table stream is readable again")
 	}
 }
 
--- a/internal/controller/tables/tables_test.go
+++ b/internal/controller/tables/tables_test.go
@@ -177,18 +177,18 @@
 	for _, plan := range constructed {
 		verdict, _ := run(t, plan, publish, onStart)
 		if verdict != "" {
-			t.Logf("caught by a schedule made for it: %s", verdict)
+			t.Logf("detected by a constructed schedule: %s", verdict)
 			return
 		}
 	}
 	plans := rapid.Custom(drawSchedule)
 	for seed := range tries {
 		if verdict, _ := run(t, plans.Example(seed), publish, onStart); verdict != "" {
-			t.Logf("caught by schedule %d: %s", seed, verdict)
+			t.Logf("detected by schedule %d: %s", seed, verdict)
 			return
 		}
 	}
-	t.Fatalf("%d schedules did not show the fault", tries)
+	t.Fatalf("%d schedules did not detect the fault", tries)
 }
 
 func unmodified(*node) {}
@@ -342,7 +342,7 @@
 			verdict = s.verdict()
 		})
 		if verdict != "" || winners != 1 || losers != len(outcomes)-1 {
-			rt.Fatalf("%d winners, %d losers of %d\n%s", winners, losers, len(outcomes), verdict)
+			rt.Fatalf("%d accepted, %d conflicts of %d publishers\n%s", winners, losers, len(outcomes), verdict)
 		}
 	})
 }
@@ -528,7 +528,7 @@
 		is.True(took < limit)
 		allMessages, allBytes := s.sent()
 		perNode := func(count int64) float64 { return float64(count) / float64(size) }
-		t.Logf("%d nodes: in force on all after %s; quiet %.2f messages and %.0f bytes a second per node; %.1f messages and %.0f bytes per node for the version",
+		t.Logf("%d nodes: in force on all after %s; idle: %.2f messages and %.0f bytes per second per node; new version: %.1f messages and %.0f bytes per node",
 			size, took, perNode(idleMessages-messages)/idle.Seconds(), perNode(idleBytes-bytes)/idle.Seconds(),
 			perNode(allMessages-idleMessages), perNode(allBytes-idleBytes))
 		is.True(perNode(idleMessages-messages)/idle.Seconds() < 2)
