--- a/internal/program/answer.go
+++ b/internal/program/answer.go
@@ -9,13 +9,13 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Answer is how a call ended for ever: a model's text, an application's output,
-// or a problem that stands (Code is set), such as an unknown outcome.
+// Answer is the final outcome of a call: a model's text, an application's output,
+// or a permanent problem (Code is set), such as an unknown outcome.
 type Answer struct {
 	Text string
 	// TokenLengths are the lengths of the tokens of Text as uvarints, so that a
-	// caller who has n tokens can go on with the next one long after the stream
-	// ended. Empty where the tokens do not add up to Text.
+	// caller can resume a stream at any token after the stream has ended. It is
+	// empty if the tokens do not add up to Text.
 	TokenLengths []byte
 	Output       []byte
 	FinishReason string
@@ -29,8 +29,8 @@
 	At           time.Time
 }
 
-// TokenLengths returns the form of tokens that Answer keeps, nil if they do not
-// add up to text.
+// TokenLengths returns the encoded lengths of tokens for Answer.TokenLengths, nil
+// if the tokens do not add up to text.
 func TokenLengths(tokens []string, text string) []byte {
 	lengths := make([]byte, 0, len(tokens))
 	rest := text
@@ -47,8 +47,9 @@
 	return lengths
 }
 
-// Tokens calls yield with each token of the answer from index from on, until
-// yield fails. Where the tokens are not known the whole text counts as token 0.
+// Tokens calls yield with each token of the answer, starting at index from, until
+// yield returns an error. If the token lengths are not known, the whole text counts
+// as token 0.
 func (a *Answer) Tokens(from int, yield func(index int, text string) error) error {
 	if a.Text == "" {
 		return nil
@@ -113,7 +114,7 @@
 	}
 }
 
-// Problem returns the problem that the answer is, nil for a good answer.
+// Problem returns the answer as a problem, nil if the call succeeded.
 func (a *Answer) Problem(id identity.CallID) *api.Problem {
 	if a.Code == "" {
 		return nil
--- a/internal/program/apply.go
+++ b/internal/program/apply.go
@@ -11,27 +11,26 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// ErrOutOfOrder tells that a record does not follow from the state before it.
+// ErrOutOfOrder is returned if a record is not valid in the current state.
 var ErrOutOfOrder = errors.New("program: record does not follow from the state")
 
 func newProgram(r Created) *Program {
 	return &Program{
-		id:           r.ID,
-		tenant:       r.Tenant,
-		class:        r.Class,
-		limits:       r.Limits,
-		state:        api.ProgramRunning,
-		created:      r.At,
-		lastActivity: r.At,
-		branches:     map[identity.BranchID]*branch{},
-		keys:         map[string]identity.CallID{},
-		placements:   map[placementKey]*placement{},
+		id:              r.ID,
+		tenant:          r.Tenant,
+		class:           r.Class,
+		limits:          r.Limits,
+		state:           api.ProgramRunning,
+		created:         r.At,
+		lastActivity:    r.At,
+		branches:        map[identity.BranchID]*branch{},
+		idempotencyKeys: map[string]identity.CallID{},
+		placements:      map[placementKey]*placement{},
 	}
 }
 
-// Apply folds record into the state. Records that resolve an attempt or a
-// release which the state does not have open are dropped: they come from steps
-// that were taken back.
+// Apply applies record to the state. Records that resolve an attempt or a release
+// that is not open are ignored, since it may have been withdrawn before.
 func (p *Program) Apply(record Record) error {
 	switch r := record.(type) {
 	case Intent:
@@ -41,15 +40,15 @@
 	case NotRun:
 		p.applyNotRun(r)
 	case Withdrawn:
-		p.applyDropped(r)
+		p.applyWithdrawn(r)
 	case Result:
 		p.applyResult(r)
 	case Deduplicated:
-		return p.applyRepeated(r)
+		return p.applyDeduplicated(r)
 	case Ended:
 		p.applyEnded(r)
 	case Released:
-		p.confirm(r.Backend, r.Branch)
+		p.removeRelease(r.Backend, r.Branch)
 	case Evicted:
 		p.applyEvicted(r)
 	default:
@@ -67,8 +66,8 @@
 	return b
 }
 
-// follows returns the branch that takes id next, or an error.
-func (p *Program) follows(id identity.CallID) (*branch, error) {
+// branchForNext returns the branch of id if id is its next call, or an error.
+func (p *Program) branchForNext(id identity.CallID) (*branch, error) {
 	b := p.branches[id.Branch]
 	if p.Next(id.Branch) != id.Sequence || (b != nil && b.open() != nil) {
 		return nil, fmt.Errorf("%w: call %s after %d", ErrOutOfOrder, id, p.Next(id.Branch)-1)
@@ -77,7 +76,7 @@
 }
 
 func (p *Program) applyIntent(r Intent) error {
-	b, err := p.follows(r.Request.ID)
+	b, err := p.branchForNext(r.Request.ID)
 	if err != nil {
 		return err
 	}
@@ -85,9 +84,9 @@
 	b.calls = append(b.calls, call)
 	p.calls++
 	if r.Request.IdempotencyKey != "" {
-		p.keys[r.Request.IdempotencyKey] = r.Request.ID
+		p.idempotencyKeys[r.Request.IdempotencyKey] = r.Request.ID
 	}
-	p.start(b, call, r.Attempt)
+	p.startAttempt(b, call, r.Attempt)
 	return nil
 }
 
@@ -96,33 +95,34 @@
 	if call == nil || !call.Open {
 		return fmt.Errorf("%w: retry of %s", ErrOutOfOrder, r.Attempt.Stream)
 	}
-	p.lose(call)
-	p.start(p.branchOf(call.Request.ID.Branch), call, r.Attempt)
+	p.chargePending(call)
+	p.startAttempt(p.branchOf(call.Request.ID.Branch), call, r.Attempt)
 	return nil
 }
 
-// start makes attempt the pending one of call.
-func (p *Program) start(b *branch, call *Call, attempt Attempt) {
+// startAttempt makes attempt the pending attempt of call.
+func (p *Program) startAttempt(b *branch, call *Call, attempt Attempt) {
 	call.Attempt = attempt
 	call.Pending = true
 	p.reserved += attempt.Reserved
 	b.nextAttempt = attempt.Stream.Attempt + 1
-	p.touch(attempt.At)
+	p.recordActivity(attempt.At)
 	if call.Request.Kind != api.CallModel {
 		return
 	}
 	key := placementKey{backend: attempt.Backend, branch: call.Request.ID.Branch}
-	held := p.placements[key]
-	if held == nil {
-		held = &placement{}
-		p.placements[key] = held
+	placed := p.placements[key]
+	if placed == nil {
+		placed = &placement{}
+		p.placements[key] = placed
 	}
-	held.address = attempt.Address
-	p.withdrawRelease(key, held)
+	placed.address = attempt.Address
+	p.withdrawRelease(key, placed)
 }
 
-// lose charges the pending attempt of call in full.
-func (p *Program) lose(call *Call) {
+// chargePending charges the whole reservation of the pending attempt of call, whose
+// result is not known.
+func (p *Program) chargePending(call *Call) {
 	if !call.Pending {
 		return
 	}
@@ -130,17 +130,17 @@
 	call.HasLostAttempt = true
 	p.reserved -= call.Attempt.Reserved
 	p.spent += call.Attempt.Reserved
-	held := p.placements[placementKey{backend: call.Attempt.Backend, branch: call.Request.ID.Branch}]
-	if held == nil {
+	placed := p.placements[placementKey{backend: call.Attempt.Backend, branch: call.Request.ID.Branch}]
+	if placed == nil {
 		return
 	}
-	held.lost = append(held.lost, call.Attempt.Stream)
-	if surplus := len(held.lost) - maximumLostStreams; surplus > 0 {
-		held.lost = slices.Clone(held.lost[surplus:])
+	placed.unresolved = append(placed.unresolved, call.Attempt.Stream)
+	if surplus := len(placed.unresolved) - maxUnresolvedStreams; surplus > 0 {
+		placed.unresolved = slices.Clone(placed.unresolved[surplus:])
 	}
 }
 
-// pending returns the call whose pending attempt is stream, nil if none.
+// pending returns the call whose pending attempt is stream, nil if there is none.
 func (p *Program) pending(stream identity.StreamID) *Call {
 	call := p.Call(stream.Call)
 	if call == nil || !call.Open || !call.Pending || call.Attempt.Stream != stream {
@@ -158,23 +158,23 @@
 	p.reserved -= call.Attempt.Reserved
 }
 
-func (p *Program) applyDropped(r Withdrawn) {
+func (p *Program) applyWithdrawn(r Withdrawn) {
 	call := p.Call(r.Call)
 	if call == nil || !call.Open {
 		return
 	}
-	p.lose(call)
+	p.chargePending(call)
 	b := p.branches[r.Call.Branch]
 	b.calls = b.calls[:len(b.calls)-1]
 	if call.HasLostAttempt {
 		b.mayHaveRun = true
 	} else {
-		p.calls-- // it never ran, so it does not count against the limit
+		p.calls-- // it never ran and does not count against MaxCalls
 	}
 	if call.Request.IdempotencyKey != "" {
-		delete(p.keys, call.Request.IdempotencyKey)
+		delete(p.idempotencyKeys, call.Request.IdempotencyKey)
 	}
-	p.touch(r.At)
+	p.recordActivity(r.At)
 }
 
 func (p *Program) applyResult(r Result) {
@@ -187,20 +187,20 @@
 	call.Answer = r.Answer
 	p.reserved -= call.Attempt.Reserved
 	p.spent += charge(call.Attempt, r.Answer)
-	p.service += r.Answer.Run
-	p.touch(r.Answer.At)
+	p.serviceTime += r.Answer.Run
+	p.recordActivity(r.Answer.At)
 	b := p.branches[r.Stream.Call.Branch]
 	b.nextAttempt, b.mayHaveRun = 0, false
 	if call.inHistory() {
-		p.settle(b, call)
+		p.updateCacheState(b, call)
 	}
 	if !p.Running() {
 		call.Request.Messages = nil
 	}
 }
 
-// charge returns what an answer costs: what the engine counted, or the whole
-// reservation if it is not known.
+// charge returns the cost of an answer in tokens: the engine's count, or the whole
+// reservation if there is none.
 func charge(attempt Attempt, answer Answer) int64 {
 	if answer.Code != "" {
 		return attempt.Reserved
@@ -208,42 +208,43 @@
 	return int64(answer.Usage.PromptTokens + answer.Usage.CompletionTokens)
 }
 
-// settle notes where the branch's cache is now and what its history counts.
-func (p *Program) settle(b *branch, call *Call) {
+// updateCacheState records where the branch's cache is and how many tokens its
+// history has.
+func (p *Program) updateCacheState(b *branch, call *Call) {
 	b.lastBackend = call.Attempt.Backend
 	usage := call.Answer.Usage
 	if usage.PromptTokens > 0 {
-		b.settledTokens = int64(usage.PromptTokens + usage.CompletionTokens)
-		b.settledModel = modelKey(call.Request.Model, call.Request.Adapter)
-		b.settledCalls = len(b.calls)
+		b.countedTokens = int64(usage.PromptTokens + usage.CompletionTokens)
+		b.countedModel = modelKey(call.Request.Model, call.Request.Adapter)
+		b.countedCalls = len(b.calls)
 	}
-	p.moveOut(call.Request.ID.Branch, call.Attempt.Backend)
+	p.releaseExcept(call.Request.ID.Branch, call.Attempt.Backend)
 }
 
-// moveOut queues the release of the branch at every back end but kept.
-func (p *Program) moveOut(id identity.BranchID, kept string) {
+// releaseExcept queues the release of the branch at every back end except kept.
+func (p *Program) releaseExcept(id identity.BranchID, kept string) {
 	for _, backend := range p.Placements(id) {
 		if backend == kept {
 			continue
 		}
 		key := placementKey{backend: backend, branch: id}
-		held := p.placements[key]
-		p.enqueue(Release{Backend: backend, Address: held.address, Branch: id, Streams: held.lost})
+		placed := p.placements[key]
+		p.enqueue(Release{Backend: backend, Address: placed.address, Branch: id, Streams: placed.unresolved})
 		delete(p.placements, key)
 	}
 }
 
-// applyEvicted releases a branch that no call uses now.
+// applyEvicted queues the release of a branch unless it has an open call.
 func (p *Program) applyEvicted(r Evicted) {
 	b := p.branches[r.Branch]
 	if b == nil || b.open() != nil {
 		return
 	}
-	p.moveOut(r.Branch, "")
+	p.releaseExcept(r.Branch, "")
 	b.lastBackend = ""
 }
 
-// enqueue adds release to the outbox, or its streams to the entry that stands.
+// enqueue adds release to the outbox, or its streams to an existing entry.
 func (p *Program) enqueue(release Release) {
 	for i := range p.outbox {
 		entry := &p.outbox[i]
@@ -255,25 +256,25 @@
 	p.outbox = append(p.outbox, release)
 }
 
-// withdrawRelease drops a release that has not happened yet, since the engine is to
-// keep the branch again; streams that were to be cancelled stay known.
-func (p *Program) withdrawRelease(key placementKey, held *placement) {
+// withdrawRelease removes an unconfirmed release because the engine is to keep the
+// branch again. The streams to be cancelled move back to the placement.
+func (p *Program) withdrawRelease(key placementKey, placed *placement) {
 	for _, release := range p.outbox {
 		if release.Backend == key.backend && release.Branch == key.branch {
-			held.lost = append(held.lost, release.Streams...)
+			placed.unresolved = append(placed.unresolved, release.Streams...)
 		}
 	}
-	p.confirm(key.backend, key.branch)
+	p.removeRelease(key.backend, key.branch)
 }
 
-func (p *Program) confirm(backend string, id identity.BranchID) {
+func (p *Program) removeRelease(backend string, id identity.BranchID) {
 	p.outbox = slices.DeleteFunc(p.outbox, func(r Release) bool {
 		return r.Backend == backend && r.Branch == id
 	})
 }
 
-func (p *Program) applyRepeated(r Deduplicated) error {
-	b, err := p.follows(r.ID)
+func (p *Program) applyDeduplicated(r Deduplicated) error {
+	b, err := p.branchForNext(r.ID)
 	if err != nil {
 		return err
 	}
@@ -281,7 +282,7 @@
 	b.calls = append(b.calls, &Call{Request: request, RepeatOf: r.Of})
 	b.nextAttempt, b.mayHaveRun = 0, false
 	p.calls++
-	p.touch(r.At)
+	p.recordActivity(r.At)
 	return nil
 }
 
@@ -301,8 +302,8 @@
 	}
 }
 
-// releaseAll moves every placement to the outbox as a release of the whole
-// program, with the streams that may still run there.
+// releaseAll replaces all placements and outbox entries by one release of the whole
+// program per back end, with the streams that may still run there.
 func (p *Program) releaseAll() {
 	running := map[string][]identity.StreamID{}
 	for _, call := range p.OpenCalls() {
@@ -312,9 +313,9 @@
 	}
 	addresses := map[string]netip.AddrPort{}
 	for _, key := range p.sortedPlacements() {
-		held := p.placements[key]
-		addresses[key.backend] = held.address
-		running[key.backend] = append(running[key.backend], held.lost...)
+		placed := p.placements[key]
+		addresses[key.backend] = placed.address
+		running[key.backend] = append(running[key.backend], placed.unresolved...)
 	}
 	for _, release := range p.outbox {
 		addresses[release.Backend] = release.Address
@@ -332,7 +333,7 @@
 	clear(p.placements)
 }
 
-func (p *Program) touch(at time.Time) {
+func (p *Program) recordActivity(at time.Time) {
 	if at.After(p.lastActivity) {
 		p.lastActivity = at
 	}
--- a/internal/program/commands.go
+++ b/internal/program/commands.go
@@ -9,13 +9,14 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// retryAfterGap is when a caller whose turn passed while it waited should come back.
-const retryAfterGap = time.Second
+// sequenceGapRetryAfter is RetryAfter for a call that is no longer the next of its
+// branch.
+const sequenceGapRetryAfter = time.Second
 
-// Action is what a call's arrival asks for.
+// Action is how an incoming call is handled.
 type Action uint8
 
-// The actions on arrival.
+// The actions for incoming calls.
 const (
 	// ActionRun: the call is next in its branch and may be dispatched.
 	ActionRun Action = iota + 1
@@ -23,15 +24,16 @@
 	ActionWait
 	// ActionJoin: the call itself is open.
 	ActionJoin
-	// ActionReplay: the call has its answer, in Verdict.Call.
+	// ActionReplay: the call is already answered, in Evaluation.Call.
 	ActionReplay
-	// ActionRepeat: an earlier call with the same key, Verdict.Call, answers it.
+	// ActionRepeat: Evaluation.Call, an earlier call with the same idempotency key,
+	// answers it.
 	ActionRepeat
-	// ActionRefuse: Verdict.Problem says why.
+	// ActionRefuse: the call is refused with Evaluation.Problem.
 	ActionRefuse
 )
 
-// Evaluation is the answer to the arrival of a call.
+// Evaluation is the result of Evaluate.
 type Evaluation struct {
 	Action  Action
 	Call    *Call
@@ -42,25 +44,25 @@
 	return Evaluation{Action: ActionRefuse, Problem: problem}
 }
 
-// Evaluate says what to do with a call. It changes nothing.
+// Evaluate returns how to handle an incoming call. It does not change the state.
 func (p *Program) Evaluate(now time.Time, request Request) Evaluation {
-	verdict := p.arrive(now, request)
-	if verdict.Problem != nil && p.MayHaveRun(request.ID) {
-		verdict.Problem.WithNotRun(false)
+	evaluation := p.evaluate(now, request)
+	if evaluation.Problem != nil && p.MayHaveRun(request.ID) {
+		evaluation.Problem.WithNotRun(false)
 	}
-	return verdict
+	return evaluation
 }
 
-func (p *Program) arrive(now time.Time, request Request) Evaluation {
+func (p *Program) evaluate(now time.Time, request Request) Evaluation {
 	if call := p.Call(request.ID); call != nil {
-		return p.arriveAgain(call, request)
+		return p.evaluateKnown(call, request)
 	}
 	if !p.Running() {
 		return refuse(p.endedProblem())
 	}
 	if request.IdempotencyKey != "" {
-		if original, found := p.keys[request.IdempotencyKey]; found {
-			return p.arriveRepeated(p.Call(original), request)
+		if original, found := p.idempotencyKeys[request.IdempotencyKey]; found {
+			return p.evaluateDuplicate(p.Call(original), request)
 		}
 	}
 	if problem := p.checkLimits(now, request); problem != nil {
@@ -80,7 +82,7 @@
 	return p.Next(id.Branch) == id.Sequence && (b == nil || b.open() == nil)
 }
 
-func (p *Program) arriveAgain(call *Call, request Request) Evaluation {
+func (p *Program) evaluateKnown(call *Call, request Request) Evaluation {
 	if call.Request.Digest != request.Digest {
 		return refuse(api.NewProblem(api.CodeConflict,
 			"call %s stands with another body; a new call takes the next sequence", request.ID))
@@ -91,7 +93,7 @@
 	return Evaluation{Action: ActionReplay, Call: p.Original(call)}
 }
 
-func (p *Program) arriveRepeated(original *Call, request Request) Evaluation {
+func (p *Program) evaluateDuplicate(original *Call, request Request) Evaluation {
 	if original.Request.Digest != request.Digest {
 		return refuse(api.NewProblem(api.CodeConflict,
 			"idempotency key %q stands with another body at call %s", request.IdempotencyKey, original.Request.ID))
@@ -123,8 +125,9 @@
 	return nil
 }
 
-// Normalize fills in what the class sets and cuts a repeated history off, so that
-// Messages are the new turns. The request must be next in its branch.
+// Normalize fills in the defaults of the class and removes the known history from
+// the messages, so that Messages are the new turns. The request must be next in its
+// branch.
 func (p *Program) Normalize(request Request) (Request, *api.Problem) {
 	if request.Kind != api.CallModel {
 		return request, nil
@@ -152,25 +155,26 @@
 	return request, nil
 }
 
-// Dispatch says where and as what an attempt is about to run.
+// Dispatch describes where and in which epoch an attempt is about to run.
 type Dispatch struct {
 	Backend string
 	Address netip.AddrPort
 	Epoch   identity.Epoch
-	// ReservationRule replaces the rule of the worst case; nil takes WorstCase. Only
-	// checkers that prove themselves set it.
+	// ReservationRule replaces WorstCase, which is used if it is nil. Only tests set
+	// it, to verify that they detect a faulty rule.
 	ReservationRule func(prompt, answer int64) int64
 }
 
-// WorstCase is the reservation of a call: its prompt's bound and all the tokens
-// that its answer may have.
+// WorstCase returns the reservation of a call: the upper bound of its prompt plus
+// the maximum length of its answer.
 func WorstCase(prompt, answer int64) int64 { return prompt + answer }
 
-// Begin opens request, which Arrive found runnable, with its first attempt.
+// Begin opens request, for which Evaluate must return ActionRun, with its first
+// attempt.
 func (p *Program) Begin(now time.Time, request Request, dispatch Dispatch) (Intent, *api.Problem) {
-	verdict := p.Evaluate(now, request)
-	if verdict.Action != ActionRun {
-		return Intent{}, p.notRunnable(verdict, request)
+	evaluation := p.Evaluate(now, request)
+	if evaluation.Action != ActionRun {
+		return Intent{}, p.notRunnable(evaluation, request)
 	}
 	resolved, problem := p.Normalize(request)
 	if problem != nil {
@@ -183,16 +187,16 @@
 	return Intent{Request: resolved, Attempt: attempt}, nil
 }
 
-func (p *Program) notRunnable(verdict Evaluation, request Request) *api.Problem {
-	if verdict.Problem != nil {
-		return verdict.Problem
+func (p *Program) notRunnable(evaluation Evaluation, request Request) *api.Problem {
+	if evaluation.Problem != nil {
+		return evaluation.Problem
 	}
 	return api.NewProblem(api.CodeSequenceGap, "call %s is not the next of its branch", request.ID).
-		WithRetryAfter(retryAfterGap)
+		WithRetryAfter(sequenceGapRetryAfter)
 }
 
-// Retry gives the open call another attempt. If the last one is still pending it
-// counts as lost and stays charged.
+// Retry starts another attempt of the open call. If the last attempt is still
+// pending, its reservation stays charged.
 func (p *Program) Retry(now time.Time, call *Call, dispatch Dispatch) (Retry, *api.Problem) {
 	if !call.Open {
 		return Retry{}, api.NewProblem(api.CodeConflict, "call %s has its answer", call.Request.ID)
@@ -200,8 +204,8 @@
 	if !p.Running() {
 		return Retry{}, p.endedProblem()
 	}
-	// A pending attempt is already inside reserved and moves to spent, so the sum
-	// that the new reservation adds to is the same.
+	// The reservation of a pending attempt moves from reserved to spent, so their
+	// sum, to which the new reservation is added, does not change.
 	attempt, problem := p.attempt(now, call.Request, dispatch, p.branches[call.Request.ID.Branch].nextAttempt)
 	return Retry{Attempt: attempt}, problem
 }
@@ -239,14 +243,14 @@
 // found open by a new owner.
 func (c *Call) PendingAttempt() (Attempt, bool) { return c.Attempt, c.Open && c.Pending }
 
-// End ends the program. It returns false if it has ended already.
+// End returns the record that ends the program, and false if it has already ended.
 func (p *Program) End(now time.Time, state api.ProgramState) (Ended, bool) {
 	return Ended{ID: p.id, State: state, At: now}, p.Running()
 }
 
-// Expired tells that a running program without open calls was idle for too long
-// or any running program is too old. since is the earliest time from which
-// callers could reach it, such as when its owner took over.
+// Expired reports whether a running program has exceeded MaxDuration, or has had no
+// open call for IdleTimeout. Idle time before since does not count; it is the time
+// from which callers could reach the program, such as when its owner took over.
 func (p *Program) Expired(now, since time.Time) bool {
 	if !p.Running() {
 		return false
@@ -262,7 +266,8 @@
 	return idle && len(p.OpenCalls()) == 0
 }
 
-// Removable tells that an ended program owes nothing to anybody.
+// Removable reports whether the program has ended and has neither open calls nor
+// unconfirmed releases.
 func (p *Program) Removable() bool {
 	return !p.Running() && len(p.outbox) == 0 && len(p.OpenCalls()) == 0
 }
--- a/internal/program/history_test.go
+++ b/internal/program/history_test.go
@@ -11,15 +11,15 @@
 	"stepseam.example/stepseam/internal/program"
 )
 
-// The longest program of the two-year size: turns of equally many tokens, a
-// quarter of them new prompt and the rest answer.
+// The size of a very long program: turns with equal numbers of tokens, of which a
+// quarter is new prompt and the rest answer.
 const (
 	historyTurns  = 110
 	historyTokens = 170_000
-	tokenText     = "word" // four bytes are a usual token
+	tokenText     = "word" // a typical token has four bytes
 )
 
-// historyRecords returns the journal records of the longest program.
+// historyRecords returns the journal records of a very long program.
 func historyRecords(id identity.ProgramID) [][]byte {
 	at := time.Unix(1_000_000, 0)
 	records := [][]byte{program.Encode(program.Created{ID: id, Tenant: "tenant", Class: "class", At: at})}
@@ -45,36 +45,36 @@
 	return records
 }
 
-// BenchmarkHistory folds the longest program and reports what it takes in memory,
-// in records and in a snapshot.
+// BenchmarkHistory applies the records of a very long program and reports its size in
+// memory, in records and in a snapshot.
 func BenchmarkHistory(b *testing.B) {
 	records := historyRecords("program")
 	bytes := 0
 	for _, record := range records {
 		bytes += len(record)
 	}
-	var folded *program.Set
+	var replayed *program.Set
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for b.Loop() {
-		folded = program.NewSet()
+		replayed = program.NewSet()
 		for _, record := range records {
 			decoded, err := program.Decode(record)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if err := folded.Apply(decoded); err != nil {
+			if err := replayed.Apply(decoded); err != nil {
 				b.Fatal(err)
 			}
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	snapshot := folded.Snapshot()
+	snapshot := replayed.Snapshot()
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc), "heap-B/program")
 	b.ReportMetric(float64(bytes), "record-B/program")
 	b.ReportMetric(float64(len(snapshot)), "snapshot-B/program")
-	runtime.KeepAlive(folded)
+	runtime.KeepAlive(replayed)
 	runtime.KeepAlive(records)
 }
--- a/internal/program/limits.go
+++ b/internal/program/limits.go
@@ -1,20 +1,21 @@
-// Package program is the pure state machine of one agent program: the order of
-// its calls, its branches and their history, its budget, repeats, the intents of
-// unrepeatable calls, the engines that hold its cache, and its end.
+// Package program is the deterministic state machine of an agent program: the order
+// of its calls, its branches and their history, its budget, duplicate calls, the
+// intents of unrepeatable calls, the engines that may have its prefixes cached, and
+// its end.
 //
-// Commands look at the state and return records; the state is the fold of the
-// records (Program.Apply) and nothing else. The package imports no clock,
-// network or randomness: the time is an argument.
+// Commands read the state and return records; the state changes only by applying
+// records (Program.Apply). The package uses no clock, network or randomness: the
+// current time is an argument.
 //
 // Invariants:
-//   - A branch has at most one open call, and a call opens only once every call
-//     before it in its branch is answered.
-//   - Spent + Reserved never passes the budget: an attempt reserves its worst
-//     case before it is sent, its result settles it, and an attempt whose result
-//     is lost stays charged in full.
-//   - An idempotency key names at most one call that ran.
-//   - An engine that may hold cache of the program is a placement or stands in
-//     the outbox until it confirmed the release.
+//   - A branch has at most one open call, and a call opens only once all earlier
+//     calls of its branch are answered.
+//   - Spent + Reserved never exceeds the budget: an attempt reserves its worst
+//     case before it is sent, its result settles the reservation, and an attempt
+//     without a known result stays charged in full.
+//   - At most one call with a given idempotency key has run.
+//   - An engine that may have cached prefixes of the program is a placement or in
+//     the outbox until it has confirmed the release.
 package program
 
 import (
@@ -24,11 +25,10 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Limits are what the table granted the program when it was created. They stay
-// for its whole life: a later version of the table changes neither a running
-// program's budget nor its limits, so that no reservation that was made under
-// them can turn out to be too large. Counts and durations of 0 are no bound; a
-// budget of 0 is no tokens at all.
+// Limits are the limits of a program's class at its creation. Later versions of the
+// table do not affect running programs, so that existing reservations never exceed
+// the budget. Counts and durations of 0 are no limit; a budget of 0 allows no
+// tokens.
 type Limits struct {
 	Model        string
 	Adapter      string
@@ -41,7 +41,7 @@
 	MaxTokens    int
 }
 
-// LimitsOf returns the limits that class grants.
+// LimitsOf returns the limits of programs of class.
 func LimitsOf(class table.Class) Limits {
 	return Limits{
 		Model:        class.Model,
--- a/internal/program/machine_test.go
+++ b/internal/program/machine_test.go
@@ -21,7 +21,7 @@
 	programID       = identity.ProgramID("p")
 )
 
-// modelAttempt is one dispatch as a back end would see it.
+// modelAttempt is one dispatch as observed by a back end.
 type modelAttempt struct {
 	stream   identity.StreamID
 	key      string
@@ -30,32 +30,33 @@
 	ran      bool
 }
 
-// modelBranch is the conversation of one branch as its caller knows it.
+// modelBranch is the conversation of one branch as observed by its caller.
 type modelBranch struct {
 	answered int
 	open     *program.Request
 	messages []api.Message
 }
 
-// machine runs the state machine beside a simple model: the list of attempts
-// and the messages of each branch.
+// machine compares the state machine with a simple model: the list of attempts and
+// the messages of each branch. Its exported methods are the actions of the property
+// test.
 type machine struct {
 	now      time.Time
 	set      *program.Set
-	folded   *program.Set
+	replayed *program.Set
 	reserve  func(prompt, answer int64) int64
 	attempts []*modelAttempt
 	branches map[identity.BranchID]*modelBranch
-	// keyRuns counts the attempts of a key that ran.
+	// keyRuns maps idempotency keys to the calls whose attempts ran.
 	keyRuns map[string]map[identity.CallID]bool
-	// cancelled are the streams that a confirmed release has cancelled.
+	// cancelled contains the streams that a confirmed release has cancelled.
 	cancelled map[identity.StreamID]bool
 	ended     bool
 }
 
 func newMachine(reserve func(prompt, answer int64) int64) *machine {
 	m := &machine{
-		now: time.Unix(1000, 0), set: program.NewSet(), folded: program.NewSet(), reserve: reserve,
+		now: time.Unix(1000, 0), set: program.NewSet(), replayed: program.NewSet(), reserve: reserve,
 		branches: map[identity.BranchID]*modelBranch{}, keyRuns: map[string]map[identity.CallID]bool{},
 		cancelled: map[identity.StreamID]bool{},
 	}
@@ -67,7 +68,7 @@
 
 func (m *machine) program() *program.Program { return m.set.Get(programID) }
 
-// commit applies records as an owner does, and their binary form to a second set.
+// commit applies records, and their decoded binary form to a second set.
 func (m *machine) commit(t *rapid.T, records ...program.Record) {
 	for _, record := range records {
 		if err := m.set.Apply(record); err != nil {
@@ -77,7 +78,7 @@
 		if err != nil {
 			t.Fatalf("decode %T: %v", record, err)
 		}
-		if err := m.folded.Apply(decoded); err != nil {
+		if err := m.replayed.Apply(decoded); err != nil {
 			t.Fatalf("fold %T: %v", record, err)
 		}
 	}
@@ -101,21 +102,21 @@
 	return program.NewRequest(programID, call)
 }
 
-// Begin sends a call at a drawn place in its branch.
+// Begin sends a call with a random sequence near the next one of its branch.
 func (m *machine) Begin(t *rapid.T) {
 	request := m.drawCall(t)
 	branch := m.branches[request.ID.Branch]
-	verdict := m.program().Evaluate(m.now, request)
+	evaluation := m.program().Evaluate(m.now, request)
 	next := identity.Sequence(branch.answered + 1)
-	if verdict.Action == program.ActionRun && (request.ID.Sequence != next || branch.open != nil) {
+	if evaluation.Action == program.ActionRun && (request.ID.Sequence != next || branch.open != nil) {
 		t.Fatalf("call %s may run while %d is next", request.ID, next)
 	}
-	if verdict.Action == program.ActionRepeat {
-		m.commit(t, program.Deduplicated{ID: request.ID, Digest: request.Digest, Of: verdict.Call.Request.ID, At: m.now})
+	if evaluation.Action == program.ActionRepeat {
+		m.commit(t, program.Deduplicated{ID: request.ID, Digest: request.Digest, Of: evaluation.Call.Request.ID, At: m.now})
 		branch.answered++
 		return
 	}
-	if verdict.Action != program.ActionRun {
+	if evaluation.Action != program.ActionRun {
 		return
 	}
 	intent, problem := m.program().Begin(m.now, request, m.dispatch(t))
@@ -137,7 +138,7 @@
 	m.attempts = append(m.attempts, &modelAttempt{stream: attempt.Stream, key: key, cost: attempt.Reserved})
 }
 
-// drawOpen picks an open call and its model attempt.
+// drawOpen chooses an open call and its model attempt.
 func (m *machine) drawOpen(t *rapid.T) (*program.Call, *modelAttempt) {
 	open := m.program().OpenCalls()
 	if len(open) == 0 {
@@ -153,7 +154,7 @@
 	return nil, nil
 }
 
-// Answer lets an engine answer with what its counters say.
+// Answer lets an engine answer an open call and report its token counts.
 func (m *machine) Answer(t *rapid.T) {
 	call, attempt := m.drawOpen(t)
 	if !call.Pending {
@@ -163,7 +164,7 @@
 	prompt := m.program().Prompt(request)
 	size := 0
 	for _, message := range prompt {
-		size += len(message.Content) // the worst tokenizer there is: one token for each byte
+		size += len(message.Content) // the worst case of a tokenizer: one token per byte
 	}
 	usage := api.Usage{PromptTokens: size, CompletionTokens: rapid.IntRange(1, request.MaxTokens).Draw(t, "answer tokens")}
 	text := fmt.Sprintf("answer-%s", request.ID)
@@ -198,7 +199,8 @@
 	attempt.resolved, attempt.cost = true, 0
 }
 
-// Retry sends an open call again; an attempt without a result stays charged.
+// Retry starts another attempt of an open call; an attempt without a result stays
+// charged.
 func (m *machine) Retry(t *rapid.T) {
 	call, attempt := m.drawOpen(t)
 	retry, problem := m.program().Retry(m.now, call, m.dispatch(t))
@@ -210,7 +212,8 @@
 	m.sent(retry.Attempt, call.Request.IdempotencyKey)
 }
 
-// LateAnswer brings the answer of an attempt that was replaced.
+// LateAnswer delivers the answer of an attempt that is already resolved, which must
+// not change the state.
 func (m *machine) LateAnswer(t *rapid.T) {
 	if len(m.attempts) == 0 {
 		t.Skip("nothing was sent")
@@ -226,7 +229,7 @@
 	}
 }
 
-// Drop takes an open call back.
+// Drop withdraws an open call.
 func (m *machine) Drop(t *rapid.T) {
 	call, attempt := m.drawOpen(t)
 	branch := call.Request.ID.Branch
@@ -235,7 +238,7 @@
 	m.branches[branch].open = nil
 }
 
-// Confirm lets an engine confirm the first release.
+// Confirm lets an engine confirm the first release of the outbox.
 func (m *machine) Confirm(t *rapid.T) {
 	outbox := m.program().Outbox()
 	if len(outbox) == 0 {
@@ -247,7 +250,7 @@
 	m.commit(t, program.Released{ID: programID, Backend: outbox[0].Backend, Branch: outbox[0].Branch})
 }
 
-// Evict gives the cache of a paused branch up.
+// Evict evicts the cached prefix of a paused branch.
 func (m *machine) Evict(t *rapid.T) {
 	paused := m.program().Paused()
 	if len(paused) == 0 {
@@ -261,7 +264,7 @@
 	}
 }
 
-// End ends the program, rarely.
+// End ends the program with a low probability.
 func (m *machine) End(t *rapid.T) {
 	if rapid.IntRange(0, 99).Draw(t, "end") > 0 {
 		t.Skip("not yet")
@@ -296,12 +299,12 @@
 	}
 	m.checkHistory(t)
 	m.checkPlacements(t)
-	m.checkFold(t)
+	m.checkReplay(t)
 }
 
 func (m *machine) checkHistory(t *rapid.T) {
 	if m.ended {
-		return // the turns of an ended program are dropped
+		return // an ended program no longer has its messages
 	}
 	for id, branch := range m.branches {
 		if got := m.program().History(id); fmt.Sprint(got) != fmt.Sprint(branch.messages) {
@@ -310,7 +313,7 @@
 	}
 }
 
-// checkPlacements: the engine of whatever may run is a placement or stands in
+// checkPlacements checks that the engine of each pending attempt is a placement or in
 // the outbox, until a confirmed release has cancelled the stream.
 func (m *machine) checkPlacements(t *rapid.T) {
 	for _, call := range m.program().OpenCalls() {
@@ -320,10 +323,10 @@
 	}
 }
 
-// checkFold: the fold of the journal's bytes and a restored snapshot are the state.
-func (m *machine) checkFold(t *rapid.T) {
+// checkReplay checks that replayed records and a restored snapshot give the same state.
+func (m *machine) checkReplay(t *rapid.T) {
 	snapshot := m.set.Snapshot()
-	if !bytes.Equal(snapshot, m.folded.Snapshot()) {
+	if !bytes.Equal(snapshot, m.replayed.Snapshot()) {
 		t.Fatal("the fold of the records is another state")
 	}
 	restored := program.NewSet()
@@ -343,6 +346,6 @@
 	t.Repeat(rapid.StateMachineActions(m))
 }
 
-func TestProgramFollowsTheModel(t *testing.T) {
+func TestProgramMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runMachine(t, nil) })
 }
--- a/internal/program/main_test.go
+++ b/internal/program/main_test.go
@@ -12,13 +12,13 @@
 	"stepseam.example/stepseam/internal/testseed"
 )
 
-// TestMain fixes the seed, so that a run's verdict does not vary; flags on the
-// command line go before.
+// TestMain fixes rapid's seed, so that results are reproducible. Flags on the command
+// line take precedence.
 func TestMain(m *testing.M) {
 	testseed.MainWith(m, map[string]string{"rapid.seed": "20260", "rapid.steps": "100", "rapid.nofailfile": "true"})
 }
 
-// recorder takes the failure of a property that is expected to fail.
+// recorder records the failure of a property that is expected to fail.
 type recorder struct {
 	*testing.T
 	failure strings.Builder
@@ -45,8 +45,8 @@
 func (r *recorder) Fail()        { r.failed = true }
 func (r *recorder) Failed() bool { return r.failed }
 
-// findFailure returns what rapid says of a property that does not hold, empty if
-// it found nothing.
+// findFailure returns rapid's failure message for a property that is expected to
+// fail, empty if it did not.
 func findFailure(t *testing.T, property func(*rapid.T)) string {
 	t.Helper()
 	setFlag(t, "rapid.shrinktime", "100ms")
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -9,8 +9,8 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Program is the state of one program. It is not safe for concurrent use; the
-// owner of its shard guards it.
+// Program is the state of one program. It is not safe for concurrent use; the owner
+// of its shard synchronizes access.
 type Program struct {
 	id     identity.ProgramID
 	tenant string
@@ -22,33 +22,33 @@
 	lastActivity time.Time
 	ended        time.Time
 
-	spent    int64
-	reserved int64
-	calls    int
-	service  time.Duration
+	spent       int64
+	reserved    int64
+	calls       int
+	serviceTime time.Duration
 
-	branches   map[identity.BranchID]*branch
-	keys       map[string]identity.CallID
-	placements map[placementKey]*placement
-	outbox     []Release
+	branches        map[identity.BranchID]*branch
+	idempotencyKeys map[string]identity.CallID
+	placements      map[placementKey]*placement
+	outbox          []Release
 }
 
 type branch struct {
-	// calls holds the call of sequence i+1 at i; only the last may be open.
+	// calls contains the call of sequence i+1 at index i; only the last may be open.
 	calls []*Call
-	// nextAttempt numbers the next attempt of the branch's next or open call.
-	// It outlives a dropped call, so that no stream id is used twice.
+	// nextAttempt is the number of the next attempt of the branch's next or open
+	// call. It is kept when a call is withdrawn, so that no stream id is used twice.
 	nextAttempt uint32
-	// mayHaveRun is true while the next sequence was sent before, and its call
-	// dropped without knowing whether it ran.
+	// mayHaveRun is true if a call with the next sequence was sent before and
+	// withdrawn with unknown outcome.
 	mayHaveRun bool
 	// lastBackend is where the branch's last model call ran.
 	lastBackend string
-	// settledTokens counts the branch's history as the engine of settledModel
-	// counted it, and settledCalls are the calls it covers.
-	settledTokens int64
-	settledModel  string
-	settledCalls  int
+	// countedTokens is the size of the branch's history as counted by an engine of
+	// countedModel, and countedCalls the number of calls that it covers.
+	countedTokens int64
+	countedModel  string
+	countedCalls  int
 }
 
 // Call is one call of a branch.
@@ -56,37 +56,37 @@
 	Request Request
 	// Open is true while the call has no answer.
 	Open bool
-	// Attempt is the last dispatch; Pending is true until it is resolved.
+	// Attempt is the last attempt; Pending is true until it is resolved.
 	Attempt Attempt
 	Pending bool
 	// HasLostAttempt is true once an attempt stayed charged without a result.
 	HasLostAttempt bool
-	// Answer stands once Open is false, unless RepeatOf is set.
+	// Answer is valid if Open is false and RepeatOf is zero.
 	Answer Answer
-	// RepeatOf names the call whose answer this one replays; zero if none.
+	// RepeatOf is the call whose answer this one replays, zero if none.
 	RepeatOf identity.CallID
 }
 
-// placement is cache that a back end may hold for a branch.
+// placement records that a back end may have a branch's prefix cached.
 type placement struct {
 	address netip.AddrPort
-	// lost are streams there whose fate is not known. Whoever releases the cache
-	// cancels them, since one that still runs would fill it again.
-	lost []identity.StreamID
+	// unresolved are the streams there with unknown outcome. They are cancelled
+	// when the cache is released, since a running stream would fill it again.
+	unresolved []identity.StreamID
 }
 
-// maximumLostStreams bounds what one placement remembers; the oldest go first.
-const maximumLostStreams = 16
+// maxUnresolvedStreams bounds the unresolved streams of a placement; the oldest are
+// removed first.
+const maxUnresolvedStreams = 16
 
-// placementKey names a placement.
 type placementKey struct {
 	backend string
 	branch  identity.BranchID
 }
 
-// Release is one entry of the outbox: cache that an engine is to free. An empty
-// Branch means the whole program. Streams are cancelled first, so that none
-// fills the cache again.
+// Release is one entry of the outbox: a cached prefix that an engine is to free. An
+// empty Branch means the whole program. Streams are cancelled first, so that none of
+// them fills the cache again.
 type Release struct {
 	Backend string
 	Address netip.AddrPort
@@ -97,49 +97,51 @@
 // ID returns the program's id.
 func (p *Program) ID() identity.ProgramID { return p.id }
 
-// Tenant returns whose program it is.
+// Tenant returns the tenant to which the program belongs.
 func (p *Program) Tenant() string { return p.tenant }
 
-// Class returns the table's row that it was made under.
+// Class returns the name of the program's class.
 func (p *Program) Class() string { return p.class }
 
-// Limits returns what the table granted at its creation.
+// Limits returns the limits at the program's creation.
 func (p *Program) Limits() Limits { return p.limits }
 
-// State returns where it is in its life.
+// State returns the program's lifecycle state.
 func (p *Program) State() api.ProgramState { return p.state }
 
-// Running tells that the program takes calls.
+// Running reports whether the program accepts calls.
 func (p *Program) Running() bool { return p.state == api.ProgramRunning }
 
-// Created returns when the program was made, Ended when it ended (zero: not yet).
+// Created returns when the program was created.
 func (p *Program) Created() time.Time { return p.created }
 
-// Ended returns when the program ended, the zero time before.
+// Ended returns when the program ended, the zero time if it has not.
 func (p *Program) Ended() time.Time { return p.ended }
 
-// LastActivity returns when its last call opened or ended.
+// LastActivity returns when the last call was opened, retried, withdrawn or
+// answered.
 func (p *Program) LastActivity() time.Time { return p.lastActivity }
 
-// Spent and Reserved are in tokens; their sum never passes the budget.
+// Spent returns the tokens charged so far. Spent + Reserved never exceeds the budget.
 func (p *Program) Spent() int64 { return p.spent }
 
-// Reserved returns the worst case of what runs now.
+// Reserved returns the tokens reserved for pending attempts.
 func (p *Program) Reserved() int64 { return p.reserved }
 
 // Calls returns the number of calls that were opened.
 func (p *Program) Calls() int { return p.calls }
 
 // ServiceTime returns the time that back ends spent on its answered calls.
-func (p *Program) ServiceTime() time.Duration { return p.service }
+func (p *Program) ServiceTime() time.Duration { return p.serviceTime }
 
-// Outbox returns the releases that no engine has confirmed yet.
+// Outbox returns the releases that engines have not confirmed yet.
 func (p *Program) Outbox() []Release { return slices.Clone(p.outbox) }
 
 // OutboxLength returns the number of releases in the outbox.
 func (p *Program) OutboxLength() int { return len(p.outbox) }
 
-// View returns the program as callers see it; the owner adds the shard's fields.
+// View returns the program's representation in the API; the owner adds the fields of
+// the shard.
 func (p *Program) View() api.Program {
 	view := api.Program{
 		ID:       string(p.id),
@@ -159,7 +161,7 @@
 	return view
 }
 
-// answered returns the number of calls of the branch that have their answer.
+// answered returns the number of answered calls of the branch.
 func (b *branch) answered() int {
 	if open := b.open(); open != nil {
 		return len(b.calls) - 1
@@ -167,7 +169,7 @@
 	return len(b.calls)
 }
 
-// open returns the branch's open call, nil if none.
+// open returns the branch's open call, nil if there is none.
 func (b *branch) open() *Call {
 	if len(b.calls) == 0 {
 		return nil
@@ -178,7 +180,8 @@
 	return nil
 }
 
-// Next returns the sequence that the branch takes next or has open.
+// Next returns the sequence of the branch's open call, or of its next call if none
+// is open.
 func (p *Program) Next(id identity.BranchID) identity.Sequence {
 	branch := p.branches[id]
 	if branch == nil {
@@ -187,14 +190,14 @@
 	return identity.Sequence(branch.answered() + 1)
 }
 
-// MayHaveRun tells that the call of id was sent before and dropped without
-// knowing whether it ran, so that no refusal of it is certain not to have run.
+// MayHaveRun reports whether a call with this id was sent before and withdrawn with
+// unknown outcome. A refusal of such a call must not claim that it has not run.
 func (p *Program) MayHaveRun(id identity.CallID) bool {
 	branch := p.branches[id.Branch]
 	return branch != nil && branch.mayHaveRun && p.Next(id.Branch) == id.Sequence
 }
 
-// Call returns the call of id, nil if there is none.
+// Call returns the call with this id, nil if there is none.
 func (p *Program) Call(id identity.CallID) *Call {
 	branch := p.branches[id.Branch]
 	if branch == nil || id.Sequence < 1 || uint64(id.Sequence) > uint64(len(branch.calls)) {
@@ -203,7 +206,7 @@
 	return branch.calls[id.Sequence-1]
 }
 
-// OpenCalls returns the calls without an answer, at most one for each branch.
+// OpenCalls returns the open calls, at most one per branch, sorted by branch.
 func (p *Program) OpenCalls() []*Call {
 	var open []*Call
 	for _, branch := range p.branches {
@@ -232,7 +235,7 @@
 	return call
 }
 
-// History returns the branch's conversation: the turns and answers of its model
+// History returns the branch's conversation: the messages and answers of its model
 // calls, in order.
 func (p *Program) History(id identity.BranchID) []api.Message {
 	branch := p.branches[id]
@@ -254,17 +257,20 @@
 	return history
 }
 
-// inHistory tells that the call's turns and answer belong to the conversation.
+// inHistory reports whether the call's messages and answer are part of the
+// conversation.
 func (c *Call) inHistory() bool {
 	return !c.Open && c.RepeatOf.Sequence == 0 && c.Request.Kind == api.CallModel && c.Answer.Code == ""
 }
 
-// Prompt returns all messages that a model gets for the open or next call.
+// Prompt returns all messages that are sent to the model for request, which is the
+// open or next call of its branch.
 func (p *Program) Prompt(request Request) []api.Message {
 	return append(p.History(request.ID.Branch), request.Messages...)
 }
 
-// LastBackend returns where the branch's last model call ran, empty if none.
+// LastBackend returns where the branch's last model call ran, empty if there is
+// none.
 func (p *Program) LastBackend(id identity.BranchID) string {
 	if branch := p.branches[id]; branch != nil {
 		return branch.lastBackend
@@ -292,19 +298,19 @@
 	Branch identity.BranchID
 	// Since is when its last model call was answered.
 	Since time.Time
-	// Cached tells that an engine may hold its conversation.
+	// Cached is true if an engine may have its prefix cached.
 	Cached bool
 }
 
-// Paused returns the branches of a running program that have been answered and
-// have no open call, in no particular order.
+// Paused returns the branches of a running program that have an answered model call
+// and no open call, in no particular order.
 func (p *Program) Paused() []Paused {
 	if !p.Running() {
 		return nil
 	}
-	held := map[identity.BranchID]bool{}
+	placed := map[identity.BranchID]bool{}
 	for key := range p.placements {
-		held[key.branch] = true
+		placed[key.branch] = true
 	}
 	var paused []Paused
 	for id, b := range p.branches {
@@ -312,38 +318,39 @@
 			continue
 		}
 		if since := p.LastAnswered(id); !since.IsZero() {
-			paused = append(paused, Paused{Branch: id, Since: since, Cached: held[id]})
+			paused = append(paused, Paused{Branch: id, Since: since, Cached: placed[id]})
 		}
 	}
 	return paused
 }
 
-// PromptSize says how large the prompt of a call is.
+// PromptSize is the size of a call's prompt in tokens.
 type PromptSize struct {
-	// Bound is the worst case, which the budget reserves.
+	// Bound is the upper bound, which is reserved from the budget.
 	Bound int64
-	// Expected is the best estimate, for decisions.
+	// Expected is the estimate for scheduling decisions.
 	Expected int64
 	// Counted is the part that an engine has counted, at LastBackend.
 	Counted int64
 }
 
-// PromptSize returns the size of request's prompt. The history counts as the
-// engine counted it, where the same model saw it; the rest counts as its bytes.
+// PromptSize returns the size of request's prompt. For the part of the history that
+// an engine of the same model has counted it uses that count; the rest is estimated
+// from its bytes.
 func (p *Program) PromptSize(request Request) PromptSize {
 	size := PromptSize{Bound: promptOverheadTokens}
 	rest := request.Messages
 	branch := p.branches[request.ID.Branch]
 	switch {
 	case branch == nil:
-	case branch.settledModel == modelKey(request.Model, request.Adapter):
-		size.Counted = branch.settledTokens
-		earlier := historyOf(branch.calls[branch.settledCalls:])
+	case branch.countedModel == modelKey(request.Model, request.Adapter):
+		size.Counted = branch.countedTokens
+		earlier := historyOf(branch.calls[branch.countedCalls:])
 		rest = append(earlier, request.Messages...)
 	default:
 		rest = append(historyOf(branch.calls), request.Messages...)
 	}
-	size.Bound += size.Counted + boundTokens(rest)
+	size.Bound += size.Counted + upperBoundTokens(rest)
 	size.Expected = size.Counted + estimateTokens(rest)
 	if size.Counted > 0 {
 		size.Bound += messageOverheadTokens
@@ -353,7 +360,7 @@
 
 func modelKey(model, adapter string) string { return model + "\x00" + adapter }
 
-// MayHoldCache tells that the back end may hold cache of the program.
+// MayHoldCache reports whether the back end may have prefixes of the program cached.
 func (p *Program) MayHoldCache(backend string) bool {
 	for key := range p.placements {
 		if key.backend == backend {
@@ -363,7 +370,8 @@
 	return slices.ContainsFunc(p.outbox, func(r Release) bool { return r.Backend == backend })
 }
 
-// Placements returns the back ends that may hold cache of a branch, sorted.
+// Placements returns the back ends that may have a branch's prefix cached, sorted by
+// name.
 func (p *Program) Placements(id identity.BranchID) []string {
 	var backends []string
 	for key := range p.placements {
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/program"
 )
 
-// fixture is one program that is driven by hand.
+// fixture is one program with helpers to apply records to it.
 type fixture struct {
 	is  *is.I
 	set *program.Set
@@ -58,14 +58,14 @@
 }
 
 func (f *fixture) refusal(call api.CallRequest) api.Code {
-	verdict := f.program().Evaluate(f.now, program.NewRequest(programID, call))
-	if verdict.Problem == nil {
+	evaluation := f.program().Evaluate(f.now, program.NewRequest(programID, call))
+	if evaluation.Problem == nil {
 		return ""
 	}
-	return verdict.Problem.Code
+	return evaluation.Problem.Code
 }
 
-func TestArrivals(t *testing.T) {
+func TestEvaluateIncomingCalls(t *testing.T) {
 	f := newFixture(t, program.Limits{BudgetTokens: 10_000, MaxBranches: 2, MaxCalls: 6, MaxDuration: time.Hour, MaxTokens: 10})
 	keyed := api.CallRequest{Sequence: 2, Kind: api.CallApplication, Application: "portal", Operation: "pay", Input: []byte(`{"a": 1}`), IdempotencyKey: "k"}
 	f.run(modelCall(1, "hello"), "e1", "hi")
@@ -77,7 +77,7 @@
 	f.is.Equal(replay.Call.Answer.Text, "hi")
 
 	repeat := keyed
-	repeat.Sequence, repeat.Input = 3, []byte(`{"a":1}`) // white space makes no other body
+	repeat.Sequence, repeat.Input = 3, []byte(`{"a":1}`) // white space does not change the digest
 	f.is.Equal(f.program().Evaluate(f.now, program.NewRequest(programID, repeat)).Action, program.ActionRepeat)
 	repeat.Input = []byte(`{"a":2}`)
 	f.is.Equal(f.refusal(repeat), api.CodeConflict)
@@ -96,7 +96,7 @@
 	for _, name := range []string{"b", "c"} {
 		branch.Branch = name
 		if name == "c" {
-			f.is.Equal(f.refusal(branch), api.CodeLimit) // main and b are two branches
+			f.is.Equal(f.refusal(branch), api.CodeLimit) // MaxBranches is reached by main and b
 			break
 		}
 		f.run(branch, "e1", "done")
@@ -108,10 +108,10 @@
 	f.is.True(running)
 	f.apply(record)
 	f.is.Equal(f.refusal(modelCall(3, "late")), api.CodeProgramEnded)
-	f.is.Equal(f.refusal(modelCall(1, "hello")), api.Code("")) // its answer still stands
+	f.is.Equal(f.refusal(modelCall(1, "hello")), api.Code("")) // answered calls are still replayed
 }
 
-func TestEndlessLoopMeetsTheLimitOfCalls(t *testing.T) {
+func TestMaxCallsStopsEndlessLoop(t *testing.T) {
 	f := newFixture(t, program.Limits{BudgetTokens: 10_000, MaxCalls: 3, MaxTokens: 10})
 	for sequence := uint64(1); sequence <= 3; sequence++ {
 		f.run(modelCall(sequence, "again"), "e1", "again")
@@ -119,7 +119,7 @@
 	f.is.Equal(f.refusal(modelCall(4, "again")), api.CodeLimit)
 }
 
-func TestCallsThatNeverRanDoNotCountAgainstTheLimit(t *testing.T) {
+func TestCallsThatNeverRanDoNotCountAgainstMaxCalls(t *testing.T) {
 	f := newFixture(t, program.Limits{BudgetTokens: 10_000, MaxCalls: 2, MaxTokens: 10})
 	for range 5 {
 		intent, problem := f.begin(modelCall(1, "hello"), "e1")
@@ -130,22 +130,22 @@
 	f.is.Equal(f.program().Calls(), 0)
 	intent, problem := f.begin(modelCall(1, "hello"), "e1")
 	f.is.True(problem == nil)
-	f.is.Equal(intent.Attempt.Stream.Attempt, uint32(5)) // no stream id comes twice
+	f.is.Equal(intent.Attempt.Stream.Attempt, uint32(5)) // stream ids are unique
 }
 
-func TestTheBudgetReservesByBytesUntilTheEngineHasCounted(t *testing.T) {
+func TestBudgetReservesByBytesUntilEngineHasCounted(t *testing.T) {
 	f := newFixture(t, program.Limits{BudgetTokens: 500, MaxTokens: 10})
 	long := modelCall(1, strings.Repeat("x", 400))
 	f.run(long, "e1", "ok")
 	f.is.Equal(f.program().Spent(), int64(23))
 	size := f.program().PromptSize(program.Request{ID: identity.CallID{Program: programID, Branch: "main", Sequence: 2}, Model: "m"})
-	f.is.True(size.Counted == 23 && size.Bound < 100) // not by bytes any more
+	f.is.True(size.Counted == 23 && size.Bound < 100) // the engine's count replaces the bound by bytes
 	_, problem := f.begin(modelCall(2, strings.Repeat("y", 600)), "e1")
 	f.is.Equal(problem.Code, api.CodeBudget)
 	f.is.True(problem.NotRun)
 }
 
-func TestCacheThatMovesOrEndsGoesToTheOutbox(t *testing.T) {
+func TestMovedOrEndedCacheIsReleasedThroughOutbox(t *testing.T) {
 	f := newFixture(t, program.Limits{BudgetTokens: 10_000, MaxTokens: 10})
 	f.run(modelCall(1, "one"), "e1", "ok")
 	f.run(modelCall(2, "two"), "e2", "ok")
@@ -153,7 +153,7 @@
 	f.is.Equal(len(f.program().Outbox()), 1)
 	f.is.Equal(f.program().Outbox()[0].Backend, "e1")
 
-	intent, problem := f.begin(modelCall(3, "three"), "e1") // back again: e1 is to keep it
+	intent, problem := f.begin(modelCall(3, "three"), "e1") // the branch moves back, e1 keeps its prefix
 	f.is.True(problem == nil)
 	f.is.Equal(len(f.program().Outbox()), 0)
 	record, _ := f.program().End(f.now, api.ProgramCancelled)
@@ -169,7 +169,7 @@
 	f.is.True(f.program().Removable())
 }
 
-func TestTokensOfAStoredAnswerGoOnFromAnyIndex(t *testing.T) {
+func TestTokensOfStoredAnswerResumeAtAnyIndex(t *testing.T) {
 	is := is.New(t)
 	tokens := []string{"one ", "", "two ", "three"}
 	answer := program.Answer{Text: "one two three", TokenLengths: program.TokenLengths(tokens, "one two three")}
@@ -185,7 +185,7 @@
 	is.Equal(program.TokenLengths(tokens, "something else"), nil)
 }
 
-func TestDamagedRecordsAreErrors(t *testing.T) {
+func TestDecodeRejectsDamagedRecords(t *testing.T) {
 	is := is.New(t)
 	raw := program.Encode(program.Ended{ID: programID, State: api.ProgramEnded, At: time.Unix(1, 0)})
 	for cut := range raw {
@@ -198,9 +198,9 @@
 	is.True(err != nil)
 }
 
-// TestTheModelCatchesABudgetWithoutReservation shows that the check of the
-// budget can fail: without the reservation two branches spend the same tokens.
-func TestTheModelCatchesABudgetWithoutReservation(t *testing.T) {
+// TestModelDetectsMissingReservation verifies that the check of the budget can fail:
+// without reservations two branches spend the same tokens.
+func TestModelDetectsMissingReservation(t *testing.T) {
 	wrong := func(int64, int64) int64 { return 0 }
 	found := findFailure(t, func(t *rapid.T) { runMachine(t, wrong) })
 	if !strings.Contains(found, "of a budget of") {
--- a/internal/program/record.go
+++ b/internal/program/record.go
@@ -11,11 +11,12 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// ErrUnknownRecord tells that a record is of a kind that this version does not know.
+// ErrUnknownRecord is returned for a record of an unknown kind, as written by a newer
+// version.
 var ErrUnknownRecord = errors.New("program: unknown kind of record")
 
-// Record is one step of a program's life. Records are values; they are applied
-// in the order in which they were journalled.
+// Record is one state change of a program. Records are immutable and are applied in
+// journal order.
 type Record interface {
 	// Program returns the program that the record belongs to.
 	Program() identity.ProgramID
@@ -25,22 +26,22 @@
 
 type recordKind uint8
 
-// The kinds of records. The numbers stand in journals and never change.
+// The kinds of records. The numbers are stored in journals and must not change.
 const (
 	kindCreated recordKind = iota + 1
 	kindIntent
 	kindRetry
 	kindNotRun
-	kindDropped
+	kindWithdrawn
 	kindResult
-	kindRepeated
+	kindDeduplicated
 	kindEnded
 	kindReleased
-	kindForgotten
+	kindRemoved
 	kindEvicted
 )
 
-// Created starts a program.
+// Created creates a program.
 type Created struct {
 	ID     identity.ProgramID
 	Tenant string
@@ -54,31 +55,33 @@
 	Stream  identity.StreamID
 	Backend string
 	Address netip.AddrPort
-	// Reserved is the worst case in tokens, held back from the budget.
+	// Reserved is the number of tokens reserved from the budget.
 	Reserved int64
 	At       time.Time
 }
 
-// Intent opens a call with its first attempt. It is held before the dispatch.
+// Intent opens a call with its first attempt. It must be journalled before the
+// dispatch.
 type Intent struct {
 	Request Request
 	Attempt Attempt
 }
 
-// Retry replaces the open attempt of a call. If that one was not resolved by a
-// NotRun before, it stays charged.
+// Retry replaces the attempt of an open call. If the previous attempt is still
+// pending, its reservation stays charged.
 type Retry struct{ Attempt Attempt }
 
-// NotRun tells that an attempt certainly did not run; it frees the reservation.
+// NotRun records that an attempt certainly did not run, which frees its reservation.
 type NotRun struct{ Stream identity.StreamID }
 
-// Withdrawn takes an unanswered call back: its sequence may be sent again.
+// Withdrawn removes an unanswered call from its branch, so that its sequence may be
+// used again.
 type Withdrawn struct {
 	Call identity.CallID
 	At   time.Time
 }
 
-// Result answers a call for ever.
+// Result answers a call permanently.
 type Result struct {
 	Stream identity.StreamID
 	Answer Answer
@@ -100,15 +103,15 @@
 	At    time.Time
 }
 
-// Released tells that an engine confirmed a release.
+// Released records that an engine has confirmed a release.
 type Released struct {
 	ID      identity.ProgramID
 	Backend string
 	Branch  identity.BranchID
 }
 
-// Evicted queues the release of a paused branch's cache; the branch goes on, and
-// its next call computes its prompt anew.
+// Evicted queues the release of a paused branch's cached prefix. The branch
+// continues, and its next call prefills the whole prompt.
 type Evicted struct {
 	ID     identity.ProgramID
 	Branch identity.BranchID
@@ -154,12 +157,12 @@
 func (Intent) kind() recordKind       { return kindIntent }
 func (Retry) kind() recordKind        { return kindRetry }
 func (NotRun) kind() recordKind       { return kindNotRun }
-func (Withdrawn) kind() recordKind    { return kindDropped }
+func (Withdrawn) kind() recordKind    { return kindWithdrawn }
 func (Result) kind() recordKind       { return kindResult }
-func (Deduplicated) kind() recordKind { return kindRepeated }
+func (Deduplicated) kind() recordKind { return kindDeduplicated }
 func (Ended) kind() recordKind        { return kindEnded }
 func (Released) kind() recordKind     { return kindReleased }
-func (Removed) kind() recordKind      { return kindForgotten }
+func (Removed) kind() recordKind      { return kindRemoved }
 func (Evicted) kind() recordKind      { return kindEvicted }
 
 func (r Created) encode(e *wire.Encoder) {
@@ -222,7 +225,7 @@
 
 func (r Removed) encode(e *wire.Encoder) { e.String(string(r.ID)) }
 
-// Encode returns record in its binary form: one byte of kind, then its fields.
+// Encode returns the binary form of record: one byte for the kind, then the fields.
 func Encode(record Record) []byte {
 	var e wire.Encoder
 	e.Uint8(uint8(record.kind()))
@@ -240,7 +243,7 @@
 	}
 }
 
-func decodeRepeated(d *wire.Decoder) Deduplicated {
+func decodeDeduplicated(d *wire.Decoder) Deduplicated {
 	r := Deduplicated{ID: decodeCallID(d)}
 	copy(r.Digest[:], d.Blob())
 	r.Of = decodeCallID(d)
@@ -248,7 +251,7 @@
 	return r
 }
 
-// Decode is the reverse of Encode.
+// Decode is the inverse of Encode.
 func Decode(raw []byte) (Record, error) {
 	d := wire.NewDecoder(raw)
 	kind := recordKind(d.Uint8())
@@ -275,19 +278,19 @@
 		return Retry{Attempt: decodeAttempt(d)}
 	case kindNotRun:
 		return NotRun{Stream: decodeStreamID(d)}
-	case kindDropped:
+	case kindWithdrawn:
 		return Withdrawn{Call: decodeCallID(d), At: d.Time()}
 	case kindResult:
 		return Result{Stream: decodeStreamID(d), Answer: decodeAnswer(d)}
-	case kindRepeated:
-		return decodeRepeated(d)
+	case kindDeduplicated:
+		return decodeDeduplicated(d)
 	case kindEnded:
 		return Ended{ID: identity.ProgramID(d.String()), State: api.ProgramState(d.String()), At: d.Time()}
 	case kindReleased:
 		return Released{ID: identity.ProgramID(d.String()), Backend: d.String(), Branch: identity.BranchID(d.String())}
 	case kindEvicted:
 		return Evicted{ID: identity.ProgramID(d.String()), Branch: identity.BranchID(d.String())}
-	case kindForgotten:
+	case kindRemoved:
 		return Removed{ID: identity.ProgramID(d.String())}
 	default:
 		return nil
--- a/internal/program/request.go
+++ b/internal/program/request.go
@@ -10,21 +10,21 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Digest tells two bodies of calls apart. It covers what the call does and
-// leaves out where it stands (branch, sequence) and how its caller waits
-// (stream, deadline), so that a repeat may change those.
+// Digest is a hash of the body of a call. It excludes the position (branch,
+// sequence) and the delivery options (stream, deadline), which may differ in a
+// duplicate.
 type Digest [sha256.Size]byte
 
-// Request is one call as the state machine sees it.
+// Request is one call in the form of the state machine.
 type Request struct {
 	ID     identity.CallID
 	Digest Digest
 	Kind   api.CallKind
-	// Model, Adapter and MaxTokens are set by Resolve.
+	// Model, Adapter and MaxTokens are completed by Normalize.
 	Model     string
 	Adapter   string
 	MaxTokens int
-	// Messages are the turns as sent; after Resolve only the new ones.
+	// Messages are the messages as sent; after Normalize only the new ones.
 	Messages       []api.Message
 	WholeHistory   bool
 	Application    string
@@ -34,7 +34,7 @@
 	Unrepeatable   bool
 }
 
-// NewRequest returns call as a request of program.
+// NewRequest converts call to a Request of program.
 func NewRequest(program identity.ProgramID, call api.CallRequest) Request {
 	branch := identity.BranchID(call.Branch)
 	if branch == "" {
@@ -57,8 +57,8 @@
 	return request
 }
 
-// compact drops insignificant white space, so that a repeat which was encoded
-// by another library still is the same body.
+// compact removes insignificant white space, so that duplicates encoded by different
+// libraries have the same digest.
 func compact(input []byte) []byte {
 	if len(input) == 0 {
 		return nil
@@ -113,8 +113,8 @@
 	return r
 }
 
-// messageWireSize is the least size of an encoded message: two lengths.
-const messageWireSize = 8
+// minMessageSize is the minimum size of an encoded message: two lengths.
+const minMessageSize = 8
 
 func encodeMessages(e *wire.Encoder, messages []api.Message) {
 	e.Uint32(uint32(len(messages)))
@@ -125,7 +125,7 @@
 }
 
 func decodeMessages(d *wire.Decoder) []api.Message {
-	count := d.Count(messageWireSize)
+	count := d.Count(minMessageSize)
 	if count == 0 {
 		return nil
 	}
--- a/internal/program/set.go
+++ b/internal/program/set.go
@@ -12,7 +12,7 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Set is all programs of one shard. It is not safe for concurrent use.
+// Set contains all programs of one shard. It is not safe for concurrent use.
 type Set struct {
 	programs map[identity.ProgramID]*Program
 }
@@ -20,10 +20,10 @@
 // NewSet returns an empty set.
 func NewSet() *Set { return &Set{programs: map[identity.ProgramID]*Program{}} }
 
-// Get returns the program of id, nil if there is none.
+// Get returns the program with this id, nil if there is none.
 func (s *Set) Get(id identity.ProgramID) *Program { return s.programs[id] }
 
-// Len returns the number of programs, ended ones included.
+// Len returns the number of programs, including ended ones.
 func (s *Set) Len() int { return len(s.programs) }
 
 // All calls yield with each program in no particular order.
@@ -35,7 +35,7 @@
 	}
 }
 
-// Apply folds record into the program that it belongs to.
+// Apply applies record to the program to which it belongs.
 func (s *Set) Apply(record Record) error {
 	id := record.Program()
 	switch r := record.(type) {
@@ -56,10 +56,10 @@
 	return program.Apply(record)
 }
 
-// snapshotVersion stands in front of a snapshot.
+// snapshotVersion is the first byte of a snapshot.
 const snapshotVersion = 1
 
-// Snapshot returns the set in its binary form, the same for the same state.
+// Snapshot returns the binary form of the set. Equal states have equal snapshots.
 func (s *Set) Snapshot() []byte {
 	var e wire.Encoder
 	e.Uint8(snapshotVersion)
@@ -70,7 +70,7 @@
 	return e.Bytes()
 }
 
-// Restore replaces the set by a snapshot.
+// Restore replaces the contents of the set by a snapshot.
 func (s *Set) Restore(snapshot []byte) error {
 	d := wire.NewDecoder(snapshot)
 	if version := d.Uint8(); d.Err() == nil && version != snapshotVersion {
@@ -101,7 +101,7 @@
 	e.Int64(p.spent)
 	e.Int64(p.reserved)
 	e.Int64(int64(p.calls))
-	e.Duration(p.service)
+	e.Duration(p.serviceTime)
 	e.Uint32(uint32(len(p.branches)))
 	for _, id := range slices.Sorted(maps.Keys(p.branches)) {
 		e.String(string(id))
@@ -120,32 +120,32 @@
 	p.created, p.lastActivity, p.ended = d.Time(), d.Time(), d.Time()
 	p.spent, p.reserved = d.Int64(), d.Int64()
 	p.calls = int(d.Int64())
-	p.service = time.Duration(d.Int64())
+	p.serviceTime = time.Duration(d.Int64())
 	for range d.Count(1) {
 		id := identity.BranchID(d.String())
 		p.branches[id] = decodeBranch(d)
 	}
 	for range d.Count(1) {
 		key := d.String()
-		p.keys[key] = decodeCallID(d)
+		p.idempotencyKeys[key] = decodeCallID(d)
 	}
 	for range d.Count(1) {
 		key := placementKey{backend: d.String(), branch: identity.BranchID(d.String())}
-		held := &placement{address: d.AddrPort()}
+		placed := &placement{address: d.AddrPort()}
 		for range d.Count(1) {
-			held.lost = append(held.lost, decodeStreamID(d))
+			placed.unresolved = append(placed.unresolved, decodeStreamID(d))
 		}
-		p.placements[key] = held
+		p.placements[key] = placed
 	}
 	p.outbox = decodeOutbox(d)
 	return p
 }
 
 func (p *Program) encodeKeys(e *wire.Encoder) {
-	e.Uint32(uint32(len(p.keys)))
-	for _, key := range slices.Sorted(maps.Keys(p.keys)) {
+	e.Uint32(uint32(len(p.idempotencyKeys)))
+	for _, key := range slices.Sorted(maps.Keys(p.idempotencyKeys)) {
 		e.String(key)
-		encodeCallID(e, p.keys[key])
+		encodeCallID(e, p.idempotencyKeys[key])
 	}
 }
 
@@ -156,12 +156,11 @@
 		e.String(key.backend)
 		e.String(string(key.branch))
 		e.AddrPort(p.placements[key].address)
-		encodeStreamIDs(e, p.placements[key].lost)
+		encodeStreamIDs(e, p.placements[key].unresolved)
 	}
 }
 
-// sortedPlacements returns the placements' keys in one order for every copy of
-// the state.
+// sortedPlacements returns the keys of the placements in a deterministic order.
 func (p *Program) sortedPlacements() []placementKey {
 	return slices.SortedFunc(maps.Keys(p.placements), func(a, b placementKey) int {
 		return cmp.Or(cmp.Compare(a.backend, b.backend), cmp.Compare(a.branch, b.branch))
@@ -201,9 +200,9 @@
 	e.Uint32(b.nextAttempt)
 	e.Bool(b.mayHaveRun)
 	e.String(b.lastBackend)
-	e.Int64(b.settledTokens)
-	e.String(b.settledModel)
-	e.Uint32(uint32(b.settledCalls))
+	e.Int64(b.countedTokens)
+	e.String(b.countedModel)
+	e.Uint32(uint32(b.countedCalls))
 	e.Uint32(uint32(len(b.calls)))
 	for _, call := range b.calls {
 		call.encode(e)
@@ -215,9 +214,9 @@
 		nextAttempt:   d.Uint32(),
 		mayHaveRun:    d.Bool(),
 		lastBackend:   d.String(),
-		settledTokens: d.Int64(),
-		settledModel:  d.String(),
-		settledCalls:  int(d.Uint32()),
+		countedTokens: d.Int64(),
+		countedModel:  d.String(),
+		countedCalls:  int(d.Uint32()),
 	}
 	for range d.Count(1) {
 		b.calls = append(b.calls, decodeCall(d))
--- a/internal/program/tokens.go
+++ b/internal/program/tokens.go
@@ -2,19 +2,20 @@
 
 import "stepseam.example/stepseam/api"
 
-// The rules for tokens before an engine has counted them.
+// Parameters for sizes of prompts that no engine has counted.
 const (
-	// bytesPerToken is the usual mean; it serves decisions, never the budget.
+	// bytesPerToken is a typical mean. It is used for scheduling decisions and never
+	// for the budget.
 	bytesPerToken = 4
-	// messageOverheadTokens bounds what a chat template puts around one message,
-	// promptOverheadTokens what it puts around the whole prompt.
+	// messageOverheadTokens bounds the tokens that a chat template adds per message,
+	// promptOverheadTokens those that it adds per prompt.
 	messageOverheadTokens = 8
 	promptOverheadTokens  = 16
 )
 
-// boundTokens is the worst case of messages: a tokenizer that works on bytes
-// never makes more tokens than there are bytes.
-func boundTokens(messages []api.Message) int64 {
+// upperBoundTokens returns an upper bound of the size of messages: a byte-level
+// tokenizer never produces more tokens than there are bytes.
+func upperBoundTokens(messages []api.Message) int64 {
 	total := int64(0)
 	for _, message := range messages {
 		total += int64(len(message.Role)+len(message.Content)) + messageOverheadTokens
@@ -22,7 +23,7 @@
 	return total
 }
 
-// estimateTokens is the expected size of messages.
+// estimateTokens returns the expected size of messages.
 func estimateTokens(messages []api.Message) int64 {
 	total := int64(0)
 	for _, message := range messages {
