--- a/internal/program/machine_test.go
+++ b/internal/program/machine_test.go
@@ -79,7 +79,7 @@
 			t.Fatalf("decode %T: %v", record, err)
 		}
 		if err := m.replayed.Apply(decoded); err != nil {
-			t.Fatalf("fold %T: %v", record, err)
+			t.Fatalf("apply decoded %T: %v", record, err)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	evaluation := m.program().Evaluate(m.now, request)
 	next := identity.Sequence(branch.answered + 1)
 	if evaluation.Action == program.ActionRun && (request.ID.Sequence != next || branch.open != nil) {
-		t.Fatalf("call %s may run while %d is next", request.ID, next)
+		t.Fatalf("call %s is runnable while %d is next", request.ID, next)
 	}
 	if evaluation.Action == program.ActionRepeat {
 		m.commit(t, program.Deduplicated{ID: request.ID, Digest: request.Digest, Of: evaluation.Call.Request.ID, At: m.now})
@@ -225,7 +225,7 @@
 	before := m.set.Snapshot()
 	m.commit(t, program.Result{Stream: late.stream, Answer: program.Answer{Text: "late", At: m.now}})
 	if !bytes.Equal(before, m.set.Snapshot()) {
-		t.Fatalf("the late answer of %s changed the state", late.stream)
+		t.Fatalf("the late answer to %s changed the state", late.stream)
 	}
 }
 
@@ -260,7 +260,7 @@
 	branch := rapid.SampledFrom(paused).Draw(t, "paused").Branch
 	m.commit(t, program.Evicted{ID: programID, Branch: branch})
 	if placements := m.program().Placements(branch); len(placements) > 0 {
-		t.Fatalf("branch %s is still placed at %v", branch, placements)
+		t.Fatalf("branch %s still has placements %v", branch, placements)
 	}
 }
 
@@ -284,13 +284,13 @@
 		total += attempt.cost
 	}
 	if got := p.Spent() + p.Reserved(); got != total {
-		t.Fatalf("spent and reserved are %d, the attempts come to %d", got, total)
+		t.Fatalf("spent plus reserved is %d, the sum over the attempts is %d", got, total)
 	}
 	if total > machineBudget {
 		t.Fatalf("the program spent %d of a budget of %d", total, machineBudget)
 	}
 	if p.Calls() > machineMaxCalls {
-		t.Fatalf("%d calls of at most %d", p.Calls(), machineMaxCalls)
+		t.Fatalf("%d calls exceed the limit of %d", p.Calls(), machineMaxCalls)
 	}
 	for key, calls := range m.keyRuns {
 		if len(calls) > 1 {
@@ -318,7 +318,7 @@
 func (m *machine) checkPlacements(t *rapid.T) {
 	for _, call := range m.program().OpenCalls() {
 		if call.Pending && !m.program().MayHoldCache(call.Attempt.Backend) && !m.cancelled[call.Attempt.Stream] {
-			t.Fatalf("%s runs at %s, which is no placement", call.Request.ID, call.Attempt.Backend)
+			t.Fatalf("%s runs at %s, which is neither a placement nor in the outbox", call.Request.ID, call.Attempt.Backend)
 		}
 	}
 }
@@ -327,14 +327,14 @@
 func (m *machine) checkReplay(t *rapid.T) {
 	snapshot := m.set.Snapshot()
 	if !bytes.Equal(snapshot, m.replayed.Snapshot()) {
-		t.Fatal("the fold of the records is another state")
+		t.Fatal("replaying the records gives another state")
 	}
 	restored := program.NewSet()
 	if err := restored.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(snapshot, restored.Snapshot()) {
-		t.Fatal("the restored snapshot is another state")
+		t.Fatal("restoring the snapshot gives another state")
 	}
 }
 
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -204,7 +204,7 @@
 	wrong := func(int64, int64) int64 { return 0 }
 	found := findFailure(t, func(t *rapid.T) { runMachine(t, wrong) })
 	if !strings.Contains(found, "of a budget of") {
-		t.Fatalf("the budget was not found to be passed: %q", found)
+		t.Fatalf("the exceeded budget was not detected: %q", found)
 	}
 	t.Log(found)
 }
