--- a/internal/table/bench_test.go
+++ b/internal/table/benchmark_test.go
@@ -9,12 +9,11 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// largeTable is the sheet of the two-year size: 28 models, two adapters for each
-// and 200 classes.
+// largeTable returns a table of 28 models, two adapters for each, and 200 classes.
 func largeTable() []byte {
 	const models, adapters, classes = 28, 2, 200
 	var sheet strings.Builder
-	header, _, _ := strings.Cut(plain, "\n")
+	header, _, _ := strings.Cut(validTable, "\n")
 	sheet.WriteString(header + "\n")
 	for m := range models {
 		fmt.Fprintf(&sheet, "model,model-%d,2026-05,pool-%d,,,1,131072,,,,,,\n", m, m%4)
@@ -39,27 +38,27 @@
 	}
 }
 
-// BenchmarkFold is what one published version costs each node.
-func BenchmarkFold(b *testing.B) {
-	content, ledger := largeTable(), table.NewVersionLog()
+// BenchmarkApply measures applying one published version.
+func BenchmarkApply(b *testing.B) {
+	content, versions := largeTable(), table.NewVersionLog()
 	b.ReportAllocs()
 	for b.Loop() {
-		record := table.Record{ID: fmt.Sprint(ledger.Next()), Base: ledger.Version(), Author: "marta", CSV: content}
-		if err := ledger.Apply(record.Encode()); err != nil {
+		record := table.Record{ID: fmt.Sprint(versions.Next()), Base: versions.Version(), Author: "marta", CSV: content}
+		if err := versions.Apply(record.Encode()); err != nil {
 			b.Fatal(err)
 		}
 	}
-	if ledger.Version() == 0 {
+	if versions.Version() == 0 {
 		b.Fatal("nothing was accepted")
 	}
 }
 
-// BenchmarkHandOver is what a peer that is behind costs both sides together.
-func BenchmarkHandOver(b *testing.B) {
-	content, ledger := largeTable(), table.NewVersionLog()
+// BenchmarkTransfer measures encoding and decoding a version log for a peer.
+func BenchmarkTransfer(b *testing.B) {
+	content, versions := largeTable(), table.NewVersionLog()
 	for i := range 300 {
-		record := table.Record{ID: fmt.Sprintf("%036d", i), Base: ledger.Version(), Author: "marta", Note: "more room on deadline night", CSV: content}
-		if err := ledger.Apply(record.Encode()); err != nil {
+		record := table.Record{ID: fmt.Sprintf("%036d", i), Base: versions.Version(), Author: "marta", Note: "more room on deadline night", CSV: content}
+		if err := versions.Apply(record.Encode()); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -67,7 +66,7 @@
 	size := 0
 	for b.Loop() {
 		var e wire.Encoder
-		ledger.Encode(&e)
+		versions.Encode(&e)
 		size = len(e.Bytes())
 		if _, err := table.DecodeVersionLog(wire.NewDecoder(e.Bytes())); err != nil {
 			b.Fatal(err)
--- a/internal/table/build.go
+++ b/internal/table/build.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// builder turns cells into a table and collects findings on the way.
+// builder converts cells to a table and collects findings.
 type builder struct {
 	sheet    sheet
 	table    *Table
 	findings []Finding
-	// index gives the place of each column in a line.
+	// index maps column names to positions in a line.
 	index map[string]int
-	// rows remembers where each entry stands, for the checks across rows.
+	// rows maps names to row numbers, for the checks across rows.
 	rows map[Kind]map[string]int
 }
 
@@ -42,7 +42,7 @@
 	b.findings = append(b.findings, Finding{Row: row, Column: column, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// sorted returns the findings by row, keeping the order of columns in a row.
+// sorted returns the findings sorted by row, in the order of columns within a row.
 func (b *builder) sorted() []Finding {
 	slices.SortStableFunc(b.findings, func(x, y Finding) int { return cmp.Compare(x.Row, y.Row) })
 	return b.findings
@@ -68,7 +68,7 @@
 		case twice:
 			b.add(b.sheet.headerRow, name, "the column is there twice")
 		case !slices.Contains(known, name):
-			b.add(b.sheet.headerRow, name, "unknown column%s", suggestion(name, known))
+			b.add(b.sheet.headerRow, name, "unknown column%s", didYouMean(name, known))
 		default:
 			b.index[name] = index
 		}
@@ -80,7 +80,7 @@
 	}
 }
 
-// line reads one row below the header.
+// line parses one row below the header.
 func (b *builder) line(l line) {
 	kindIndex, hasKind := b.index[columnKind]
 	nameIndex, hasName := b.index[columnName]
@@ -122,7 +122,7 @@
 	}
 }
 
-// cell reads one cell into the row.
+// cell parses one cell into the row.
 func (b *builder) cell(l line, c column, r *row) {
 	text := ""
 	if index, found := b.index[c.Name]; found {
@@ -152,8 +152,8 @@
 	}
 }
 
-// store keeps the row, also with faults, so that rows which refer to it do not
-// add findings of their own.
+// store adds the row even if it has errors, so that rows that refer to it do not cause
+// further findings.
 func (b *builder) store(number int, r row) {
 	if _, found := b.rows[r.kind][r.name]; found || r.name == "" {
 		return
@@ -172,12 +172,12 @@
 	}
 }
 
-// checkReferences finds rows that do not fit together.
+// checkReferences checks the rows against each other.
 func (b *builder) checkReferences() {
 	_, hasKind := b.index[columnKind]
 	_, hasName := b.index[columnName]
 	if !hasKind || !hasName {
-		return // without them no row was read, and the header's findings say so
+		return // no row was parsed, and the header already has findings
 	}
 	for _, model := range b.table.Models {
 		b.checkModel(model)
@@ -205,7 +205,7 @@
 func (b *builder) checkModelName(kind Kind, name, model string) {
 	if _, found := b.table.Models[model]; model != "" && !found {
 		known := slices.Sorted(maps.Keys(b.table.Models))
-		b.add(b.rows[kind][name], "model", "there is no model %s%s", model, suggestion(model, known))
+		b.add(b.rows[kind][name], "model", "there is no model %s%s", model, didYouMean(model, known))
 	}
 }
 
@@ -234,7 +234,7 @@
 	adapter, found := b.table.Adapters[class.Adapter]
 	if !found {
 		known := slices.Sorted(maps.Keys(b.table.Adapters))
-		b.add(number, "adapter", "there is no adapter %s%s", class.Adapter, suggestion(class.Adapter, known))
+		b.add(number, "adapter", "there is no adapter %s%s", class.Adapter, didYouMean(class.Adapter, known))
 		return
 	}
 	if adapter.Model != class.Model {
--- a/internal/table/format.go
+++ b/internal/table/format.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Format writes the rows of t as CSV that Parse reads back to the same rows.
-// Defaults are written out; rows are sorted by kind and name.
+// Format returns the rows of t as CSV, which Parse converts back to the same rows.
+// Defaults are explicit; rows are sorted by kind and name.
 func Format(t *Table) []byte {
 	var output bytes.Buffer
 	writer := csv.NewWriter(&output)
@@ -20,11 +20,11 @@
 		}
 		records = append(records, record)
 	}
-	_ = writer.WriteAll(records) // cannot fail: the writer is a buffer
+	_ = writer.WriteAll(records) // writes to a buffer do not fail
 	return output.Bytes()
 }
 
-// text returns the cell of r, empty where the column is not of its kind.
+// text returns the cell of r, empty if its kind does not have the column.
 func (c column) text(r *row) string {
 	if !slices.Contains(c.Kinds, r.kind) {
 		return ""
@@ -32,7 +32,7 @@
 	return c.get(r)
 }
 
-// rows returns all rows by kind and name.
+// rows returns all rows, sorted by kind and name.
 func (t *Table) rows() []row {
 	var all []row
 	for _, name := range slices.Sorted(maps.Keys(t.Models)) {
@@ -47,7 +47,7 @@
 	return all
 }
 
-// ChangeAction tells what happened to a row.
+// ChangeAction is the kind of a Change.
 type ChangeAction string
 
 // The actions of changes.
@@ -57,8 +57,8 @@
 	RowChanged ChangeAction = "changed"
 )
 
-// Change is one difference between two tables: a row that came or went, or one
-// cell of a row that stands in both.
+// Change is one difference between two tables: an added or removed row, or a changed
+// cell of a row that is in both.
 type Change struct {
 	Action ChangeAction `json:"action"`
 	Kind   Kind         `json:"kind"`
@@ -68,7 +68,8 @@
 	New    string       `json:"new,omitempty"`
 }
 
-// Diff lists what turns the rows of older into those of newer. Either may be nil.
+// Diff returns the changes from the rows of older to those of newer. Either may be
+// nil.
 func Diff(older, newer *Table) []Change {
 	before, after := rowsByKey(older), rowsByKey(newer)
 	var changes []Change
--- a/internal/table/parse.go
+++ b/internal/table/parse.go
@@ -12,17 +12,17 @@
 	"stepseam.example/stepseam/internal/suggest"
 )
 
-// Finding is one fault of a table with its place.
+// Finding is one error in a table with its position.
 type Finding struct {
-	// Row is the row's number as a spreadsheet shows it: the header is 1. 0
-	// means the file as a whole.
+	// Row is the row's number as shown by spreadsheets, where the header is 1. 0
+	// means the whole file.
 	Row int
 	// Column is the column's name; empty means the whole row.
 	Column  string
 	Message string
 }
 
-// Place names row and column.
+// Place returns the position as text.
 func (f Finding) Place() string {
 	switch {
 	case f.Row == 0:
@@ -36,7 +36,7 @@
 // String returns "row 7, column max_calls: message".
 func (f Finding) String() string { return f.Place() + ": " + f.Message }
 
-// InvalidError refuses a table; it holds all findings.
+// InvalidError is returned for an invalid table, with all findings.
 type InvalidError struct{ Findings []Finding }
 
 // Error returns one line per finding.
@@ -49,11 +49,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads a table from CSV as spreadsheets save it: with or without a byte
-// order mark, quotes, CRLF, empty rows and columns at the end; separated by
-// commas, or by semicolons or tabs if the header shows them. With semicolons a
-// decimal comma is taken as well. All faults come back together as an
-// *InvalidError; a table with any fault is refused whole.
+// Parse parses a table from CSV as written by spreadsheets: with or without a byte
+// order mark, quotes, CRLF, and trailing empty rows and columns; separated by commas,
+// or by semicolons or tabs, as detected from the header. With semicolons a decimal
+// comma is accepted as well. All errors are returned together as an *InvalidError; a
+// table with any error is rejected as a whole.
 func Parse(content []byte) (*Table, error) {
 	sheet, findings := readSheet(content)
 	builder := newBuilder(sheet, findings)
@@ -67,7 +67,7 @@
 	return builder.table, nil
 }
 
-// sheet is a CSV file cut into cells.
+// sheet is a CSV file split into cells.
 type sheet struct {
 	header       []string
 	headerRow    int
@@ -83,7 +83,7 @@
 
 func (l line) cell(index int) string {
 	if index >= len(l.cells) {
-		return "" // spreadsheets leave out empty cells at the end
+		return "" // spreadsheets omit trailing empty cells
 	}
 	return strings.TrimSpace(l.cells[index])
 }
@@ -99,7 +99,7 @@
 
 var byteOrderMark = []byte("\xef\xbb\xbf")
 
-// readSheet cuts content into cells and finds the header.
+// readSheet splits content into cells and finds the header.
 func readSheet(content []byte) (sheet, []Finding) {
 	content = bytes.TrimPrefix(content, byteOrderMark)
 	if !utf8.Valid(content) {
@@ -125,9 +125,10 @@
 	return result, append(findings, Finding{Message: "empty; the first row names the columns, beginning with kind and name"})
 }
 
-// findSeparator takes the separator that occurs most in the first line, outside
-// quotes. A leading "sep=;" line, as some spreadsheets write, names it and is
-// taken away: no spreadsheet counts it as a row.
+// findSeparator returns the separator that occurs most often in the first line outside
+// quotes, and the content to parse. A leading "sep=;" line, as written by some
+// spreadsheets, defines the separator and is removed, since spreadsheets do not count
+// it as a row.
 func findSeparator(content []byte) (rune, []byte) {
 	first, rest, _ := bytes.Cut(bytes.TrimLeft(content, "\r\n"), []byte{'\n'})
 	named := bytes.TrimRight(first, "\r")
@@ -145,8 +146,8 @@
 
 func countOutsideQuotes(text []byte, wanted rune) int {
 	count, quoted := 0, false
-	for _, letter := range string(text) {
-		switch letter {
+	for _, char := range string(text) {
+		switch char {
 		case '"':
 			quoted = !quoted
 		case wanted:
@@ -158,10 +159,9 @@
 	return count
 }
 
-// readLines cuts content into rows. The CSV reader skips blank lines without a
-// word, and a quoted cell may span lines; row numbers are kept right by
-// comparing the line at which each record starts with that at which the last
-// one ended.
+// readLines splits content into rows. The CSV reader silently skips blank lines, and a
+// quoted cell may span lines; therefore row numbers are computed by comparing the line
+// at which each record starts with that at which the previous one ended.
 func readLines(content []byte, separator rune) ([]line, []Finding) {
 	reader := csv.NewReader(bytes.NewReader(content))
 	reader.Comma = separator
@@ -195,8 +195,8 @@
 	}
 }
 
-// suggestion returns "; did you mean x?" where a known name is close.
-func suggestion(name string, known []string) string {
+// didYouMean returns "; did you mean x?" if a known name is similar, else "".
+func didYouMean(name string, known []string) string {
 	if nearest := suggest.Nearest(name, known); nearest != "" {
 		return fmt.Sprintf("; did you mean %s?", nearest)
 	}
--- a/internal/table/record.go
+++ b/internal/table/record.go
@@ -8,39 +8,39 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Stream is the log stream that versions are published to.
+// Stream is the name of the log stream to which versions are published.
 const Stream = "table"
 
-// recordMagic starts every record of the stream, recordFormat says how the rest
-// is laid out and which rules of Parse it was checked by.
+// recordMagic is the prefix of every publication in the stream. recordFormat is the
+// version of its encoding and of the validation rules of Parse.
 const (
 	recordMagic  uint32 = 0x53544231
 	recordFormat uint16 = 1
 )
 
-// ErrNewerFormat tells that a record was written by a newer release. A node
-// that skipped it could disagree with others about all later versions, so it
-// must stop folding instead.
+// ErrNewerFormat is returned for a record in a newer format than this release
+// supports. A node must stop applying records then: if it skipped the record, it could
+// disagree with other nodes about all later versions.
 var ErrNewerFormat = errors.New("table: record of a newer release")
 
-// ErrNotRecord tells that the bytes are no table record; all nodes skip it.
+// ErrNotRecord is returned for bytes that are not a table record; all nodes skip them.
 var ErrNotRecord = errors.New("table: not a table record")
 
-// Record is one publication as it stands in the log.
+// Record is one publication in the log.
 type Record struct {
-	// ID is unique to the publication; a record may stand in the log more than
-	// once after lost answers, and only the first counts.
+	// ID is unique to the publication. A record may be in the log more than once after
+	// retried appends; only the first one counts.
 	ID string
-	// Base is the version that the author started from.
+	// Base is the version that the publication replaces.
 	Base   Version
 	Author string
 	Note   string
-	// Published is the publisher's clock, for display only.
+	// Published is the time by the publisher's clock, for display only.
 	Published time.Time
 	CSV       []byte
 }
 
-// Encode returns the record's form in the log.
+// Encode returns the binary form of the record.
 func (r Record) Encode() []byte {
 	e := wire.NewEncoder(make([]byte, 0, len(r.CSV)+128))
 	e.Uint32(recordMagic)
@@ -54,7 +54,7 @@
 	return e.Bytes()
 }
 
-// DecodeRecord reads what Encode wrote.
+// DecodeRecord is the inverse of Encode.
 func DecodeRecord(raw []byte) (Record, error) {
 	d := wire.NewDecoder(raw)
 	if d.Uint32() != recordMagic {
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -22,7 +22,7 @@
 	testseed.MainWith(m, map[string]string{"rapid.seed": "1"})
 }
 
-const plain = `kind,name,version,service,model,adapter,weight,context_tokens,budget_tokens,max_calls,max_duration,idle_timeout,call_timeout,max_tokens
+const validTable = `kind,name,version,service,model,adapter,weight,context_tokens,budget_tokens,max_calls,max_duration,idle_timeout,call_timeout,max_tokens
 model,asesor-8b,2026-05,modelos-asesor,,,,32768,,,,,,
 adapter,matricula,3,,asesor-8b,,,,,,,,,
 class,applicant,,,asesor-8b,matricula,2.5,,60000,40,1h30m,15m,90s,1024
@@ -49,7 +49,7 @@
 
 func TestEmptyCellsTakeDefaults(t *testing.T) {
 	is := is.New(t)
-	parsed := parse(t, plain)
+	parsed := parse(t, validTable)
 	is.Equal(parsed.Models["asesor-8b"], table.Model{
 		Name: "asesor-8b", Version: "2026-05", Service: "modelos-asesor", Weight: 1, MinReplicas: 1, ContextTokens: 32768,
 	})
@@ -60,36 +60,36 @@
 	})
 }
 
-func TestFormsOfSpreadsheets(t *testing.T) {
-	semicolons := strings.ReplaceAll(strings.ReplaceAll(plain, ",", ";"), "2.5", "2,5")
-	quoted := strings.ReplaceAll(plain, "asesor-8b", `"asesor-8b"`)
-	trailing := strings.ReplaceAll(plain, "\n", ",,\n") + ",,,,,,,,,,,,,,,\n,,,\n\n"
+func TestParseAcceptsSpreadsheetFormats(t *testing.T) {
+	semicolons := strings.ReplaceAll(strings.ReplaceAll(validTable, ",", ";"), "2.5", "2,5")
+	quoted := strings.ReplaceAll(validTable, "asesor-8b", `"asesor-8b"`)
+	trailing := strings.ReplaceAll(validTable, "\n", ",,\n") + ",,,,,,,,,,,,,,,\n,,,\n\n"
 	for name, text := range map[string]string{
-		"byte order mark":        "\xef\xbb\xbf" + plain,
-		"CRLF":                   strings.ReplaceAll(plain, "\n", "\r\n"),
-		"CR":                     strings.ReplaceAll(plain, "\n", "\r"),
+		"byte order mark":        "\xef\xbb\xbf" + validTable,
+		"CRLF":                   strings.ReplaceAll(validTable, "\n", "\r\n"),
+		"CR":                     strings.ReplaceAll(validTable, "\n", "\r"),
 		"semicolons":             semicolons,
 		"separator line":         "sep=;\r\n" + semicolons,
-		"tabs":                   strings.ReplaceAll(plain, ",", "\t"),
+		"tabs":                   strings.ReplaceAll(validTable, ",", "\t"),
 		"quotes":                 quoted,
 		"empty rows and columns": trailing,
-		"blank lines":            "\n" + strings.ReplaceAll(plain, "\n", "\n\n"),
-		"capitals in the header": strings.Replace(plain, "kind,name", "Kind, NAME ", 1),
+		"blank lines":            "\n" + strings.ReplaceAll(validTable, "\n", "\n\n"),
+		"capitals in the header": strings.Replace(validTable, "kind,name", "Kind, NAME ", 1),
 		"all of it":              "\xef\xbb\xbf" + strings.ReplaceAll(strings.ReplaceAll(trailing, ",", ";"), "\n", "\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(parse(t, text), parse(t, plain))
+			is.New(t).Equal(parse(t, text), parse(t, validTable))
 		})
 	}
 }
 
-func TestAllFaultsTogetherWithPlaces(t *testing.T) {
+func TestAllFindingsAreReportedWithPlaces(t *testing.T) {
 	text := strings.NewReplacer(
 		",service,", ",servise,",
 		"applicant,,,asesor-8b,matricula,2.5", "applicant,,,asesor-9b,matricula,-2",
 		",15m,", ",soon,",
 		",60000,", ",,",
-	).Replace(plain)
+	).Replace(validTable)
 	is.New(t).Equal(findings(t, text), []string{
 		`row 1, column servise: unknown column; did you mean service?`,
 		`row 2, column service: missing; want a name`,
@@ -101,9 +101,9 @@
 	})
 }
 
-func TestRowNumbersAreThoseOfTheSpreadsheet(t *testing.T) {
+func TestRowNumbersMatchSpreadsheet(t *testing.T) {
 	is := is.New(t)
-	rows := strings.Split(plain, "\n")
+	rows := strings.Split(validTable, "\n")
 	text := rows[0] + "\n\n" + rows[1] + "\n" + `adapter,"two` + "\n" + `lines",1,,asesor-8b` + "\n" + "wheel,x\n" + rows[3] + "\n"
 	found := findings(t, text)
 	is.Equal(len(found), 3)
@@ -112,7 +112,7 @@
 	is.True(strings.HasPrefix(found[2], "row 6, column adapter: there is no adapter matricula"))
 }
 
-func TestFaultsAcrossRows(t *testing.T) {
+func TestInvalidTables(t *testing.T) {
 	for name, c := range map[string]struct{ old, changed, want string }{
 		"duplicate":           {"adapter,matricula", "model,asesor-8b", "row 3, column name: model asesor-8b is in row 2 already"},
 		"no room for prompts": {",1024", ",32768", "row 4, column max_tokens: is 32768, which leaves no room"},
@@ -129,7 +129,7 @@
 		"separators":          {",60000,", `,"60,000",`, "row 4, column budget_tokens: is \"60,000\", want a whole number without separators"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := findings(t, strings.Replace(plain, c.old, c.changed, 1))
+			found := findings(t, strings.Replace(validTable, c.old, c.changed, 1))
 			if !slices.ContainsFunc(found, func(f string) bool { return strings.HasPrefix(f, c.want) }) {
 				t.Fatalf("want %q, have %q", c.want, found)
 			}
@@ -137,10 +137,10 @@
 	}
 }
 
-func TestEveryBytesGiveTableOrFindings(t *testing.T) {
+func TestParseReturnsTableOrError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pieces := rapid.SliceOf(rapid.SampledFrom([]string{
-			"kind", "name", "model", "class", "version", ",", ";", "\n", "\r", "\"", "x", "1", "\xff", " ", "sep=;\n", plain,
+			"kind", "name", "model", "class", "version", ",", ";", "\n", "\r", "\"", "x", "1", "\xff", " ", "sep=;\n", validTable,
 		})).Draw(t, "pieces")
 		text := strings.Join(pieces, "")
 		parsed, err := table.Parse([]byte(text))
@@ -150,7 +150,7 @@
 	})
 }
 
-// drawTable makes a valid table.
+// drawTable returns a random valid table.
 func drawTable(t *rapid.T) *table.Table {
 	name := rapid.StringMatching(`[a-zñ0-9][a-z0-9._:/-]{0,6}`)
 	names := rapid.SliceOfNDistinct(name, 1, 4, rapid.ID[string])
@@ -207,14 +207,14 @@
 
 func TestDiff(t *testing.T) {
 	is := is.New(t)
-	changed := strings.NewReplacer("adapter,matricula", "adapter,tarde", "matricula,2.5", ",2.5", ",40,", ",41,").Replace(plain)
-	is.Equal(table.Diff(parse(t, plain), parse(t, changed)), []table.Change{
+	changed := strings.NewReplacer("adapter,matricula", "adapter,tarde", "matricula,2.5", ",2.5", ",40,", ",41,").Replace(validTable)
+	is.Equal(table.Diff(parse(t, validTable), parse(t, changed)), []table.Change{
 		{Action: table.RowRemoved, Kind: table.KindAdapter, Name: "matricula"},
 		{Action: table.RowAdded, Kind: table.KindAdapter, Name: "tarde"},
 		{Action: table.RowChanged, Kind: table.KindClass, Name: "applicant", Column: "adapter", Old: "matricula"},
 		{Action: table.RowChanged, Kind: table.KindClass, Name: "applicant", Column: "max_calls", Old: "40", New: "41"},
 	})
-	is.Equal(len(table.Diff(nil, parse(t, plain))), 3)
+	is.Equal(len(table.Diff(nil, parse(t, validTable))), 3)
 }
 
 func TestColumnsAreDescribed(t *testing.T) {
--- a/internal/table/contract.go
+++ b/internal/table/types.go
@@ -1,6 +1,7 @@
-// Package table is the operators' table: rows of models, adapters and program
-// classes, columns of weights, priorities, budgets and limits; its CSV form, its
-// validation, and the rule by which versions follow each other. It is pure.
+// Package table implements the operators' table: rows for models, adapters and program
+// classes with columns for weights, priorities, budgets and limits. It contains the
+// CSV format, the validation, and the rule that decides which published version is
+// accepted. It has no side effects.
 package table
 
 import "time"
@@ -8,12 +9,12 @@
 // Version numbers accepted versions from 1, in log order. 0 means none.
 type Version uint64
 
-// Table is one accepted version. It is never changed in place.
+// Table is one accepted version. It must not be modified.
 type Table struct {
 	Version Version
-	// Base is the version that this one was made from.
+	// Base is the version that this one replaces.
 	Base Version
-	// ID is the unique id that its publisher gave it.
+	// ID is the unique id of the publication.
 	ID        string
 	Author    string
 	Note      string
@@ -30,10 +31,10 @@
 	// Service is the pool of engines that may serve it.
 	Service string
 	Weight  float64
-	// MinReplicas and MaxReplicas bound how many engines have it loaded.
+	// MinReplicas and MaxReplicas bound the number of engines that have it loaded.
 	MinReplicas int
 	MaxReplicas int
-	// ContextTokens is the longest prompt plus answer.
+	// ContextTokens is the maximum length of prompt plus answer.
 	ContextTokens int
 }
 
@@ -53,21 +54,24 @@
 	// Weight shares capacity between classes; Priority orders them.
 	Weight   float64
 	Priority int
-	// BudgetTokens is what one program may spend.
+	// BudgetTokens is the token budget of one program.
 	BudgetTokens int64
-	// MaxCalls, MaxBranches and MaxDuration stop endless programs.
+	// MaxCalls, MaxBranches and MaxDuration stop programs that do not terminate.
 	MaxCalls    int
 	MaxBranches int
 	MaxDuration time.Duration
-	// IdleTimeout is how long a program may pause before it counts as dead.
+	// IdleTimeout is how long a program may be idle before it expires.
 	IdleTimeout time.Duration
-	// CallTimeout bounds one call; MaxTokens is the default and the largest answer.
+	// CallTimeout bounds one call; MaxTokens is the default and the maximum length of
+	// an answer.
 	CallTimeout time.Duration
 	MaxTokens   int
-	// MaxConcurrent bounds the class's calls that run at once at the site; 0 is no bound.
+	// MaxConcurrent bounds the class's concurrent calls at the site; 0 is no limit.
 	MaxConcurrent int
-	// TenantShare is the largest share of the class's capacity for one tenant, 0 to 1.
+	// TenantShare is the maximum fraction of the class's capacity for one tenant, 0 to
+	// 1.
 	TenantShare float64
-	// KeepWarm is how long a paused program's cache is kept by preference.
+	// KeepWarm is the minimum time for which the cached prefixes of a paused program
+	// are kept.
 	KeepWarm time.Duration
 }
--- a/internal/table/ledger.go
+++ b/internal/table/version_log.go
@@ -13,20 +13,20 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Status tells what became of a publication.
+// Status is the outcome of a publication.
 type Status string
 
 // The statuses of publications.
 const (
-	// Accepted: the first valid one on the version that was current.
+	// Accepted: the first valid publication on the version that was current.
 	Accepted Status = "accepted"
-	// Lost: another one was accepted on the same base before it.
+	// Lost: another publication was accepted on the same base before it.
 	Lost Status = "lost"
-	// Refused: the table has findings, or names a base that was never accepted.
+	// Refused: the table has findings, or its base was never accepted.
 	Refused Status = "refused"
 )
 
-// Entry is one publication in the ledger's history.
+// Entry is one publication in the history.
 type Entry struct {
 	Offset    siteservices.Offset
 	ID        string
@@ -35,40 +35,43 @@
 	Note      string
 	Published time.Time
 	Status    Status
-	// Version is the entry's own version if it was accepted; if it lost, the
-	// version that won on its base.
+	// Version is the entry's own version if it was accepted. If it lost, it is the
+	// version that was accepted on its base.
 	Version Version
-	// Reason says why a table was refused.
+	// Reason is why a table was refused.
 	Reason string
 	// Digest is a hash of the CSV.
 	Digest uint64
 }
 
-// historyLength is the number of publications that a ledger remembers. It
-// bounds the ledger's size, and is part of the rule: a repeated id is dropped
-// if it is among them. An older repeat loses all the same, for its base is old.
-const historyLength = 256
+// maxHistory is the number of publications in the history. It bounds the size of the
+// state, and must be the same on all nodes, since a record whose id is in the history
+// is ignored as a duplicate. An older duplicate is not accepted either, because its
+// base is no longer current.
+const maxHistory = 256
 
-// maximumText bounds each text of an entry, in bytes.
-const maximumText = 2048
+// maxTextBytes bounds each text of an entry.
+const maxTextBytes = 2048
 
-// VersionLog folds the records of the table stream in offset order. It is a pure
-// function of the stream's first Next() records: of two ledgers of one stream
-// the one that has folded more is right, and a node that takes it from another
-// node comes to the state it would have read itself. Not safe for concurrent use.
+// VersionLog is the state that results from applying the records of the table stream
+// in offset order. It is a function of the first Next() records only. Therefore, of
+// two version logs of one stream the one with the higher Next is newer, and a node
+// may adopt it from another node instead of reading the stream. It is not safe for
+// concurrent use.
 type VersionLog struct {
 	next    siteservices.Offset
 	current *Table
 	csv     []byte
 	history []Entry
-	// summarized is the offset behind the last summary in the stream, 0 if there is none.
-	summarized siteservices.Offset
+	// lastSnapshotEnd is the offset after the last snapshot in the stream, 0 if there
+	// is none.
+	lastSnapshotEnd siteservices.Offset
 }
 
-// NewVersionLog returns the ledger of an empty stream.
+// NewVersionLog returns the version log of an empty stream.
 func NewVersionLog() *VersionLog { return &VersionLog{} }
 
-// Next returns the offset of the next record to fold.
+// Next returns the offset of the next record to apply.
 func (l *VersionLog) Next() siteservices.Offset { return l.next }
 
 // Current returns the accepted table with the highest version, or nil.
@@ -85,10 +88,10 @@
 	return l.current.Version
 }
 
-// History returns the remembered publications, oldest first.
+// History returns the most recent publications, oldest first.
 func (l *VersionLog) History() []Entry { return append([]Entry(nil), l.history...) }
 
-// Find returns what became of the publication with id.
+// Find returns the entry of the publication with this id, if it is in the history.
 func (l *VersionLog) Find(id string) (Entry, bool) {
 	for _, entry := range l.history {
 		if entry.ID == id {
@@ -98,7 +101,8 @@
 	return Entry{}, false
 }
 
-// AcceptedOn returns the publication that was accepted on base.
+// AcceptedOn returns the publication that was accepted on base, if it is in the
+// history.
 func (l *VersionLog) AcceptedOn(base Version) (Entry, bool) {
 	for _, entry := range l.history {
 		if entry.Status == Accepted && entry.Base == base {
@@ -108,8 +112,8 @@
 	return Entry{}, false
 }
 
-// Apply takes the record at Next(). Bytes that are no record are passed over.
-// It fails only with ErrNewerFormat, and then stays where it is.
+// Apply applies the record at Next(). Bytes that are not a record are skipped. The only
+// possible error is ErrNewerFormat, and then the state does not change.
 func (l *VersionLog) Apply(raw []byte) error {
 	record, err := DecodeRecord(raw)
 	if errors.Is(err, ErrNewerFormat) {
@@ -118,22 +122,23 @@
 	offset := l.next
 	l.next++
 	if err != nil {
-		if isSummary(raw) {
-			l.summarized = l.next
+		if isSnapshot(raw) {
+			l.lastSnapshotEnd = l.next
 		}
 		return nil
 	}
 	if _, repeated := l.Find(record.ID); repeated {
 		return nil
 	}
-	l.remember(l.judge(offset, record))
+	l.appendHistory(l.decide(offset, record))
 	return nil
 }
 
-// judge decides about one publication and takes it in force if it is accepted.
-func (l *VersionLog) judge(offset siteservices.Offset, record Record) Entry {
+// decide returns the outcome of a publication and makes it the current version if it
+// is accepted.
+func (l *VersionLog) decide(offset siteservices.Offset, record Record) Entry {
 	entry := Entry{
-		Offset: offset, ID: record.ID, Base: record.Base, Author: clip(record.Author), Note: clip(record.Note),
+		Offset: offset, ID: record.ID, Base: record.Base, Author: truncate(record.Author), Note: truncate(record.Note),
 		Published: record.Published, Digest: xxhash.Sum64(record.CSV),
 	}
 	if record.Base < l.Version() {
@@ -147,39 +152,39 @@
 	}
 	parsed, err := Parse(record.CSV)
 	if err != nil {
-		entry.Status, entry.Reason = Refused, clip(err.Error())
+		entry.Status, entry.Reason = Refused, truncate(err.Error())
 		return entry
 	}
 	entry.Status, entry.Version = Accepted, record.Base+1
-	l.accept(parsed, entry, record.CSV)
+	l.setCurrent(parsed, entry, record.CSV)
 	return entry
 }
 
-// clip bounds what the history keeps of texts.
-func clip(text string) string {
-	if len(text) <= maximumText {
+// truncate shortens text to maxTextBytes.
+func truncate(text string) string {
+	if len(text) <= maxTextBytes {
 		return text
 	}
-	return strings.ToValidUTF8(text[:maximumText], "") + "…"
+	return strings.ToValidUTF8(text[:maxTextBytes], "") + "…"
 }
 
-func (l *VersionLog) accept(parsed *Table, entry Entry, csv []byte) {
+func (l *VersionLog) setCurrent(parsed *Table, entry Entry, csv []byte) {
 	parsed.Version, parsed.Base, parsed.ID = entry.Version, entry.Base, entry.ID
 	parsed.Author, parsed.Note, parsed.Published = entry.Author, entry.Note, entry.Published
 	l.current, l.csv = parsed, bytes.Clone(csv)
 }
 
-func (l *VersionLog) remember(entry Entry) {
+func (l *VersionLog) appendHistory(entry Entry) {
 	l.history = append(l.history, entry)
-	if len(l.history) > historyLength {
+	if len(l.history) > maxHistory {
 		l.history = append([]Entry(nil), l.history[1:]...)
 	}
 }
 
-// Encode appends the ledger's whole state, for a node that is behind.
+// Encode appends the whole state.
 func (l *VersionLog) Encode(e *wire.Encoder) {
 	e.Uint64(uint64(l.next))
-	e.Uint64(uint64(l.summarized))
+	e.Uint64(uint64(l.lastSnapshotEnd))
 	e.Blob(l.csv)
 	e.Bool(l.current != nil)
 	if l.current != nil {
@@ -199,12 +204,12 @@
 	}
 }
 
-// smallestEntry is the least number of bytes of an encoded entry.
-const smallestEntry = 64
+// minEntrySize is the minimum size of an encoded entry in bytes.
+const minEntrySize = 64
 
-// DecodeVersionLog reads what Encode wrote.
+// DecodeVersionLog is the inverse of Encode.
 func DecodeVersionLog(d *wire.Decoder) (*VersionLog, error) {
-	l := &VersionLog{next: siteservices.Offset(d.Uint64()), summarized: siteservices.Offset(d.Uint64())}
+	l := &VersionLog{next: siteservices.Offset(d.Uint64()), lastSnapshotEnd: siteservices.Offset(d.Uint64())}
 	csv := d.Blob()
 	if d.Bool() {
 		entry := decodeEntry(d)
@@ -212,9 +217,9 @@
 		if err != nil {
 			return nil, fmt.Errorf("table: ledger of a peer: %w", err)
 		}
-		l.accept(parsed, entry, csv)
+		l.setCurrent(parsed, entry, csv)
 	}
-	for range d.Count(smallestEntry) {
+	for range d.Count(minEntrySize) {
 		l.history = append(l.history, decodeEntry(d))
 	}
 	if d.Err() != nil {
@@ -244,8 +249,8 @@
 	}
 }
 
-// Clone returns a copy that later folds of l do not change.
+// Clone returns a copy that is not affected by later changes of l.
 func (l *VersionLog) Clone() *VersionLog {
-	// Tables and texts are replaced whole, never changed in place.
-	return &VersionLog{next: l.next, current: l.current, csv: l.csv, history: l.History(), summarized: l.summarized}
+	// Tables and texts are replaced and never modified, so they can be shared.
+	return &VersionLog{next: l.next, current: l.current, csv: l.csv, history: l.History(), lastSnapshotEnd: l.lastSnapshotEnd}
 }
--- a/internal/table/ledger_test.go
+++ b/internal/table/version_log_test.go
@@ -16,8 +16,8 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// drawStream makes a stream in which publishers race, repeat themselves and
-// publish broken tables, and in which foreign bytes stand.
+// drawStream returns a random stream with concurrent, duplicate and invalid
+// publications and with bytes that are not records.
 func drawStream(t *rapid.T) [][]byte {
 	count := rapid.IntRange(0, 40).Draw(t, "records")
 	stream := make([][]byte, 0, count)
@@ -30,9 +30,9 @@
 				stream = append(stream, rapid.SampledFrom(stream).Draw(t, "repeated"))
 			}
 		default:
-			csv := plain
+			csv := validTable
 			if rapid.IntRange(0, 3).Draw(t, "broken") == 0 {
-				csv = strings.Replace(plain, "class,", "klass,", 1)
+				csv = strings.Replace(validTable, "class,", "klass,", 1)
 			}
 			record := table.Record{
 				ID: fmt.Sprintf("p%d", i), Author: fmt.Sprintf("author-%d", i), CSV: []byte(csv),
@@ -44,30 +44,30 @@
 	return stream
 }
 
-func fold(t interface{ Fatal(...any) }, ledger *table.VersionLog, stream [][]byte) {
+func apply(t interface{ Fatal(...any) }, versions *table.VersionLog, stream [][]byte) {
 	for _, raw := range stream {
-		if err := ledger.Apply(raw); err != nil {
+		if err := versions.Apply(raw); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// encoded is a ledger's whole state.
-func encoded(ledger *table.VersionLog) []byte {
+// encode returns the encoded state of a version log.
+func encode(versions *table.VersionLog) []byte {
 	var e wire.Encoder
-	ledger.Encode(&e)
+	versions.Encode(&e)
 	return e.Bytes()
 }
 
-// TestFirstValidOnTheCurrentBaseWins checks the ledger against the rule written
-// out anew: one pass that knows only a version and the ids seen.
-func TestFirstValidOnTheCurrentBaseWins(t *testing.T) {
+// TestFirstValidPublicationOnCurrentBaseIsAccepted compares the version log with a
+// simple model of the rule.
+func TestFirstValidPublicationOnCurrentBaseIsAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stream := drawStream(t)
-		ledger := table.NewVersionLog()
+		versions := table.NewVersionLog()
 		version, seen, winners := table.Version(0), map[string]bool{}, map[table.Version]string{}
 		for _, raw := range stream {
-			fold(t, ledger, [][]byte{raw})
+			apply(t, versions, [][]byte{raw})
 			record, err := table.DecodeRecord(raw)
 			if err == nil && !seen[record.ID] {
 				seen[record.ID] = true
@@ -76,69 +76,69 @@
 					winners[version] = record.ID
 				}
 			}
-			if ledger.Version() != version {
-				t.Fatalf("version %d, want %d", ledger.Version(), version)
+			if versions.Version() != version {
+				t.Fatalf("version %d, want %d", versions.Version(), version)
 			}
 		}
-		for _, entry := range ledger.History() {
+		for _, entry := range versions.History() {
 			won := entry.Status == table.Accepted
 			if won != (winners[entry.Version] == entry.ID) {
 				t.Fatalf("%s told %s with version %d, winners %v", entry.ID, entry.Status, entry.Version, winners)
 			}
-			if winner, found := ledger.AcceptedOn(entry.Base); entry.Status == table.Lost && (!found || winner.Version != entry.Version) {
+			if winner, found := versions.AcceptedOn(entry.Base); entry.Status == table.Lost && (!found || winner.Version != entry.Version) {
 				t.Fatalf("%s lost to version %d, the winner is %+v", entry.ID, entry.Version, winner)
 			}
 		}
 	})
 }
 
-func TestLedgerTakenOverMidwayAgrees(t *testing.T) {
+func TestDecodedVersionLogContinuesIdentically(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stream := append([][]byte{table.NewVersionLog().Snapshot()}, drawStream(t)...)
 		cut := rapid.IntRange(0, len(stream)).Draw(t, "cut")
 		direct, first := table.NewVersionLog(), table.NewVersionLog()
-		fold(t, direct, stream)
-		fold(t, first, stream[:cut])
-		second, err := table.DecodeVersionLog(wire.NewDecoder(encoded(first)))
+		apply(t, direct, stream)
+		apply(t, first, stream[:cut])
+		second, err := table.DecodeVersionLog(wire.NewDecoder(encode(first)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		fold(t, second, stream[cut:])
-		if !bytes.Equal(encoded(second), encoded(direct)) {
+		apply(t, second, stream[cut:])
+		if !bytes.Equal(encode(second), encode(direct)) {
 			t.Fatalf("taken over: %+v, read: %+v", second, direct)
 		}
 	})
 }
 
-// TestSummaryStandsForWhatIsBeforeIt lets writers that lag put summaries into a
-// stream and starts from each of them.
-func TestSummaryStandsForWhatIsBeforeIt(t *testing.T) {
+// TestSnapshotReplacesEarlierRecords starts from each of several snapshots, whose writers
+// had applied only a part of the stream before them.
+func TestSnapshotReplacesEarlierRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stream := drawStream(t)
-		last := 0 // a stream only grows, so each summary stands behind the one before
+		last := 0 // the stream is append-only, so each snapshot follows the previous one
 		for range rapid.IntRange(1, 3).Draw(t, "summaries") {
 			known := rapid.IntRange(0, len(stream)).Draw(t, "known")
 			at := rapid.IntRange(max(known, last), len(stream)).Draw(t, "at")
 			last = at + 1
 			writer := table.NewVersionLog()
-			fold(t, writer, stream[:known])
+			apply(t, writer, stream[:known])
 			stream = slices.Insert(stream, at, writer.Snapshot())
 		}
 		direct := table.NewVersionLog()
-		fold(t, direct, stream)
-		summaries := 0
+		apply(t, direct, stream)
+		snapshots := 0
 		for offset, raw := range stream {
 			started, err := table.DecodeSnapshot(siteservices.Offset(offset), raw)
 			if err != nil {
 				continue
 			}
-			summaries++
-			fold(t, started, stream[started.Next():])
-			if !bytes.Equal(encoded(started), encoded(direct)) {
+			snapshots++
+			apply(t, started, stream[started.Next():])
+			if !bytes.Equal(encode(started), encode(direct)) {
 				t.Fatalf("started from %d: %+v, read: %+v", offset, started, direct)
 			}
 		}
-		if summaries == 0 {
+		if snapshots == 0 {
 			t.Fatal("no summary was found")
 		}
 	})
@@ -146,24 +146,24 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
-	ledger := table.NewVersionLog()
+	versions := table.NewVersionLog()
 	for i := range 400 {
-		record := table.Record{ID: fmt.Sprint(i), Base: table.Version(i), CSV: []byte(plain), Note: strings.Repeat("x", 5000)}
-		is.NoErr(ledger.Apply(record.Encode()))
+		record := table.Record{ID: fmt.Sprint(i), Base: table.Version(i), CSV: []byte(validTable), Note: strings.Repeat("x", 5000)}
+		is.NoErr(versions.Apply(record.Encode()))
 	}
-	is.Equal(ledger.Version(), table.Version(400))
-	is.Equal(len(ledger.History()), 256)
-	is.True(len(ledger.History()[0].Note) < 2100)
-	again := table.Record{ID: "0", Base: 0, CSV: []byte(plain)}
-	is.NoErr(ledger.Apply(again.Encode())) // forgotten, and harmless all the same
-	is.Equal(ledger.Version(), table.Version(400))
+	is.Equal(versions.Version(), table.Version(400))
+	is.Equal(len(versions.History()), 256)
+	is.True(len(versions.History()[0].Note) < 2100)
+	again := table.Record{ID: "0", Base: 0, CSV: []byte(validTable)}
+	is.NoErr(versions.Apply(again.Encode())) // no longer in the history, and still not accepted
+	is.Equal(versions.Version(), table.Version(400))
 }
 
-func TestNewerFormatStopsTheFold(t *testing.T) {
+func TestNewerFormatIsNotApplied(t *testing.T) {
 	is := is.New(t)
-	raw := table.Record{ID: "a", CSV: []byte(plain)}.Encode()
+	raw := table.Record{ID: "a", CSV: []byte(validTable)}.Encode()
 	raw[5]++
-	ledger := table.NewVersionLog()
-	is.True(errors.Is(ledger.Apply(raw), table.ErrNewerFormat))
-	is.Equal(int(ledger.Next()), 0)
+	versions := table.NewVersionLog()
+	is.True(errors.Is(versions.Apply(raw), table.ErrNewerFormat))
+	is.Equal(int(versions.Next()), 0)
 }
