--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -53,7 +53,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrNotRecord, err)
 	}
 	if l.next > offset {
-		return nil, fmt.Errorf("%w: the summary at %d claims to know %d records", ErrNotRecord, offset, l.next)
+		return nil, fmt.Errorf("%w: the snapshot at %d claims to contain %d records", ErrNotRecord, offset, l.next)
 	}
 	return l, nil
 }
--- a/internal/table/version_log.go
+++ b/internal/table/version_log.go
@@ -215,7 +215,7 @@
 		entry := decodeEntry(d)
 		parsed, err := Parse(csv)
 		if err != nil {
-			return nil, fmt.Errorf("table: ledger of a peer: %w", err)
+			return nil, fmt.Errorf("table: decode version log: %w", err)
 		}
 		l.setCurrent(parsed, entry, csv)
 	}
@@ -223,7 +223,7 @@
 		l.history = append(l.history, decodeEntry(d))
 	}
 	if d.Err() != nil {
-		return nil, fmt.Errorf("table: ledger of a peer: %w", d.Err())
+		return nil, fmt.Errorf("table: decode version log: %w", d.Err())
 	}
 	return l, nil
 }
--- a/internal/table/version_log_test.go
+++ b/internal/table/version_log_test.go
@@ -83,10 +83,10 @@
 		for _, entry := range versions.History() {
 			won := entry.Status == table.Accepted
 			if won != (winners[entry.Version] == entry.ID) {
-				t.Fatalf("%s told %s with version %d, winners %v", entry.ID, entry.Status, entry.Version, winners)
+				t.Fatalf("%s has status %s with version %d, accepted are %v", entry.ID, entry.Status, entry.Version, winners)
 			}
 			if winner, found := versions.AcceptedOn(entry.Base); entry.Status == table.Lost && (!found || winner.Version != entry.Version) {
-				t.Fatalf("%s lost to version %d, the winner is %+v", entry.ID, entry.Version, winner)
+				t.Fatalf("%s lost to version %d, accepted on its base is %+v", entry.ID, entry.Version, winner)
 			}
 		}
 	})
@@ -105,7 +105,7 @@
 		}
 		apply(t, second, stream[cut:])
 		if !bytes.Equal(encode(second), encode(direct)) {
-			t.Fatalf("taken over: %+v, read: %+v", second, direct)
+			t.Fatalf("decoded: %+v, read: %+v", second, direct)
 		}
 	})
 }
@@ -139,7 +139,7 @@
 			}
 		}
 		if snapshots == 0 {
-			t.Fatal("no summary was found")
+			t.Fatal("no snapshot was found")
 		}
 	})
 }
