--- a/internal/program/commands.go
+++ b/internal/program/commands.go
@@ -239,8 +239,8 @@
 	return need, nil
 }
 
-// PendingAttempt returns the attempt of call that may have run, for one that was
-// found open by a new owner.
+// PendingAttempt returns the last attempt and whether its outcome is not known. A new
+// owner uses it for calls that were open when it took over.
 func (c *Call) PendingAttempt() (Attempt, bool) { return c.Attempt, c.Open && c.Pending }
 
 // End returns the record that ends the program, and false if it has already ended.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -59,7 +59,8 @@
 	// Attempt is the last attempt; Pending is true until it is resolved.
 	Attempt Attempt
 	Pending bool
-	// HasLostAttempt is true once an attempt stayed charged without a result.
+	// HasLostAttempt is true if the reservation of some attempt was charged because
+	// its result is not known.
 	HasLostAttempt bool
 	// Answer is valid if Open is false and RepeatOf is zero.
 	Answer Answer
@@ -223,8 +224,8 @@
 	return open
 }
 
-// Original returns the call whose answer stands for call: call itself, or the
-// one that it repeats.
+// Original returns the call that contains the answer to call: the earlier call that
+// it repeats, or call itself.
 func (p *Program) Original(call *Call) *Call {
 	if call.RepeatOf.Sequence == 0 {
 		return call
@@ -330,7 +331,7 @@
 	Bound int64
 	// Expected is the estimate for scheduling decisions.
 	Expected int64
-	// Counted is the part that an engine has counted, at LastBackend.
+	// Counted is the part that the engine at LastBackend has counted.
 	Counted int64
 }
 
--- a/internal/scheduling/eligible.go
+++ b/internal/scheduling/eligible.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// MaxCandidates bounds how many weighed back ends a Decision lists.
+// MaxCandidates is the maximum number of candidates in a Decision.
 const MaxCandidates = 4
 
 const (
--- a/internal/scheduling/types.go
+++ b/internal/scheduling/types.go
@@ -79,8 +79,8 @@
 	Excluded []string
 	// LastBackend is where the branch's previous call ran.
 	LastBackend string
-	// DecisionNumber is the node's running count of decisions. Only RoundRobin reads it,
-	// so that it needs no state of its own.
+	// DecisionNumber counts the node's decisions. Only RoundRobin reads it, which
+	// makes the policy stateless.
 	DecisionNumber uint64
 }
 
