--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -70,17 +70,16 @@
 	return call
 }
 
-// TestPoliciesChooseOnlyEligibleBackends checks every policy over any snapshot:
-// a back end that leaves, is ejected, busy on probation, excluded or of the
-// wrong kind is never chosen, a refusal or hold names a time, and the same
-// snapshot gives the same decision.
+// TestPoliciesChooseOnlyEligibleBackends checks for every policy and random input
+// that no ineligible back end is chosen, that refusals and holds have a
+// RetryAfter, and that decisions are deterministic.
 func TestPoliciesChooseOnlyEligibleBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		call, backends := drawCall(t, "p"), drawBackends(t)
 		for _, policy := range policies() {
 			decision := policy.Choose(epoch, call, backends)
 			if fmt.Sprint(decision) != fmt.Sprint(policy.Choose(epoch, call, backends)) {
-				t.Fatalf("%s: two decisions over one snapshot", policy.Name())
+				t.Fatalf("%s: decisions for the same input differ", policy.Name())
 			}
 			if decision.Reason == "" {
 				t.Fatalf("%s: no reason", policy.Name())
@@ -90,7 +89,7 @@
 				checkChosen(t, policy.Name(), call, backends, decision)
 			case scheduling.Hold, scheduling.Refuse:
 				if decision.RetryAfter <= 0 {
-					t.Fatalf("%s: %v without a time to come back", policy.Name(), decision)
+					t.Fatalf("%s: %v without RetryAfter", policy.Name(), decision)
 				}
 			default:
 				t.Fatalf("%s: action %d", policy.Name(), decision.Action)
@@ -112,7 +111,7 @@
 				wrong = wrong || name == backend.Name
 			}
 			if wrong {
-				t.Fatalf("%s: weighed %+v", policy, backend)
+				t.Fatalf("%s: considered ineligible back end %+v", policy, backend)
 			}
 		}
 	}
@@ -121,43 +120,43 @@
 	}
 }
 
-func TestRoundRobinTakesEachBackendInTurn(t *testing.T) {
+func TestRoundRobinRotatesOverEligibleBackends(t *testing.T) {
 	is := is.New(t)
 	backends := []scheduling.Backend{{Name: "a", ServesModel: true}, {Name: "b", Leaving: true}, {Name: "c", ServesModel: true}}
 	var chosen []string
-	for turn := range uint64(4) {
-		chosen = append(chosen, scheduling.RoundRobin{}.Choose(epoch, scheduling.Call{Model: "m", DecisionNumber: turn}, backends).Backend)
+	for number := range uint64(4) {
+		chosen = append(chosen, scheduling.RoundRobin{}.Choose(epoch, scheduling.Call{Model: "m", DecisionNumber: number}, backends).Backend)
 	}
 	is.Equal(chosen, []string{"a", "c", "a", "c"})
 }
 
-func TestStepseamWeighsCacheAgainstWait(t *testing.T) {
+func TestStepseamTradesCachedPrefixAgainstWait(t *testing.T) {
 	is := is.New(t)
 	call := scheduling.Call{Model: "m", PromptTokens: 8000, LastBackend: "warm"}
 	warm := scheduling.Backend{Name: "warm", ServesModel: true, CachedTokens: 7500, PrefillRate: 4000}
 	cold := scheduling.Backend{Name: "cold", ServesModel: true, PrefillRate: 4000}
 	is.Equal(scheduling.NewStepseam().Choose(epoch, call, []scheduling.Backend{cold, warm}).Backend, "warm")
-	warm.QueuedPrefillTokens = 20_000 // 5 s of waiting against 2 s of prefill
+	warm.QueuedPrefillTokens = 20_000 // 5 s of waiting exceed 2 s of prefill
 	is.Equal(scheduling.NewStepseam().Choose(epoch, call, []scheduling.Backend{cold, warm}).Backend, "cold")
 }
 
-func TestStepseamGivesUpOnlyNewProgramsEarly(t *testing.T) {
+func TestStepseamRefusesOnlyNewProgramsEarly(t *testing.T) {
 	is := is.New(t)
 	backends := []scheduling.Backend{{Name: "busy", ServesModel: true, QueuedPrefillTokens: 80_000, PrefillRate: 4000}}
 	call := scheduling.Call{Model: "m", PromptTokens: 100, Deadline: epoch.Add(10 * time.Second)}
 	refused := scheduling.NewStepseam().Choose(epoch, call, backends)
 	is.Equal(refused.Action, scheduling.Refuse)
-	is.True(refused.RetryAfter > 10*time.Second) // about 20 s of queue less 10 s of patience
+	is.True(refused.RetryAfter > 10*time.Second) // about 20 s of queue, less 10 s until the deadline
 	call.Deadline = time.Time{}
 	refused = scheduling.NewStepseam().Choose(epoch, call, backends)
-	is.Equal(refused.Action, scheduling.Refuse) // no deadline, but the wait is over the limit
+	is.Equal(refused.Action, scheduling.Refuse) // no deadline, but the wait exceeds the limit
 	is.Equal(refused.RetryAfter, 16*time.Second)
 	call.Deadline = epoch.Add(10 * time.Second)
 	call.CallsSoFar = 1
 	is.Equal(scheduling.NewStepseam().Choose(epoch, call, backends).Action, scheduling.Run)
 }
 
-func TestOrderIsAPermutationThatNeverStarves(t *testing.T) {
+func TestRankIsAPermutationWithoutStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		calls := make([]scheduling.Call, rapid.IntRange(0, 12).Draw(t, "calls"))
 		for i := range calls {
@@ -174,18 +173,18 @@
 		if len(order) != len(calls) {
 			t.Fatalf("%d positions for %d calls", len(order), len(calls))
 		}
-		// A call of the least weight that has waited an hour goes before any that
-		// has waited at most ten seconds.
+		// A call of the lowest weight that has waited for an hour precedes any call
+		// that has waited for ten seconds.
 		old := scheduling.Call{Arrived: epoch.Add(-time.Hour), Priority: -5}
 		fresh := drawCall(t, "fresh")
 		fresh.Arrived = epoch.Add(-10 * time.Second)
 		if first := scheduling.Rank(epoch, []scheduling.Call{fresh, old})[0]; first != 1 {
-			t.Fatalf("a call that waited an hour is behind %+v", fresh)
+			t.Fatalf("a call that waited for an hour is ranked after %+v", fresh)
 		}
 	})
 }
 
-func TestAdmitRefusesWithATimeAndNeverHalfWay(t *testing.T) {
+func TestAdmitEnforcesLimitsOnNewProgramsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		admission := scheduling.Admission{
 			Call:          drawCall(t, "p"),
@@ -196,14 +195,14 @@
 		admission.TenantRunning = rapid.IntRange(0, admission.ClassRunning).Draw(t, "tenant running")
 		decision := scheduling.Admit(epoch, admission)
 		if admission.Call.CallsSoFar > 0 && decision.Action != scheduling.Run {
-			t.Fatalf("stalled a program under way: %v", decision)
+			t.Fatalf("refused a call of a running program: %v", decision)
 		}
 		if decision.Action == scheduling.Refuse && decision.RetryAfter <= 0 {
-			t.Fatalf("refused without a time: %v", decision)
+			t.Fatalf("refused without RetryAfter: %v", decision)
 		}
 		if admission.MaxConcurrent > 0 && admission.ClassRunning >= admission.MaxConcurrent &&
 			admission.Call.CallsSoFar == 0 && decision.Action != scheduling.Refuse {
-			t.Fatalf("let in over the limit: %v", decision)
+			t.Fatalf("admitted beyond the limit: %v", decision)
 		}
 	})
 }
