--- a/internal/coordinator/begin.go
+++ b/internal/coordinator/begin.go
@@ -13,24 +13,24 @@
 	"stepseam.example/stepseam/internal/residency"
 )
 
-// Begin begins a turn. Errors: a *ledgerlog.SpentError, or one that wraps
-// ledgerlog.ErrNoSuchTurn or ledgerlog.ErrUnavailable. Where the store answers neither the
-// home nor this node, another node is asked to do the work.
+// Begin begins a turn. Errors: a *ledgerlog.BudgetExhaustedError, or one that wraps
+// ledgerlog.ErrNoSuchTurn or ledgerlog.ErrUnavailable. If the store is unavailable to both the
+// coordinator and this node, other nodes are tried.
 func (s *Service) Begin(ctx context.Context, request Request) (*Turn, error) {
-	turn, err := s.beginAtHome(ctx, request)
+	turn, err := s.beginAtCoordinator(ctx, request)
 	if errors.Is(err, ledgerlog.ErrBudgetReserved) {
-		return s.beginPassedOver(ctx, request, err)
+		return s.beginAtDisplaced(ctx, request, err)
 	}
-	if !errors.Is(err, ledgerlog.ErrUnavailable) || s.storeAnswers() {
+	if !errors.Is(err, ledgerlog.ErrUnavailable) || s.storeAvailable() {
 		return turn, err
 	}
-	home, _ := s.home(s.config.Ledger.Partition(request.Program))
-	helped, helpErr := firstHelp(s, home.Name, residency.AllowedRegions{}, func(helper identity.Node) (*Turn, error) {
-		begun, err := s.beginThere(ctx, request, helper, make(chan struct{}, 1))
+	coordinator, _ := s.coordinator(s.config.Ledger.Partition(request.Program))
+	helped, helpErr := callHelpers(s, coordinator.Name, residency.AllowedRegions{}, func(helper identity.Node) (*Turn, error) {
+		turnsBegun, err := s.beginRemotely(ctx, request, helper, make(chan struct{}, 1))
 		if errors.Is(err, ledgerlog.ErrStoreUnavailable) {
-			s.storeless.add(helper.Name)
+			s.storeUnavailable.add(helper.Name)
 		}
-		return begun, err
+		return turnsBegun, err
 	})
 	if helpErr != nil {
 		return nil, err
@@ -38,48 +38,51 @@
 	return helped, nil
 }
 
-// beginAtHome begins a turn at the home, or here. Where the home says that the store does not
-// answer it, the next candidate is the home, for all who ask.
-func (s *Service) beginAtHome(ctx context.Context, request Request) (turn *Turn, err error) {
+// beginAtCoordinator begins a turn at the coordinator, or locally if it can't be called. If a
+// coordinator reports that the store is unavailable to it, the next candidate is tried; all
+// nodes agree on the order of the candidates.
+func (s *Service) beginAtCoordinator(ctx context.Context, request Request) (turn *Turn, err error) {
 	partition := s.config.Ledger.Partition(request.Program)
-	asked := map[identity.NodeName]bool{}
+	tried := map[identity.NodeName]bool{}
 	for {
-		home, self := s.home(partition)
-		if self || !s.mayAsk(home) || asked[home.Name] {
-			return s.beginHere(ctx, request, self)
+		coordinator, self := s.coordinator(partition)
+		if self || !s.mayCall(coordinator) || tried[coordinator.Name] {
+			return s.beginLocally(ctx, request, self)
 		}
-		asked[home.Name] = true
-		turn, err = s.hedge(ctx, request, home)
-		if !errors.Is(err, errPassOn) {
+		tried[coordinator.Name] = true
+		turn, err = s.hedge(ctx, request, coordinator)
+		if !errors.Is(err, errNextCandidate) {
 			return turn, err
 		}
 	}
 }
 
-// errPassOn tells that the home does not do the work, and that another candidate may.
-var errPassOn = errors.New("homes: the store does not answer the home, the next one is asked")
+// errNextCandidate reports that the coordinator did not begin the turn and that another
+// candidate now coordinates the partition.
+var errNextCandidate = errors.New("homes: the store does not answer the home, the next one is asked")
 
-// passesOn notes that the store does not answer a home, and tells whether another node is the
-// home now.
-func (s *Service) passesOn(partition int, home identity.NodeName) bool {
-	s.toldAway.add(home)
-	next, _ := s.home(partition)
-	return next.Name != home
+// failOver records that the store is unavailable to a coordinator and reports whether another
+// node coordinates the partition now.
+func (s *Service) failOver(partition int, coordinator identity.NodeName) bool {
+	s.reportedUnavailable.add(coordinator)
+	next, _ := s.coordinator(partition)
+	return next.Name != coordinator
 }
 
-// beginPassedOver begins a turn at the home that the store does not answer, where the node in
-// its place was refused: the rest of the budget is reserved, and most probably there.
-func (s *Service) beginPassedOver(ctx context.Context, request Request, refused error) (*Turn, error) {
-	first, passed := s.passedOver(s.config.Ledger.Partition(request.Program))
-	if !passed || first.Name != s.config.Self && !s.mayAsk(first) {
+// beginAtDisplaced begins a turn at the first candidate, to which the store is unavailable,
+// after its substitute was refused. The rest of the budget is reserved elsewhere, most likely
+// by that node. It returns the substitute's error if this fails too.
+func (s *Service) beginAtDisplaced(ctx context.Context, request Request, refused error) (*Turn, error) {
+	first, passed := s.displacedCandidate(s.config.Ledger.Partition(request.Program))
+	if !passed || first.Name != s.config.Self && !s.mayCall(first) {
 		return nil, refused
 	}
 	var turn *Turn
 	var err error
 	if first.Name == s.config.Self {
-		turn, err = s.beginHere(ctx, request, false)
+		turn, err = s.beginLocally(ctx, request, false)
 	} else {
-		turn, err = s.beginThere(ctx, request, first, make(chan struct{}, 1))
+		turn, err = s.beginRemotely(ctx, request, first, make(chan struct{}, 1))
 	}
 	if err != nil {
 		return nil, refused
@@ -87,24 +90,25 @@
 	return turn, nil
 }
 
-// result is the outcome of one of two ways to begin a turn.
+// result is the outcome of a remote or a local attempt to begin a turn.
 type result struct {
-	turn *Turn
-	err  error
-	home bool
+	turn        *Turn
+	err         error
+	coordinator bool
 }
 
-// hedge asks the home and, if that fails or takes long, does the work here too.
-func (s *Service) hedge(ctx context.Context, request Request, home identity.Node) (*Turn, error) {
+// hedge begins a turn at the coordinator, and locally as well if that fails or reports no
+// progress in time. The first success wins.
+func (s *Service) hedge(ctx context.Context, request Request, coordinator identity.Node) (*Turn, error) {
 	partition := s.config.Ledger.Partition(request.Program)
 	results := make(chan result, 2)
-	lives := make(chan struct{}, 1)
+	progressed := make(chan struct{}, 1)
 	pending := 1
 	go func() {
-		turn, err := s.beginThere(ctx, request, home, lives)
+		turn, err := s.beginRemotely(ctx, request, coordinator, progressed)
 		results <- result{turn, err, true}
 	}()
-	timer := time.NewTimer(hedgeAfter + s.roundTrip(home))
+	timer := time.NewTimer(hedgeDelay + s.roundTrip(coordinator))
 	defer timer.Stop()
 	here := false
 	start := func() {
@@ -114,17 +118,17 @@
 		here = true
 		pending++
 		go func() {
-			turn, err := s.beginHere(ctx, request, false)
+			turn, err := s.beginLocally(ctx, request, false)
 			results <- result{turn, err, false}
 		}()
 	}
 	var last error
 	for pending > 0 {
 		select {
-		case <-lives:
-			timer.Reset(patientAfter)
+		case <-progressed:
+			timer.Reset(progressTimeout)
 		case <-timer.C:
-			s.passOver(home.Name)
+			s.avoidNode(coordinator.Name)
 			start()
 		case one := <-results:
 			pending--
@@ -132,18 +136,18 @@
 				go discard(results, pending)
 				return one.turn, nil
 			}
-			last = refusalOf(last, one.err)
+			last = preferredError(last, one.err)
 			if errors.Is(one.err, ledgerlog.ErrBudgetReserved) {
-				continue // the other way may be what has reserved the rest
+				continue // the other attempt may hold the reservation
 			}
-			if one.home && !here && errors.Is(one.err, ledgerlog.ErrStoreUnavailable) && s.passesOn(partition, home.Name) {
-				return nil, errPassOn
+			if one.coordinator && !here && errors.Is(one.err, ledgerlog.ErrStoreUnavailable) && s.failOver(partition, coordinator.Name) {
+				return nil, errNextCandidate
 			}
 			if !errors.Is(one.err, ledgerlog.ErrUnavailable) {
-				go discard(results, pending) // an answer by proof
+				go discard(results, pending) // the error is definitive
 				return nil, one.err
 			}
-			if one.home && ctx.Err() == nil {
+			if one.coordinator && ctx.Err() == nil {
 				start()
 			}
 		}
@@ -151,16 +155,16 @@
 	return nil, last
 }
 
-// refusalOf returns which of two errors a turn is refused with: that its budget is reserved
-// elsewhere says more than that a node could not be asked.
-func refusalOf(first, second error) error {
+// preferredError returns the error to report if both attempts failed. A budget that is reserved
+// elsewhere tells the caller more than an unreachable node.
+func preferredError(first, second error) error {
 	if errors.Is(first, ledgerlog.ErrBudgetReserved) {
 		return first
 	}
 	return second
 }
 
-// discard ends turns that were begun for nothing.
+// discard finishes the turns of attempts whose results are not used.
 func discard(results <-chan result, pending int) {
 	for range pending {
 		if one := <-results; one.err == nil {
@@ -169,20 +173,20 @@
 	}
 }
 
-// take asks this node's own ledger for a turn's tokens; home tells that the partition is at
-// home here.
-func (s *Service) take(ctx context.Context, request *Request, grant ledger.GrantID, home bool) (ledgerlog.Grant, error) {
-	_, standIn := s.passedOver(s.config.Ledger.Partition(request.Program))
+// reserveTurn reserves a turn's tokens in this node's ledger. coordinator reports whether this
+// node coordinates the partition.
+func (s *Service) reserveTurn(ctx context.Context, request *Request, grant ledger.GrantID, coordinator bool) (ledgerlog.Grant, error) {
+	_, standIn := s.displacedCandidate(s.config.Ledger.Partition(request.Program))
 	return s.config.Ledger.BeginTurn(ctx, ledgerlog.TurnRequest{
-		Program: request.Program, ID: grant, Budget: request.Budget, MaxTurnTokens: request.MaxTurnTokens, Coordinator: home, Substitute: home && standIn,
+		Program: request.Program, ID: grant, Budget: request.Budget, MaxTurnTokens: request.MaxTurnTokens, Coordinator: coordinator, Substitute: coordinator && standIn,
 	})
 }
 
-// beginHere does the work through this node's own ledger.
-func (s *Service) beginHere(ctx context.Context, request Request, home bool) (*Turn, error) {
+// beginLocally begins a turn through this node's own ledger.
+func (s *Service) beginLocally(ctx context.Context, request Request, coordinator bool) (*Turn, error) {
 	turn := &Turn{Coordinator: s.config.Self}
 	if request.Budgeted {
-		grant, err := s.take(ctx, &request, ledgerlog.NewGrantID(), home)
+		grant, err := s.reserveTurn(ctx, &request, ledgerlog.NewGrantID(), coordinator)
 		if err != nil {
 			s.count("here", err)
 			return nil, err
@@ -203,66 +207,67 @@
 	return turn, nil
 }
 
-// beginThere asks the home. lives has room for its word that it lives.
-func (s *Service) beginThere(ctx context.Context, request Request, home identity.Node, lives chan<- struct{}) (*Turn, error) {
-	asked := &begin{Request: request, Grant: ledgerlog.NewGrantID()}
-	answer, err := s.call(ctx, home, asked, func(peer.Message) error {
+// beginRemotely begins a turn at the coordinator. progressed, which must be buffered, is
+// signalled when the coordinator reports progress.
+func (s *Service) beginRemotely(ctx context.Context, request Request, coordinator identity.Node, progressed chan<- struct{}) (*Turn, error) {
+	message := &beginRequest{Request: request, Grant: ledgerlog.NewGrantID()}
+	answer, err := s.call(ctx, coordinator, message, func(peer.Message) error {
 		select {
-		case lives <- struct{}{}:
-		default: // it has been told
+		case progressed <- struct{}{}:
+		default: // a signal is pending
 		}
 		return nil
 	})
 	if err != nil {
 		if request.Budgeted {
-			// The home may have begun the turn, or may yet.
-			go s.finishThere(home, request.Program, asked.Grant, 0)
+			// The coordinator may have begun the turn, or may yet begin it.
+			go s.finishRemotely(coordinator, request.Program, message.Grant, 0)
 		}
 		s.count("home", err)
 		return nil, err
 	}
-	got, ok := answer.(*begun)
+	got, ok := answer.(*beginResponse)
 	if !ok {
-		return nil, fmt.Errorf("%w: home %s answered %T", ledgerlog.ErrUnavailable, home.Name, answer)
+		return nil, fmt.Errorf("%w: home %s answered %T", ledgerlog.ErrUnavailable, coordinator.Name, answer)
 	}
-	err = got.err(home.Name)
+	err = got.err(coordinator.Name)
 	s.count("home", err)
 	if err != nil {
 		return nil, err
 	}
-	turn := &Turn{Charged: got.Charged, Unlogged: got.Ahead, First: got.First, Chain: got.Chain, CacheLocation: got.Resident, Coordinator: home.Name}
+	turn := &Turn{Charged: got.Charged, Unlogged: got.Ahead, First: got.First, Chain: got.Chain, CacheLocation: got.Resident, Coordinator: coordinator.Name}
 	if request.Budgeted {
-		turn.finish = func(used uint32) { go s.finishThere(home, request.Program, asked.Grant, used) }
+		turn.finish = func(used uint32) { go s.finishRemotely(coordinator, request.Program, message.Grant, used) }
 	}
 	return turn, nil
 }
 
-func (m *begun) err(home identity.NodeName) error {
-	if m.Status == statusSpent {
+func (m *beginResponse) err(coordinator identity.NodeName) error {
+	if m.Status == statusBudgetExhausted {
 		return &ledgerlog.BudgetExhaustedError{Charged: m.Charged}
 	}
-	return m.Status.err(home, m.Reason)
+	return m.Status.err(coordinator, m.Reason)
 }
 
-// finishThere tells a turn's end, which may be told twice. Where that fails, the
-// home counts the turn in full.
-func (s *Service) finishThere(home identity.Node, program ledger.ProgramID, grant ledger.GrantID, used uint32) {
+// finishRemotely reports a turn's end and retries on failure, so that the coordinator may
+// receive the report twice. If all attempts fail, the coordinator counts the turn in full.
+func (s *Service) finishRemotely(coordinator identity.Node, program ledger.ProgramID, grant ledger.GrantID, used uint32) {
 	for attempt := 1; ; attempt++ {
-		err := s.tellFinish(home, &finish{Program: program, Grant: grant, Used: used})
+		err := s.sendFinish(coordinator, &finishRequest{Program: program, Grant: grant, Used: used})
 		if err == nil {
 			return
 		}
 		if attempt == finishAttempts {
-			s.config.Logger.Info("turn's end not told", "home", home.Name, "program", program, "used", used, "error", err)
+			s.config.Logger.Info("turn's end not told", "home", coordinator.Name, "program", program, "used", used, "error", err)
 			return
 		}
-		time.Sleep(finishPause)
+		time.Sleep(finishRetryInterval)
 	}
 }
 
-func (s *Service) tellFinish(home identity.Node, message *finish) error {
+func (s *Service) sendFinish(coordinator identity.Node, message *finishRequest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 	defer cancel()
-	_, err := s.call(ctx, home, message, nil)
+	_, err := s.call(ctx, coordinator, message, nil)
 	return err
 }
--- a/internal/coordinator/standin_test.go
+++ b/internal/coordinator/candidates_test.go
@@ -17,8 +17,9 @@
 	"stepseam.example/stepseam/internal/residency"
 )
 
-// TestKeeperIsTheFirstThatTheStoreAnswers, and the first by rank where it answers none.
-func TestKeeperIsTheFirstThatTheStoreAnswers(t *testing.T) {
+// TestCoordinatorIsFirstCandidateWithStore also covers the fallback to the first candidate if
+// the store is available to none.
+func TestCoordinatorIsFirstCandidateWithStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 40).Draw(t, "members")
 		view := largeView(count)
@@ -30,11 +31,11 @@
 		if len(candidates) != min(count, candidateCount) {
 			t.Fatalf("%d candidates of %d members", len(candidates), count)
 		}
-		lacks := lacking(view.Members)
-		kept := keeperOf(candidates, func(name identity.NodeName) bool { return lacks[name] })
+		storeUnavailable := storeUnavailableAt(view.Members)
+		kept := selectCoordinator(candidates, func(name identity.NodeName) bool { return storeUnavailable[name] })
 		want := candidates[0]
 		for _, candidate := range candidates {
-			if !lacks[candidate.Name] {
+			if !storeUnavailable[candidate.Name] {
 				want = candidate
 				break
 			}
@@ -45,31 +46,31 @@
 	})
 }
 
-// TestHomesStayWhereTheStoreAnswersNobody: only what the first candidates say counts.
-func TestHomesStayWhereTheStoreAnswersNobody(t *testing.T) {
+// TestCoordinatorsStayIfStoreIsUnavailableToAll checks that only the first candidates count.
+func TestCoordinatorsStayIfStoreIsUnavailableToAll(t *testing.T) {
 	is := is.New(t)
-	var firsts []identity.Node
-	lacks := map[identity.NodeName]bool{}
+	var firstCandidates []identity.Node
+	storeUnavailable := map[identity.NodeName]bool{}
 	for i := range 9 {
-		firsts = append(firsts, identity.Node{Name: identity.NodeName(fmt.Sprint("n", i))}, identity.Node{Name: "n0"})
+		firstCandidates = append(firstCandidates, identity.Node{Name: identity.NodeName(fmt.Sprint("n", i))}, identity.Node{Name: "n0"})
 	}
 	for i := range 9 {
-		is.Equal(answersNobody(firsts, lacks), i >= 7)
-		lacks[firsts[2*i].Name] = true
+		is.Equal(unavailableToMost(firstCandidates, storeUnavailable), i >= 7)
+		storeUnavailable[firstCandidates[2*i].Name] = true
 	}
-	is.True(answersNobody(firsts, lacks))
-	is.True(!answersNobody(nil, lacks))
+	is.True(unavailableToMost(firstCandidates, storeUnavailable))
+	is.True(!unavailableToMost(nil, storeUnavailable))
 }
 
-// tell lets nodes know which of them the store answers, as membership does.
-func tell(nodes []*node) {
+// setStoreStatus gives all nodes a view with each node's current store status.
+func setStoreStatus(nodes []*node) {
 	view := membership.View{}
 	for _, member := range nodes {
 		changes := uint64(0)
 		if !member.store.answers() {
 			changes = 1
 		}
-		member.service.away.Store(changes == 1)
+		member.service.unavailable.Store(changes == 1)
 		view.Members = append(view.Members, membership.Member{Node: member.identity, Status: membership.Alive, TableVersion: changes})
 	}
 	for _, one := range nodes {
@@ -77,7 +78,7 @@
 	}
 }
 
-// candidatesIn returns the nodes that may keep p's partition, the first by rank first.
+// candidatesIn returns the candidates of p's partition, ordered by rank.
 func candidatesIn(nodes []*node) []*node {
 	of := nodes[0].service
 	var found []*node
@@ -91,35 +92,36 @@
 	return found
 }
 
-// TestAllAskTheNextInRankWhileTheStoreTurnsTheHomeAway, which keeps the program's credit for
-// all of them, and the home again afterwards.
-func TestAllAskTheNextInRankWhileTheStoreTurnsTheHomeAway(t *testing.T) {
+// TestAllNodesUseTheSameSubstitute checks that the substitute keeps one credit for all nodes,
+// and that the first candidate coordinates again after the store recovers.
+func TestAllNodesUseTheSameSubstitute(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 5, true)
+	nodes := startClusterWith(t, 5, true)
 	ranked := candidatesIn(nodes)
 	mustBegin(t, ranked[0], turnOf("p", 100_000, 100)).Finish(10)
-	time.Sleep(50 * time.Millisecond) // the home owns the partition
+	time.Sleep(50 * time.Millisecond) // the coordinator owns the partition
 	ranked[0].store.closed.Store(true)
-	tell(nodes)
+	setStoreStatus(nodes)
 	for _, from := range nodes {
 		began := time.Now()
 		turn := mustBegin(t, from, turnOf("p", 100_000, 100))
 		is.Equal(turn.Coordinator, ranked[1].identity.Name)
 		turn.Finish(10)
-		is.True(time.Since(began) < withoutStore)
+		is.True(time.Since(began) < failureLatency)
 	}
 	is.Equal(ranked[1].store.appended.Load(), int32(1)) // one reservation for all turns
 	ranked[0].store.closed.Store(false)
-	tell(nodes)
+	setStoreStatus(nodes)
 	for _, from := range nodes {
 		is.Equal(mustBegin(t, from, turnOf("p", 100_000, 100)).Coordinator, ranked[0].identity.Name)
 	}
 }
 
-// TestNextInRankIsAskedWhereTheHomeSaysSo: nobody has been told yet.
-func TestNextInRankIsAskedWhereTheHomeSaysSo(t *testing.T) {
+// TestNextCandidateIsTriedOnStoreUnavailable covers nodes that have not received the
+// announcement.
+func TestNextCandidateIsTriedOnStoreUnavailable(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 5, true)
+	nodes := startClusterWith(t, 5, true)
 	ranked := candidatesIn(nodes)
 	ranked[0].store.closed.Store(true)
 	ranked[1].store.closed.Store(true)
@@ -130,52 +132,54 @@
 	}
 }
 
-// TestHomesStayWhileTheStoreAnswersNobodyInACluster: the home goes on with what it has reserved.
-func TestHomesStayWhileTheStoreAnswersNobodyInACluster(t *testing.T) {
+// TestCoordinatorsStayInClusterWithoutStore checks that the coordinator continues with its
+// reservations.
+func TestCoordinatorsStayInClusterWithoutStore(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 5, true)
+	nodes := startClusterWith(t, 5, true)
 	ranked := candidatesIn(nodes)
 	mustBegin(t, ranked[1], turnOf("p", 100_000, 100)).Finish(100)
 	for _, one := range nodes {
 		one.store.closed.Store(true)
 	}
-	tell(nodes)
+	setStoreStatus(nodes)
 	turn := mustBegin(t, ranked[1], turnOf("p", 100_000, 100))
 	is.Equal(turn.Coordinator, ranked[0].identity.Name)
 }
 
-// TestHomeThatTheStoreTurnsAwayServesWhatItHasReserved where its stand-in is refused for that.
-func TestHomeThatTheStoreTurnsAwayServesWhatItHasReserved(t *testing.T) {
+// TestDisplacedCandidateServesItsReservations covers a substitute that is refused because the
+// first candidate has reserved the rest of the budget.
+func TestDisplacedCandidateServesItsReservations(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 5, true)
+	nodes := startClusterWith(t, 5, true)
 	ranked := candidatesIn(nodes)
 	mustBegin(t, ranked[2], turnOf("p", 1000, 100)).Finish(100)
-	time.Sleep(50 * time.Millisecond) // the home's reservation stands in the log
+	time.Sleep(50 * time.Millisecond) // the coordinator's reservation is in the log
 	ranked[0].store.closed.Store(true)
-	tell(nodes)
-	served, homes := uint64(100), map[identity.NodeName]bool{}
+	setStoreStatus(nodes)
+	served, coordinators := uint64(100), map[identity.NodeName]bool{}
 	for {
 		turn, err := ranked[2].service.Begin(t.Context(), turnOf("p", 1000, 100))
 		if err != nil {
 			break
 		}
-		homes[turn.Coordinator] = true
+		coordinators[turn.Coordinator] = true
 		turn.Finish(100)
 		served += 100
 		time.Sleep(10 * time.Millisecond)
 	}
-	is.True(homes[ranked[0].identity.Name])
-	is.True(homes[ranked[1].identity.Name])
-	whole := ledger.LoggedBudget(1000, 100) // nobody was sure at the first turn
+	is.True(coordinators[ranked[0].identity.Name])
+	is.True(coordinators[ranked[1].identity.Name])
+	whole := ledger.LoggedBudget(1000, 100) // no exclusive owner at the first turn
 	is.True(served <= whole)
 	is.True(served+100 >= whole)
 }
 
-// TestBudgetHoldsWhileHomesMove begins turns of one program everywhere while the store turns
-// changing thirds of the nodes away, who are told of that late or not at all.
-func TestBudgetHoldsWhileHomesMove(t *testing.T) {
+// TestBudgetHoldsWhileCoordinatorsMove begins turns of one program at all nodes while the store
+// is unavailable to changing thirds of them, announced late or not at all.
+func TestBudgetHoldsWhileCoordinatorsMove(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 5, true)
+	nodes := startClusterWith(t, 5, true)
 	const budget, most = 4000, 100
 	handedOut := 0
 	for round := range 120 {
@@ -183,7 +187,7 @@
 			one.store.closed.Store((i+round/7)%3 == 0)
 		}
 		if round%5 == 0 {
-			tell(nodes)
+			setStoreStatus(nodes)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		turn, err := nodes[round%len(nodes)].service.Begin(ctx, turnOf("p", budget, most))
@@ -198,16 +202,16 @@
 	is.True(handedOut >= budget/2)
 }
 
-// TestTurnIsFoundThroughAStandIn that has not read the partition before.
-func TestTurnIsFoundThroughAStandIn(t *testing.T) {
+// TestTurnIsFoundThroughSubstitute covers a substitute that has not read the partition before.
+func TestTurnIsFoundThroughSubstitute(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 5, true)
+	nodes := startClusterWith(t, 5, true)
 	ranked := candidatesIn(nodes)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	is.NoErr(ranked[2].service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t1", Retention: time.Minute}, []byte("one"), residency.AllowedRegions{}))
 	ranked[0].store.closed.Store(true)
-	tell(nodes)
+	setStoreStatus(nodes)
 	is.Equal(len(mustBegin(t, ranked[3], Request{Program: "p", Previous: "t1"}).Chain), 1)
 	_, err := ranked[3].service.Begin(ctx, Request{Program: "p", Previous: "never"})
 	is.True(errors.Is(err, ledgerlog.ErrNoSuchTurn))
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,8 +1,8 @@
-// Package coordinator sends each program's ledger work to one node, the home of the
-// program's partition, which keeps the sums in memory and so needs few calls of
-// the store. A home is a hint: any node can do the work itself, through the log,
-// when the home doesn't answer, and nothing is wrong if two nodes hold themselves
-// for the home.
+// Package coordinator sends each program's ledger work to one node, the coordinator of the
+// program's partition. The coordinator keeps the partition's sums in memory and so needs few
+// calls of the store. It is chosen by rendezvous hashing over the membership view and is only a
+// hint: any node can do the work itself through the log if the coordinator is unreachable, and
+// two nodes that both act as the coordinator do no harm.
 package coordinator
 
 import (
@@ -23,65 +23,64 @@
 )
 
 const (
-	// hedgeAfter is how long a home may say nothing before the work is begun here
-	// too; workingAfter is the time between two words of a home that waits for the log,
-	// and patientAfter how long it may say nothing after one. Whoever begins the work
-	// here reads the partition, as the home does; after the loss of all nodes that is
-	// more than the store can tell.
-	hedgeAfter   = 150 * time.Millisecond
-	workingAfter = 60 * time.Millisecond
-	patientAfter = 400 * time.Millisecond
-	// avoidFor is how long a home that did not answer is passed over.
-	avoidFor = 700 * time.Millisecond
-	// finishTimeout bounds one telling of a turn's end, which is tried finishAttempts
-	// times with finishPause between.
-	finishTimeout  = 2 * time.Second
-	finishAttempts = 3
-	finishPause    = 500 * time.Millisecond
-	// homePatience is how long a home may take to keep or read turns before this
-	// node does it itself.
-	homePatience = 700 * time.Millisecond
-	// keepPause is the time between two tries to keep a turn.
-	keepPause = 60 * time.Millisecond
-	// settleAfter is how long after its start a node alone in its view waits
-	// before it takes itself for the home of all partitions.
-	settleAfter = 2 * time.Second
-	// learnMembers is how long after its start a node may not know all others. It is
-	// shorter than sites take to count a started machine as in touch, so that turns
-	// are not put off for the dead for longer than that.
-	learnMembers = 2500 * time.Millisecond
+	// hedgeDelay is how long this node waits for a first report of progress before it does the
+	// work locally as well. progressInterval is the time between two progress reports of a
+	// coordinator that waits for the log, and progressTimeout how long it may then stay silent.
+	// Working locally reads the partition a second time, which the store can't sustain for all
+	// partitions when the whole cluster restarts.
+	hedgeDelay       = 150 * time.Millisecond
+	progressInterval = 60 * time.Millisecond
+	progressTimeout  = 400 * time.Millisecond
+	// avoidDuration is how long a node that did not respond is not called.
+	avoidDuration = 700 * time.Millisecond
+	// finishTimeout bounds one report of a turn's end, which is attempted finishAttempts times
+	// with finishRetryInterval in between.
+	finishTimeout       = 2 * time.Second
+	finishAttempts      = 3
+	finishRetryInterval = 500 * time.Millisecond
+	// coordinatorTimeout is how long another node may take to persist or read turns.
+	coordinatorTimeout = 700 * time.Millisecond
+	// persistRetryInterval is the time between two attempts to persist a turn.
+	persistRetryInterval = 60 * time.Millisecond
+	// singleNodeDelay is how long after its start a node without other members waits before it
+	// coordinates all partitions.
+	singleNodeDelay = 2 * time.Second
+	// membershipDelay is how long after its start a node may not know all members yet.
+	// Until then it takes unknown incarnations to be alive, so that turns may be put off
+	// for reservations of dead nodes.
+	membershipDelay = 2500 * time.Millisecond
 )
 
-// Request is what a turn needs of the ledger.
+// Request describes a turn to begin.
 type Request struct {
 	Program ledger.ProgramID
-	// Budgeted tells that Budget and Most hold.
+	// Budgeted is set if Budget and MaxTurnTokens apply.
 	Budgeted              bool
 	Budget, MaxTurnTokens uint32
-	// Previous is the turn to go on from, or empty.
+	// Previous is the turn to continue, or empty.
 	Previous ledger.TurnID
 }
 
 // Turn is a turn that has begun. Finish must be called, by one goroutine; only the first call
-// counts.
+// has an effect.
 type Turn struct {
-	// Charged is what was known to stand against the budget before, in tokens.
+	// Charged is the amount charged to the budget before this turn, in tokens, as far as known.
 	Charged uint64
-	// Unlogged tells that the budget's reservation does not stand in the log yet.
+	// Unlogged is set if the reservation is not in the log yet.
 	Unlogged bool
-	// First tells that the program has been handed out nothing before.
+	// First is set if no tokens were granted to the program before.
 	First bool
-	// Chain holds the locations of the turns before, the oldest first.
+	// Chain holds the locations of the previous turns, oldest first.
 	Chain []ledger.Location
-	// CacheLocation is where the turn before ran.
+	// CacheLocation is where the previous turn ran.
 	CacheLocation ledger.CacheLocation
-	// Coordinator is the node that keeps the program's sums.
+	// Coordinator is the node that counts the turn's tokens.
 	Coordinator identity.NodeName
 
 	finish func(used uint32)
 }
 
-// Finish tells how many tokens were handed out.
+// Finish reports how many tokens the turn used.
 func (t *Turn) Finish(used uint32) {
 	finish := t.finish
 	t.finish = nil
@@ -90,76 +89,79 @@
 	}
 }
 
-// Config is what a Service is made from; Peers is nil where there are no other nodes.
+// Config configures a Service. Peers is nil if there are no other nodes.
 type Config struct {
 	Self   identity.NodeName
 	Ledger *ledgerlog.Ledger
 	Peers  peer.Client
-	// RoundTrip returns how long the way to a zone and back takes; nil counts as nothing.
+	// RoundTrip returns the round trip time to a zone; nil counts as zero.
 	RoundTrip func(zone identity.Zone) time.Duration
-	// StoreAvailable tells whether the store answers this node; nil counts as yes.
+	// StoreAvailable reports whether the store is available to this node; nil counts as true.
 	StoreAvailable func() bool
-	// Announce tells other nodes how often the store has ceased or begun to answer this one,
-	// see LacksStore, and all of them at once with everybody; nil where nobody is told.
+	// Announce publishes the number of changes of the store's availability to this node, see
+	// StoreUnreachable, to all nodes at once if everybody is set. It is nil if there is nobody
+	// to inform.
 	Announce   func(changes uint64, everybody bool)
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
 }
 
-// Service does the ledger's work at homes. It is safe for concurrent use.
+// Service routes ledger work to coordinators and serves it for other nodes. It is safe for
+// concurrent use.
 type Service struct {
-	config  Config
-	began   time.Time
-	view    atomic.Pointer[siteView]
-	begun   *prometheus.CounterVec
-	closing atomic.Bool
-	// away is what this node has told last of the store, see standing.
-	away      atomic.Bool
-	standings *prometheus.CounterVec
-
-	// mutex guards avoid: until when homes are passed over.
-	mutex sync.Mutex
-	avoid map[identity.NodeName]time.Duration
-	// storeless are the nodes that lately said that the store does not answer them, or
-	// said nothing when asked for work in the store.
-	storeless passing
-	// toldAway are those that said so when asked to begin a turn, before it was known of them.
-	toldAway passing
+	config     Config
+	began      time.Time
+	view       atomic.Pointer[clusterView]
+	turnsBegun *prometheus.CounterVec
+	closing    atomic.Bool
+	// unavailable is the last announced state of the store, see storeStatus.
+	unavailable   atomic.Bool
+	statusChanges *prometheus.CounterVec
+
+	// mutex guards avoidUntil, the time since began until which a node is not called.
+	mutex      sync.Mutex
+	avoidUntil map[identity.NodeName]time.Duration
+	// storeUnavailable holds nodes that recently reported the store to be unavailable, or made
+	// no progress on a request that needs the store.
+	storeUnavailable expiringSet
+	// reportedUnavailable holds nodes that reported it in response to a request to begin a
+	// turn, before membership announced it.
+	reportedUnavailable expiringSet
 }
 
-// New returns a service that knows no other nodes yet. It tells the ledger which
-// nodes live from then on.
+// New returns a service without a membership view and registers it as the ledger's source of
+// members.
 func New(config Config) *Service {
 	made := &Service{
-		config: config, began: time.Now(), avoid: map[identity.NodeName]time.Duration{},
-		storeless: passing{until: map[identity.NodeName]time.Time{}},
-		toldAway:  passing{until: map[identity.NodeName]time.Time{}},
-		standings: prometheus.NewCounterVec(prometheus.CounterOpts{
+		config: config, began: time.Now(), avoidUntil: map[identity.NodeName]time.Duration{},
+		storeUnavailable:    expiringSet{until: map[identity.NodeName]time.Time{}},
+		reportedUnavailable: expiringSet{until: map[identity.NodeName]time.Time{}},
+		statusChanges: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "stepseam_home_standings_total", Help: "Changes of whether the store answers this node, as told to others.",
 		}, []string{"standing"}),
-		begun: prometheus.NewCounterVec(prometheus.CounterOpts{
+		turnsBegun: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "stepseam_turns_begun_total", Help: "Turns begun in the ledger, by where and outcome.",
 		}, []string{"where", "outcome"}),
 	}
 	if config.Registerer != nil {
-		config.Registerer.MustRegister(made.begun, made.standings)
+		config.Registerer.MustRegister(made.turnsBegun, made.statusChanges)
 	}
 	config.Ledger.SetMembers(made)
 	return made
 }
 
-func (s *Service) call(ctx context.Context, home identity.Node, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
-	answer, err := s.config.Peers.Call(ctx, home.PeerAddress, request, onPart)
+func (s *Service) call(ctx context.Context, coordinator identity.Node, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
+	answer, err := s.config.Peers.Call(ctx, coordinator.PeerAddress, request, onPart)
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, peer.ErrUnknownKind) {
-			s.passOver(home.Name)
+			s.avoidNode(coordinator.Name)
 		}
-		return nil, fmt.Errorf("%w: home %s: %w", ledgerlog.ErrUnavailable, home.Name, err)
+		return nil, fmt.Errorf("%w: home %s: %w", ledgerlog.ErrUnavailable, coordinator.Name, err)
 	}
 	return answer, nil
 }
 
-// roundTrip is how long the way to a node and back takes.
+// roundTrip returns the round trip time to a node.
 func (s *Service) roundTrip(node identity.Node) time.Duration {
 	if s.config.RoundTrip == nil {
 		return 0
@@ -167,16 +169,16 @@
 	return s.config.RoundTrip(node.Zone)
 }
 
-func (s *Service) passOver(home identity.NodeName) {
+func (s *Service) avoidNode(coordinator identity.NodeName) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.avoid[home] = time.Since(s.began) + avoidFor
+	s.avoidUntil[coordinator] = time.Since(s.began) + avoidDuration
 }
 
-func (s *Service) avoided(home identity.NodeName) bool {
+func (s *Service) isAvoided(coordinator identity.NodeName) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return time.Since(s.began) < s.avoid[home]
+	return time.Since(s.began) < s.avoidUntil[coordinator]
 }
 
 func (s *Service) count(where string, err error) {
@@ -184,5 +186,5 @@
 	if err != nil {
 		outcome = statusOf(err).String()
 	}
-	s.begun.WithLabelValues(where, outcome).Inc()
+	s.turnsBegun.WithLabelValues(where, outcome).Inc()
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -33,35 +33,35 @@
 	service   *Service
 	transport *peer.Transport
 	identity  identity.Node
-	// store is this node's own way to the log.
-	store *gate
+	// store is this node's view of the shared store.
+	store *nodeStore
 }
 
-// gate is a way to the store that can be closed for one node.
-type gate struct {
+// nodeStore is one node's access to the shared store, which can be made unavailable to that
+// node alone.
+type nodeStore struct {
 	*store.Store
 	closed atomic.Bool
-	// hang makes appends wait for the caller's end.
+	// hang makes appends block until the caller's context ends.
 	hang atomic.Bool
-	// appended counts the appends on it, asked the reads, answered or not.
-	appended, asked atomic.Int32
-	// read holds the partitions of the ledger that were read on it, texts counts the reads
-	// of turns' texts.
-	read  sync.Map
-	texts atomic.Int32
+	// appended and reads count the attempted appends and reads.
+	appended, reads atomic.Int32
+	// read holds the ledger partitions that were read; textReads counts reads of texts.
+	read      sync.Map
+	textReads atomic.Int32
 }
 
-// answers tells whether the store answers the node.
-func (g *gate) answers() bool { return !g.closed.Load() && !g.hang.Load() }
+// answers reports whether the store is available to the node.
+func (g *nodeStore) answers() bool { return !g.closed.Load() && !g.hang.Load() }
 
-// answeringGate lets all calls out and tells whether the store answers the node.
-type answeringGate struct{ store *gate }
+// fakeAvailability never delays calls and reports the state of a nodeStore.
+type fakeAvailability struct{ store *nodeStore }
 
-func (a answeringGate) Await(context.Context, logstore.Partition) error { return nil }
-func (a answeringGate) Available(logstore.Partition) bool               { return a.store.answers() }
-func (a answeringGate) Recovered() <-chan struct{}                      { return nil }
+func (a fakeAvailability) Await(context.Context, logstore.Partition) error { return nil }
+func (a fakeAvailability) Available(logstore.Partition) bool               { return a.store.answers() }
+func (a fakeAvailability) Recovered() <-chan struct{}                      { return nil }
 
-func (g *gate) Append(ctx context.Context, request logstore.AppendRequest) (logstore.AppendResult, error) {
+func (g *nodeStore) Append(ctx context.Context, request logstore.AppendRequest) (logstore.AppendResult, error) {
 	g.appended.Add(1)
 	if g.closed.Load() {
 		return logstore.AppendResult{}, logstore.ErrUnavailable
@@ -73,42 +73,43 @@
 	return g.Store.Append(ctx, request)
 }
 
-func (g *gate) Read(ctx context.Context, request logstore.ReadRequest) (logstore.ReadResult, error) {
-	g.asked.Add(1)
+func (g *nodeStore) Read(ctx context.Context, request logstore.ReadRequest) (logstore.ReadResult, error) {
+	g.reads.Add(1)
 	if g.closed.Load() {
 		return logstore.ReadResult{}, logstore.ErrUnavailable
 	}
 	if request.Partition.Topic == "texts" {
-		g.texts.Add(1)
+		g.textReads.Add(1)
 	}
 	g.read.Store(request.Partition.Number, true)
 	return g.Store.Read(ctx, request)
 }
 
-func startCluster(t *testing.T, count int) []*node { return startClusterThat(t, count, false) }
+func startCluster(t *testing.T, count int) []*node { return startClusterWith(t, count, false) }
 
-// startClusterThat starts nodes whose ledgers know whether the store answers them, or not.
-func startClusterThat(t *testing.T, count int, knows bool) []*node {
+// startClusterWith starts nodes whose ledgers are informed of the store's availability if
+// knowsStore is set.
+func startClusterWith(t *testing.T, count int, knowsStore bool) []*node {
 	log := store.New()
 	var nodes []*node
 	for i := range count {
-		nodes = append(nodes, startNode(t, log, fmt.Sprintf("n%d", i), knows))
+		nodes = append(nodes, startNode(t, log, fmt.Sprintf("n%d", i), knowsStore))
 	}
-	show(nodes, nodes)
+	setViews(nodes, nodes)
 	return nodes
 }
 
-func startNode(t *testing.T, log *store.Store, name string, knows bool) *node {
+func startNode(t *testing.T, log *store.Store, name string, knowsStore bool) *node {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	registry := peer.NewRegistry()
-	made := &node{transport: peer.NewTransport(registry, peer.Options{Logger: slog.New(slog.DiscardHandler)}), store: &gate{Store: log}}
+	made := &node{transport: peer.NewTransport(registry, peer.Options{Logger: slog.New(slog.DiscardHandler)}), store: &nodeStore{Store: log}}
 	made.identity = identity.Node{Name: identity.NodeName(name), Incarnation: 1, PeerAddress: netip.MustParseAddrPort(listener.Addr().String())}
 	var knowing ledgerlog.Availability
-	if knows {
-		knowing = answeringGate{made.store}
+	if knowsStore {
+		knowing = fakeAvailability{made.store}
 	}
 	made.service = New(Config{
 		StoreAvailable: made.store.answers,
@@ -126,8 +127,8 @@
 	return made
 }
 
-// show gives some nodes a view of all of members.
-func show(nodes, members []*node) {
+// setViews gives nodes a view with all members.
+func setViews(nodes, members []*node) {
 	view := membership.View{}
 	for _, member := range members {
 		view.Members = append(view.Members, membership.Member{Node: member.identity, Status: membership.Alive})
@@ -151,77 +152,77 @@
 	return turn
 }
 
-// homeOf returns the node that is at home, and one that isn't.
-func homeOf(nodes []*node, program ledger.ProgramID) (*node, *node) {
-	var home, other *node
+// coordinatorOf returns a program's coordinator and another node.
+func coordinatorOf(nodes []*node, program ledger.ProgramID) (*node, *node) {
+	var coordinator, other *node
 	for _, one := range nodes {
-		if one.service.isHome(one.service.config.Ledger.Partition(program)) {
-			home = one
+		if one.service.isCoordinator(one.service.config.Ledger.Partition(program)) {
+			coordinator = one
 		} else {
 			other = one
 		}
 	}
-	return home, other
+	return coordinator, other
 }
 
-func TestAllNodesAgreeOnOneHome(t *testing.T) {
+func TestAllNodesAgreeOnOneCoordinator(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 5)
 	for partition := range partitions {
-		homes := 0
+		coordinators := 0
 		for _, one := range nodes {
-			if one.service.isHome(partition) {
-				homes++
+			if one.service.isCoordinator(partition) {
+				coordinators++
 			}
 		}
-		is.Equal(homes, 1)
+		is.Equal(coordinators, 1)
 	}
 }
 
-func TestTurnsFromEveryNodeAreCountedAtTheHome(t *testing.T) {
+func TestTurnsOfAllNodesAreCountedAtCoordinator(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
-	home, _ := homeOf(nodes, "p")
+	coordinator, _ := coordinatorOf(nodes, "p")
 	for i := range 6 {
 		turn := mustBegin(t, nodes[i%3], turnOf("p", 1000, 100))
-		is.Equal(turn.Coordinator, home.identity.Name)
+		is.Equal(turn.Coordinator, coordinator.identity.Name)
 		turn.Finish(50)
-		time.Sleep(10 * time.Millisecond) // the end is told in the background
+		time.Sleep(10 * time.Millisecond) // the end is reported in the background
 	}
-	is.True(home.store.Calls("append") < 6)
-	is.Equal(home.store.Calls("read"), 1) // the first look, which tells who owns the partition
+	is.True(coordinator.store.Calls("append") < 6)
+	is.Equal(coordinator.store.Calls("read"), 1) // the initial read, which finds the partition's owner
 }
 
-func TestBudgetHoldsWhereTheHomeIsGone(t *testing.T) {
+func TestBudgetHoldsIfCoordinatorIsUnreachable(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
-	home, other := homeOf(nodes, "p")
-	mustBegin(t, home, turnOf(samePartition(home, "p")(), 200, 100)).Finish(0)
-	time.Sleep(100 * time.Millisecond) // the home owns the partition, and so reserves behind the first turn
-	mustBegin(t, home, turnOf("p", 200, 100)).Finish(100)
-	time.Sleep(400 * time.Millisecond) // its reservation stands in the log
-	home.transport.Close()
+	coordinator, other := coordinatorOf(nodes, "p")
+	mustBegin(t, coordinator, turnOf(samePartition(coordinator, "p")(), 200, 100)).Finish(0)
+	time.Sleep(100 * time.Millisecond) // the coordinator owns the partition, and so reserves after the first turn has begun
+	mustBegin(t, coordinator, turnOf("p", 200, 100)).Finish(100)
+	time.Sleep(400 * time.Millisecond) // the reservation is in the log
+	coordinator.transport.Close()
 	began := time.Now()
 	turn := mustBegin(t, other, turnOf("p", 200, 100))
 	is.Equal(turn.Coordinator, other.identity.Name)
 	is.True(time.Since(began) < time.Second)
-	// What the home had reserved can't be told from what it handed out. One turn more is
-	// within what the program may be handed in all; after it the budget is neither handed
-	// out again nor called spent.
+	// Other nodes can't know how much of its reservation the coordinator granted. One more turn
+	// stays within the budget and one turn; after it the budget is neither granted again nor
+	// reported as exhausted.
 	mustBegin(t, other, turnOf("p", 200, 100)).Finish(100)
 	_, err := other.service.Begin(t.Context(), turnOf("p", 200, 100))
 	is.True(errors.Is(err, ledgerlog.ErrBudgetReserved))
 }
 
-// forgetful is a way to other nodes that loses answers to the beginning of turns.
-type forgetful struct {
+// lossyClient loses the responses to requests to begin a turn.
+type lossyClient struct {
 	peer.Client
 	lose atomic.Bool
 }
 
-func (f *forgetful) Call(ctx context.Context, address netip.AddrPort, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
+func (f *lossyClient) Call(ctx context.Context, address netip.AddrPort, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
 	answer, err := f.Client.Call(ctx, address, request, onPart)
-	if _, begins := request.(*begin); begins && f.lose.Load() {
+	if _, begins := request.(*beginRequest); begins && f.lose.Load() {
 		return nil, errors.New("answer lost")
 	}
 	return answer, err
@@ -230,88 +231,91 @@
 func TestTurnWhoseBeginningIsLostHoldsNoBudget(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 2)
-	home, other := homeOf(nodes, "p")
-	way := &forgetful{Client: other.transport}
-	other.service.config.Peers = way
-	way.lose.Store(true)
-	// The budget holds one turn, which the home has begun by now for nobody.
+	coordinator, other := coordinatorOf(nodes, "p")
+	path := &lossyClient{Client: other.transport}
+	other.service.config.Peers = path
+	path.lose.Store(true)
+	// The budget has room for one turn, which the coordinator has begun although the caller
+	// gave up.
 	_, err := other.service.Begin(t.Context(), turnOf("p", 900, 589))
 	var spent *ledgerlog.BudgetExhaustedError
 	is.True(!errors.As(err, &spent))
 	is.True(errors.Is(err, ledgerlog.ErrBudgetReserved))
-	way.lose.Store(false)
-	time.Sleep(avoidFor + 100*time.Millisecond)
+	path.lose.Store(false)
+	time.Sleep(avoidDuration + 100*time.Millisecond)
 	turn := mustBegin(t, other, turnOf("p", 900, 589))
-	is.Equal(turn.Coordinator, home.identity.Name)
+	is.Equal(turn.Coordinator, coordinator.identity.Name)
 	turn.Finish(589)
 }
 
-func TestHomeWithoutTheStoreIsHelpedOut(t *testing.T) {
+func TestTurnBeginsLocallyIfCoordinatorHasNoStore(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
-	home, other := homeOf(nodes, "p")
-	home.store.closed.Store(true)
+	coordinator, other := coordinatorOf(nodes, "p")
+	coordinator.store.closed.Store(true)
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
 	is.Equal(turn.Coordinator, other.identity.Name)
 }
 
-func TestHomeThatWaitsForTheStoreIsWaitedFor(t *testing.T) {
+func TestSlowCoordinatorIsNotAvoided(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
-	home, other := homeOf(nodes, "p")
-	// Two calls, for the ownership and the reservation, must fit into the home's time.
-	home.store.Fail(store.Fault{Delay: hedgeAfter + 20*time.Millisecond})
+	coordinator, other := coordinatorOf(nodes, "p")
+	// The calls for the ownership and the reservation must both fit into the coordinator's
+	// time.
+	coordinator.store.Fail(store.Fault{Delay: hedgeDelay + 20*time.Millisecond})
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
-	is.Equal(turn.Coordinator, home.identity.Name)
-	is.True(!other.service.avoided(home.identity.Name))
+	is.Equal(turn.Coordinator, coordinator.identity.Name)
+	is.True(!other.service.isAvoided(coordinator.identity.Name))
 }
 
-// TestWorkOfAHomeThatLivesIsNotDoneTwice lets the store take longer than a home may be
-// silent: the asking node, which would have to read the partition too, waits.
+// TestWorkOfAHomeThatLivesIsNotDoneTwice delays the store for longer than a coordinator may
+// stay silent. The caller must wait for a coordinator that reports progress and not read the
+// partition itself.
 func TestWorkOfAHomeThatLivesIsNotDoneTwice(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
-	home, other := homeOf(nodes, "p")
-	home.store.Fail(store.Fault{Delay: patientAfter + 3*workingAfter})
+	coordinator, other := coordinatorOf(nodes, "p")
+	coordinator.store.Fail(store.Fault{Delay: progressTimeout + 3*progressInterval})
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
-	is.Equal(turn.Coordinator, home.identity.Name)
+	is.Equal(turn.Coordinator, coordinator.identity.Name)
 	is.Equal(other.store.appended.Load(), int32(0))
 }
 
-func TestHomeThatTheStoreDoesNotAnswerSaysNothing(t *testing.T) {
+func TestCoordinatorWithoutStoreReportsNoProgress(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
-	home, other := homeOf(nodes, "p")
-	home.store.hang.Store(true)
+	coordinator, other := coordinatorOf(nodes, "p")
+	coordinator.store.hang.Store(true)
 	began := time.Now()
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
 	is.Equal(turn.Coordinator, other.identity.Name)
-	is.True(time.Since(began) < patientAfter)
-	is.True(other.service.avoided(home.identity.Name))
+	is.True(time.Since(began) < progressTimeout)
+	is.True(other.service.isAvoided(coordinator.identity.Name))
 }
 
-func TestTurnIsKeptAndFoundThroughTheHome(t *testing.T) {
+func TestTurnIsPersistedAndFoundThroughCoordinator(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		is := is.New(t)
 		nodes := startCluster(t, 3)
-		_, other := homeOf(nodes, "p")
+		_, other := coordinatorOf(nodes, "p")
 		other.store.closed.Store(cut)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		is.NoErr(other.service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t1", Retention: time.Minute}, []byte("one"), residency.AllowedRegions{}))
 		turn := mustBegin(t, other, Request{Program: "p", Previous: "t1"})
 		is.Equal(len(turn.Chain), 1)
-		texts, err := other.service.Texts(ctx, "p", turn.Chain, residency.AllowedRegions{})
+		textReads, err := other.service.Texts(ctx, "p", turn.Chain, residency.AllowedRegions{})
 		is.NoErr(err)
-		is.Equal(string(texts[0]), "one")
+		is.Equal(string(textReads[0]), "one")
 		is.NoErr(other.service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t2", Chain: turn.Chain, Retention: time.Minute}, []byte("two"), residency.AllowedRegions{}))
 		is.Equal(len(mustBegin(t, nodes[0], Request{Program: "p", Previous: "t2"}).Chain), 2)
 	}
 }
 
-// TestTurnOfAnotherProgramIsLookedForByTheHomes: nobody reads a partition that is at home
-// elsewhere, whether the turn is found or proved absent.
-func TestTurnOfAnotherProgramIsLookedForByTheHomes(t *testing.T) {
+// TestTurnOfAnotherProgramIsSearchedByCoordinators checks that no node reads a partition that
+// another one coordinates, whether the turn exists or not.
+func TestTurnOfAnotherProgramIsSearchedByCoordinators(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
@@ -326,14 +330,14 @@
 	}
 	for _, one := range nodes {
 		one.store.read.Range(func(partition, _ any) bool {
-			is.True(one.service.isHome(partition.(int)))
+			is.True(one.service.isCoordinator(partition.(int)))
 			return true
 		})
 	}
-	cut, _ := homeOf(nodes, "p")
+	cut, _ := coordinatorOf(nodes, "p")
 	var kept []int
 	for partition := range partitions {
-		if cut.service.isHome(partition) {
+		if cut.service.isCoordinator(partition) {
 			kept = append(kept, partition)
 		}
 	}
@@ -342,7 +346,7 @@
 	}
 	cut.store.closed.Store(true)
 	_, err := nodes[0].service.Begin(ctx, Request{Program: "q", Previous: "never too"})
-	if errors.Is(err, ledgerlog.ErrNoSuchTurn) { // the proof needs that home's partitions, so others have read them since
+	if errors.Is(err, ledgerlog.ErrNoSuchTurn) { // the proof needs the coordinator's partitions, so other nodes must have read them
 		for _, partition := range kept {
 			is.True(slices.ContainsFunc(nodes, func(one *node) bool {
 				_, read := one.store.read.Load(partition)
@@ -356,14 +360,14 @@
 		one.store.closed.Store(true)
 	}
 	_, err = nodes[0].service.Begin(ctx, Request{Program: "q", Previous: "never three"})
-	is.True(errors.Is(err, ledgerlog.ErrUnavailable)) // no proof without any partition
+	is.True(errors.Is(err, ledgerlog.ErrUnavailable)) // absence can't be proved without the partitions
 }
 
-func TestTurnIsTriedToBeKeptAsLongAsTheClientWaits(t *testing.T) {
+func TestPersistTurnRetriesUntilContextEnds(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 2)
-	home, other := homeOf(nodes, "p")
-	home.store.closed.Store(true)
+	coordinator, other := coordinatorOf(nodes, "p")
+	coordinator.store.closed.Store(true)
 	other.store.closed.Store(true)
 	time.AfterFunc(1500*time.Millisecond, func() { other.store.closed.Store(false) })
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -371,51 +375,51 @@
 	is.NoErr(other.service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t1", Retention: time.Minute}, []byte("one"), residency.AllowedRegions{}))
 }
 
-func TestUnknownTurnIsProvedAbsentByTheHome(t *testing.T) {
+func TestCoordinatorProvesTurnAbsent(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 2)
-	_, other := homeOf(nodes, "p")
+	_, other := coordinatorOf(nodes, "p")
 	_, err := other.service.Begin(t.Context(), Request{Program: "p", Previous: "never"})
 	is.True(errors.Is(err, ledgerlog.ErrNoSuchTurn))
 }
 
-func TestLeavingHomeGivesItsPartitionsUp(t *testing.T) {
+func TestStoppedCoordinatorReleasesPartitions(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
-	home, other := homeOf(nodes, "p")
-	mustBegin(t, home, turnOf("p", 1000, 100)).Finish(10)
+	coordinator, other := coordinatorOf(nodes, "p")
+	mustBegin(t, coordinator, turnOf("p", 1000, 100)).Finish(10)
 	time.Sleep(100 * time.Millisecond)
-	home.service.Close()
+	coordinator.service.Close()
 	rest := make([]*node, 0, 2)
 	for _, one := range nodes {
-		if one != home {
+		if one != coordinator {
 			rest = append(rest, one)
 		}
 	}
-	show(rest, rest)
+	setViews(rest, rest)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	is.NoErr(home.service.config.Ledger.Stop(ctx))
+	is.NoErr(coordinator.service.config.Ledger.Stop(ctx))
 	turn := mustBegin(t, other, turnOf("p", 1000, 100))
 	is.Equal(turn.Charged, uint64(10))
-	is.True(turn.Coordinator != home.identity.Name)
+	is.True(turn.Coordinator != coordinator.identity.Name)
 }
 
 func TestLivingOwnerIsGivenTimeToRelease(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
 	const program = "p"
-	// The partition moves to this node when that is added.
-	added, _ := homeOf(nodes, program)
+	// The partition moves to this node when it joins.
+	added, _ := coordinatorOf(nodes, program)
 	before := slices.DeleteFunc(slices.Clone(nodes), func(one *node) bool { return one == added })
-	show(before, before)
-	owner, _ := homeOf(before, program)
+	setViews(before, before)
+	owner, _ := coordinatorOf(before, program)
 	mustBegin(t, owner, turnOf(program, 1000, 100)).Finish(10)
 	time.Sleep(100 * time.Millisecond)
-	mustBegin(t, added, turnOf(program, 1000, 100)).Finish(10) // the owner has not heard of it yet
+	mustBegin(t, added, turnOf(program, 1000, 100)).Finish(10) // the owner has not received the new view yet
 	time.Sleep(100 * time.Millisecond)
-	show(before, nodes)
-	// The next turns take the partition over, and find it released.
+	setViews(before, nodes)
+	// The next turns take the partition over after its owner has released it.
 	next := samePartition(added, program)
 	ahead := false
 	for i := 0; i < 60 && !ahead; i++ {
@@ -424,10 +428,10 @@
 		ahead = turn.Unlogged
 		turn.Finish(10)
 	}
-	is.True(ahead) // only an owner after a clean end hands out tokens ahead of the log
+	is.True(ahead) // only an owner after a clean release makes unlogged grants
 }
 
-// samePartition returns programs of the partition of one.
+// samePartition returns a generator of programs in the partition of one.
 func samePartition(at *node, one ledger.ProgramID) func() ledger.ProgramID {
 	count := 0
 	return func() ledger.ProgramID {
@@ -441,21 +445,21 @@
 	}
 }
 
-func TestMessagesSurviveEncoding(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	chain := []ledger.Location{{Partition: 1, Offset: 2, Size: 3}}
 	resident := ledger.CacheLocation{Instance: "i", Tokens: 6}
 	registry := peer.NewRegistry()
 	(&Service{}).Register(registry)
 	for _, message := range []peer.Message{
-		&begin{Request: Request{Program: "p", Budgeted: true, Budget: 1, MaxTurnTokens: 2, Previous: "t"}, Grant: 4},
-		&begun{Status: statusSpent, Charged: 5, Ahead: true, First: true, Chain: chain, Resident: resident, Reason: "r"},
-		&finish{Program: "p", Grant: 7, Used: 8},
-		&keep{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")},
-		&keepAnywhere{keep: keep{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")}, later: []byte("y")},
-		&kept{Status: statusDone, Location: chain[0], Reason: "r"},
-		&done{Status: statusDone, Reason: "r"}, &working{}, &read{Chain: chain},
-		&find{Turn: "t", Partitions: []int{0, 300}}, &foundTurn{Status: statusDone, Chain: chain, Resident: resident, Reason: "r"}, &texts{Status: statusDone, Texts: [][]byte{[]byte("x")}},
+		&beginRequest{Request: Request{Program: "p", Budgeted: true, Budget: 1, MaxTurnTokens: 2, Previous: "t"}, Grant: 4},
+		&beginResponse{Status: statusBudgetExhausted, Charged: 5, Ahead: true, First: true, Chain: chain, Resident: resident, Reason: "r"},
+		&finishRequest{Program: "p", Grant: 7, Used: 8},
+		&persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")},
+		&persistAnywhereRequest{persistRequest: persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")}, later: []byte("y")},
+		&persistResponse{Status: statusDone, Location: chain[0], Reason: "r"},
+		&finishResponse{Status: statusDone, Reason: "r"}, &progress{}, &readRequest{Chain: chain},
+		&findRequest{Turn: "t", Partitions: []int{0, 300}}, &findResponse{Status: statusDone, Chain: chain, Resident: resident, Reason: "r"}, &readResponse{Status: statusDone, Texts: [][]byte{[]byte("x")}},
 	} {
 		encoder := wire.NewEncoder(nil)
 		message.Encode(encoder)
--- a/internal/coordinator/find.go
+++ b/internal/coordinator/find.go
@@ -11,11 +11,11 @@
 	"stepseam.example/stepseam/internal/peer"
 )
 
-// findTurn returns a kept turn. It stands in its program's partition as a rule, but may
-// stand in any: another program may go on from it, and another partition took it while
-// its own did not answer. The homes of the others are asked, who know their partitions
-// to the last records, so that this node does not read the whole log. Errors wrap
-// ledgerlog.ErrNoSuchTurn or ledgerlog.ErrUnavailable.
+// findTurn returns the index entry of a turn. The entry is normally in its program's partition,
+// but may be in any other: another program may continue the turn, or another partition took the
+// entry while its own was unavailable. The coordinators of the other partitions are queried,
+// since they have read them to the end, so that this node does not have to read the whole log.
+// Errors wrap ledgerlog.ErrNoSuchTurn or ledgerlog.ErrUnavailable.
 func (s *Service) findTurn(ctx context.Context, program ledger.ProgramID, turn ledger.TurnID) (ledger.IndexedTurn, error) {
 	if kept, found := s.config.Ledger.CachedTurn(turn); found {
 		return kept, nil
@@ -27,12 +27,12 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	asked := s.partitionsByHome(own)
-	answers := make(chan found, len(asked))
-	for home, partitions := range asked {
-		go func() { answers <- s.findAt(ctx, home, partitions, turn) }()
+	groups := s.partitionsByCoordinator(own)
+	answers := make(chan findResult, len(groups))
+	for coordinator, partitions := range groups {
+		go func() { answers <- s.findAtCoordinator(ctx, coordinator, partitions, turn) }()
 	}
-	for range asked {
+	for range groups {
 		answer := <-answers
 		if answer.err == nil {
 			return answer.kept, nil
@@ -44,58 +44,59 @@
 	return ledger.IndexedTurn{}, unread
 }
 
-// found is the outcome of looking in some partitions.
-type found struct {
+// findResult is the outcome of a search in some partitions.
+type findResult struct {
 	kept ledger.IndexedTurn
 	err  error
 }
 
-// partitionsByHome groups all partitions but one by the nodes that keep them; those
-// without a home, and this node's own, come under an empty node.
-func (s *Service) partitionsByHome(except int) map[identity.Node][]int {
+// partitionsByCoordinator groups all partitions but one by their coordinators. Partitions that
+// this node coordinates, and those without a coordinator that can be called, are grouped under
+// an empty node.
+func (s *Service) partitionsByCoordinator(except int) map[identity.Node][]int {
 	grouped := map[identity.Node][]int{}
 	for partition := range s.config.Ledger.Partitions() {
 		if partition == except {
 			continue
 		}
-		home, self := s.home(partition)
-		if self || !s.mayAsk(home) {
-			home = identity.Node{}
+		coordinator, self := s.coordinator(partition)
+		if self || !s.mayCall(coordinator) {
+			coordinator = identity.Node{}
 		}
-		grouped[home] = append(grouped[home], partition)
+		grouped[coordinator] = append(grouped[coordinator], partition)
 	}
 	return grouped
 }
 
-// findAt looks for a turn in partitions of one home, or here where that is empty or
-// does not answer.
-func (s *Service) findAt(ctx context.Context, home identity.Node, partitions []int, turn ledger.TurnID) found {
-	if home.Name != "" {
-		if answer, err := s.call(ctx, home, &find{Turn: turn, Partitions: partitions}, nil); err == nil {
-			return foundBy(home.Name, answer)
+// findAtCoordinator searches partitions at their coordinator, or locally if that is empty or
+// fails.
+func (s *Service) findAtCoordinator(ctx context.Context, coordinator identity.Node, partitions []int, turn ledger.TurnID) findResult {
+	if coordinator.Name != "" {
+		if answer, err := s.call(ctx, coordinator, &findRequest{Turn: turn, Partitions: partitions}, nil); err == nil {
+			return findResultOf(coordinator.Name, answer)
 		}
 	}
 	kept, err := s.config.Ledger.Find(ctx, turn, partitions...)
-	return found{kept, err}
+	return findResult{kept, err}
 }
 
-// foundBy reads a home's answer.
-func foundBy(home identity.NodeName, answer peer.Message) found {
-	got, ok := answer.(*foundTurn)
+// findResultOf converts a coordinator's response.
+func findResultOf(coordinator identity.NodeName, answer peer.Message) findResult {
+	got, ok := answer.(*findResponse)
 	if !ok {
-		return found{err: fmt.Errorf("%w: home %s answered %T", ledgerlog.ErrUnavailable, home, answer)}
+		return findResult{err: fmt.Errorf("%w: home %s answered %T", ledgerlog.ErrUnavailable, coordinator, answer)}
 	}
-	return found{ledger.IndexedTurn{Chain: got.Chain, CacheLocation: got.Resident}, got.Status.err(home, got.Reason)}
+	return findResult{ledger.IndexedTurn{Chain: got.Chain, CacheLocation: got.Resident}, got.Status.err(coordinator, got.Reason)}
 }
 
 func (s *Service) handleFind(ctx context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
-	asked, ok := request.(*find)
+	query, ok := request.(*findRequest)
 	if !ok {
 		return nil, fmt.Errorf("homes: unexpected %T", request)
 	}
-	kept, err := s.config.Ledger.Find(ctx, asked.Turn, asked.Partitions...)
+	kept, err := s.config.Ledger.Find(ctx, query.Turn, query.Partitions...)
 	if err != nil {
-		return &foundTurn{Status: statusOf(err), Reason: err.Error()}, nil
+		return &findResponse{Status: statusOf(err), Reason: err.Error()}, nil
 	}
-	return &foundTurn{Status: statusDone, Chain: kept.Chain, Resident: kept.CacheLocation}, nil
+	return &findResponse{Status: statusDone, Chain: kept.Chain, Resident: kept.CacheLocation}, nil
 }
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -10,42 +10,42 @@
 	"stepseam.example/stepseam/internal/peer"
 )
 
-// Register adds the messages and handlers of this node as a home.
+// Register adds this package's messages and handlers to registry.
 func (s *Service) Register(registry *peer.Registry) {
 	registry.Add(
-		func() peer.Message { return &begin{} }, func() peer.Message { return &begun{} },
-		func() peer.Message { return &finish{} }, func() peer.Message { return &keep{} }, func() peer.Message { return &done{} },
-		func() peer.Message { return &kept{} }, func() peer.Message { return &working{} }, func() peer.Message { return &read{} }, func() peer.Message { return &texts{} },
-		func() peer.Message { return &find{} }, func() peer.Message { return &foundTurn{} },
-		func() peer.Message { return &keepAnywhere{} },
+		func() peer.Message { return &beginRequest{} }, func() peer.Message { return &beginResponse{} },
+		func() peer.Message { return &finishRequest{} }, func() peer.Message { return &persistRequest{} }, func() peer.Message { return &finishResponse{} },
+		func() peer.Message { return &persistResponse{} }, func() peer.Message { return &progress{} }, func() peer.Message { return &readRequest{} }, func() peer.Message { return &readResponse{} },
+		func() peer.Message { return &findRequest{} }, func() peer.Message { return &findResponse{} },
+		func() peer.Message { return &persistAnywhereRequest{} },
 	)
-	registry.Handle(kindBegin, peer.HandlerFunc(s.handleBegin))
-	registry.Handle(kindFinish, peer.HandlerFunc(s.handleFinish))
-	registry.Handle(kindKeep, peer.HandlerFunc(s.handleKeep))
-	registry.Handle(kindKeepAnywhere, peer.HandlerFunc(s.handleKeep))
-	registry.Handle(kindRead, peer.HandlerFunc(s.handleRead))
-	registry.Handle(kindFind, peer.HandlerFunc(s.handleFind))
+	registry.Handle(kindBeginRequest, peer.HandlerFunc(s.handleBegin))
+	registry.Handle(kindFinishRequest, peer.HandlerFunc(s.handleFinish))
+	registry.Handle(kindPersistRequest, peer.HandlerFunc(s.handlePersist))
+	registry.Handle(kindPersistAnywhereRequest, peer.HandlerFunc(s.handlePersist))
+	registry.Handle(kindReadRequest, peer.HandlerFunc(s.handleRead))
+	registry.Handle(kindFindRequest, peer.HandlerFunc(s.handleFind))
 }
 
 func (s *Service) handleBegin(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
-	asked, ok := request.(*begin)
+	received, ok := request.(*beginRequest)
 	if !ok {
 		return nil, fmt.Errorf("homes: unexpected %T", request)
 	}
-	defer s.tellWorking(sendPart)()
-	home := s.isHome(s.config.Ledger.Partition(asked.Request.Program))
-	answer := &begun{Status: statusDone}
-	if asked.Request.Budgeted {
-		grant, err := s.take(ctx, &asked.Request, asked.Grant, home)
+	defer s.sendProgress(sendPart)()
+	coordinator := s.isCoordinator(s.config.Ledger.Partition(received.Request.Program))
+	answer := &beginResponse{Status: statusDone}
+	if received.Request.Budgeted {
+		grant, err := s.reserveTurn(ctx, &received.Request, received.Grant, coordinator)
 		if err != nil {
 			return s.refusal(err), nil
 		}
 		answer.Charged, answer.Ahead, answer.First = grant.Charged, grant.Unlogged, grant.First
 	}
-	if asked.Request.Previous != "" {
-		previous, err := s.findTurn(ctx, asked.Request.Program, asked.Request.Previous)
+	if received.Request.Previous != "" {
+		previous, err := s.findTurn(ctx, received.Request.Program, received.Request.Previous)
 		if err != nil {
-			s.config.Ledger.FinishTurn(asked.Request.Program, asked.Grant, 0)
+			s.config.Ledger.FinishTurn(received.Request.Program, received.Grant, 0)
 			return s.refusal(err), nil
 		}
 		answer.Chain, answer.Resident = previous.Chain, previous.CacheLocation
@@ -53,12 +53,13 @@
 	return answer, nil
 }
 
-// refusal tells an error of the ledger to the asking node. Whatever failed while the store
-// does not answer this node failed for that, and another node may do it.
-func (s *Service) refusal(err error) *begun {
-	answer := &begun{Status: statusOf(err), Reason: err.Error()}
-	if answer.Status == statusUnavailable && !s.storeAnswers() {
-		answer.Status = statusStoreAway
+// refusal converts an error of the ledger to a response. While the store is unavailable to this
+// node, any other failure to reach it is reported as such, so that the caller tries another
+// node.
+func (s *Service) refusal(err error) *beginResponse {
+	answer := &beginResponse{Status: statusOf(err), Reason: err.Error()}
+	if answer.Status == statusUnavailable && !s.storeAvailable() {
+		answer.Status = statusStoreUnavailable
 	}
 	var spent *ledgerlog.BudgetExhaustedError
 	if errors.As(err, &spent) {
@@ -68,23 +69,23 @@
 }
 
 func (s *Service) handleFinish(_ context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
-	told, ok := request.(*finish)
+	received, ok := request.(*finishRequest)
 	if !ok {
 		return nil, fmt.Errorf("homes: unexpected %T", request)
 	}
-	s.config.Ledger.FinishTurn(told.Program, told.Grant, told.Used)
-	return &done{Status: statusDone}, nil
+	s.config.Ledger.FinishTurn(received.Program, received.Grant, received.Used)
+	return &finishResponse{Status: statusDone}, nil
 }
 
-// tellWorking tells the asking node again and again that this one lives and works,
-// unless the store does not answer it, so that the asking node may as well do the work
-// itself. The returned function ends that; nothing is sent after it.
-func (s *Service) tellWorking(sendPart func(peer.Message) error) (stop func()) {
+// sendProgress reports progress to the caller at regular intervals, except while the store is
+// unavailable to this node, so that the caller may do the work itself. The returned function
+// stops the reports; none is sent after it returns.
+func (s *Service) sendProgress(sendPart func(peer.Message) error) (stop func()) {
 	ended := make(chan struct{})
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
-		ticker := time.NewTicker(workingAfter)
+		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -95,8 +96,8 @@
 			if s.config.StoreAvailable != nil && !s.config.StoreAvailable() {
 				continue
 			}
-			// A node that is gone needs no word.
-			_ = sendPart(&working{})
+			// A caller that is unreachable needs no report.
+			_ = sendPart(&progress{})
 		}
 	}()
 	return func() {
--- a/internal/coordinator/help_test.go
+++ b/internal/coordinator/helpers_test.go
@@ -13,24 +13,25 @@
 	"stepseam.example/stepseam/internal/residency"
 )
 
-// withoutStore is a usual time for work that no patience was spent on.
-const withoutStore = 120 * time.Millisecond
+// failureLatency is an upper bound for work without any timeout.
+const failureLatency = 120 * time.Millisecond
 
-func keepOf(turn ledger.TurnID) ledger.IndexEntry {
+func indexEntryOf(turn ledger.TurnID) ledger.IndexEntry {
 	return ledger.IndexEntry{Program: "p", Turn: turn, Retention: time.Minute}
 }
 
-// TestHomeThatTheStoreTurnsAwaySaysSoAtOnce: the asking node keeps and reads the turn itself.
-func TestHomeThatTheStoreTurnsAwaySaysSoAtOnce(t *testing.T) {
+// TestCoordinatorReportsUnavailableStoreAtOnce checks that the caller then persists and reads
+// the turn itself.
+func TestCoordinatorReportsUnavailableStoreAtOnce(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 3, true)
-	home, other := homeOf(nodes, "p")
-	home.store.closed.Store(true)
+	nodes := startClusterWith(t, 3, true)
+	coordinator, other := coordinatorOf(nodes, "p")
+	coordinator.store.closed.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	began := time.Now()
-	is.NoErr(other.service.PersistTurn(ctx, keepOf("t1"), []byte("one"), residency.AllowedRegions{}))
-	is.True(time.Since(began) < withoutStore)
+	is.NoErr(other.service.PersistTurn(ctx, indexEntryOf("t1"), []byte("one"), residency.AllowedRegions{}))
+	is.True(time.Since(began) < failureLatency)
 	turn, err := other.service.Begin(ctx, Request{Program: "p", Previous: "t1"})
 	is.NoErr(err)
 	texts, err := other.service.Texts(ctx, "p", turn.Chain, residency.AllowedRegions{})
@@ -38,16 +39,16 @@
 	is.Equal(string(texts[0]), "one")
 }
 
-// TestNodeThatTheStoreTurnsAwayIsHelped: the node is the program's home itself, or the home
-// is turned away as well.
-func TestNodeThatTheStoreTurnsAwayIsHelped(t *testing.T) {
-	for _, atHome := range []bool{true, false} {
+// TestHelpersServeNodeWithoutStore covers a node that is itself the coordinator, and one whose
+// coordinator has no store either.
+func TestHelpersServeNodeWithoutStore(t *testing.T) {
+	for _, atCoordinator := range []bool{true, false} {
 		is := is.New(t)
-		nodes := startClusterThat(t, 4, true)
-		home, other := homeOf(nodes, "p")
-		home.store.closed.Store(true)
-		from := home
-		if !atHome {
+		nodes := startClusterWith(t, 4, true)
+		coordinator, other := coordinatorOf(nodes, "p")
+		coordinator.store.closed.Store(true)
+		from := coordinator
+		if !atCoordinator {
 			other.store.closed.Store(true)
 			from = other
 		}
@@ -56,40 +57,42 @@
 		began := time.Now()
 		turn, err := from.service.Begin(ctx, turnOf("p", 1000, 100))
 		is.NoErr(err)
-		is.NoErr(from.service.PersistTurn(ctx, keepOf("t1"), []byte("one"), residency.AllowedRegions{}))
+		is.NoErr(from.service.PersistTurn(ctx, indexEntryOf("t1"), []byte("one"), residency.AllowedRegions{}))
 		turn.Finish(10)
 		next, err := from.service.Begin(ctx, Request{Program: "p", Previous: "t1"})
 		is.NoErr(err)
 		texts, err := from.service.Texts(ctx, "p", next.Chain, residency.AllowedRegions{})
 		is.NoErr(err)
 		is.Equal(string(texts[0]), "one")
-		is.True(time.Since(began) < 4*withoutStore)
+		is.True(time.Since(began) < 4*failureLatency)
 	}
 }
 
-// TestHelpersOutsideTheDatasHomesAreNotAsked: the text stays here, and the turn is not kept.
-func TestHelpersOutsideTheDatasHomesAreNotAsked(t *testing.T) {
+// TestHelpersOutsideAllowedRegionsAreNotCalled checks that the text is not sent and the turn is
+// not persisted.
+func TestHelpersOutsideAllowedRegionsAreNotCalled(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 3, true)
+	nodes := startClusterWith(t, 3, true)
 	for _, one := range nodes {
 		one.identity.Region = "elsewhere"
 	}
-	show(nodes, nodes)
-	home, _ := homeOf(nodes, "p")
-	home.store.closed.Store(true)
+	setViews(nodes, nodes)
+	coordinator, _ := coordinatorOf(nodes, "p")
+	coordinator.store.closed.Store(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	err := home.service.PersistTurn(ctx, keepOf("t1"), []byte("one"), residency.OnlyIn([]string{"here"}))
+	err := coordinator.service.PersistTurn(ctx, indexEntryOf("t1"), []byte("one"), residency.OnlyIn([]string{"here"}))
 	is.True(errors.Is(err, ledgerlog.ErrUnavailable))
 	for _, one := range nodes {
 		is.Equal(one.store.appended.Load(), int32(0))
 	}
 }
 
-// TestTurnIsRefusedAtOnceWhereTheStoreAnswersNobody though others are asked for help.
-func TestTurnIsRefusedAtOnceWhereTheStoreAnswersNobody(t *testing.T) {
+// TestTurnIsRefusedAtOnceIfStoreIsUnavailableToAll checks that trying helpers does not delay
+// the error.
+func TestTurnIsRefusedAtOnceIfStoreIsUnavailableToAll(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 4, true)
+	nodes := startClusterWith(t, 4, true)
 	for _, one := range nodes {
 		one.store.closed.Store(true)
 	}
@@ -97,21 +100,21 @@
 		began := time.Now()
 		_, err := one.service.Begin(t.Context(), turnOf("p", 1000, 100))
 		is.True(errors.Is(err, ledgerlog.ErrStoreUnavailable))
-		is.True(time.Since(began) < 2*withoutStore)
+		is.True(time.Since(began) < 2*failureLatency)
 	}
 }
 
-// TestBudgetHoldsOverHelpers begins turns of one program at its home, at a helper of the
-// home that the store turns away, and at the home again.
+// TestBudgetHoldsOverHelpers begins turns of one program at its coordinator, at a helper while
+// the store is unavailable to the coordinator, and at the coordinator again.
 func TestBudgetHoldsOverHelpers(t *testing.T) {
 	is := is.New(t)
-	nodes := startClusterThat(t, 4, true)
-	home, other := homeOf(nodes, "p")
+	nodes := startClusterWith(t, 4, true)
+	coordinator, other := coordinatorOf(nodes, "p")
 	const budget, most = 1000, 100
 	handedOut := 0
 	for round := range 60 {
-		home.store.closed.Store(round%3 == 1)
-		from := home
+		coordinator.store.closed.Store(round%3 == 1)
+		from := coordinator
 		if round%2 == 1 {
 			from = other
 		}
--- a/internal/coordinator/message.go
+++ b/internal/coordinator/message.go
@@ -12,97 +12,98 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// The kinds of messages of this package.
+// The message kinds of this package. They are sent to other nodes, so their order must not
+// change.
 const (
-	kindBegin = peer.KindRangeLedger + 1 + iota
-	kindBegun
-	kindFinish
-	kindKeep
-	kindDone
-	kindRead
-	kindTexts
-	kindKept
-	kindWorking
-	kindFind
-	kindFoundTurn
-	kindKeepAnywhere
+	kindBeginRequest = peer.KindRangeLedger + 1 + iota
+	kindBeginResponse
+	kindFinishRequest
+	kindPersistRequest
+	kindFinishResponse
+	kindReadRequest
+	kindReadResponse
+	kindPersistResponse
+	kindProgress
+	kindFindRequest
+	kindFindResponse
+	kindPersistAnywhereRequest
 )
 
-// status is the outcome of a request to a home.
+// status is the outcome of a request to another node.
 type status uint8
 
 const (
 	statusDone status = iota + 1
-	statusSpent
+	statusBudgetExhausted
 	statusNoSuchTurn
 	statusUnavailable
-	statusReserved
-	statusStoreAway
+	statusBudgetReserved
+	statusStoreUnavailable
 )
 
-// statusOf tells an error of the ledger to other nodes and in metrics.
+// statusOf returns the status of a ledger error, for other nodes and metrics.
 func statusOf(err error) status {
 	var spent *ledgerlog.BudgetExhaustedError
 	switch {
 	case err == nil:
 		return statusDone
 	case errors.As(err, &spent):
-		return statusSpent
+		return statusBudgetExhausted
 	case errors.Is(err, ledgerlog.ErrNoSuchTurn):
 		return statusNoSuchTurn
 	case errors.Is(err, ledgerlog.ErrBudgetReserved):
-		return statusReserved
+		return statusBudgetReserved
 	case errors.Is(err, ledgerlog.ErrStoreUnavailable):
-		return statusStoreAway
+		return statusStoreUnavailable
 	}
 	return statusUnavailable
 }
 
-// err is the error that a home has told with its reason; statusSpent is none without
-// the charge that goes with it, see begun.
-func (s status) err(home identity.NodeName, reason string) error {
+// err returns the error that a node reported with its reason. For statusBudgetExhausted see
+// beginResponse.err, which knows the charge.
+func (s status) err(coordinator identity.NodeName, reason string) error {
 	kind := ledgerlog.ErrUnavailable
 	switch s {
 	case statusDone:
 		return nil
 	case statusNoSuchTurn:
 		kind = ledgerlog.ErrNoSuchTurn
-	case statusReserved:
+	case statusBudgetReserved:
 		kind = ledgerlog.ErrBudgetReserved
-	case statusStoreAway:
+	case statusStoreUnavailable:
 		kind = ledgerlog.ErrStoreUnavailable
 	}
-	return fmt.Errorf("%w: home %s: %s", kind, home, reason)
+	return fmt.Errorf("%w: home %s: %s", kind, coordinator, reason)
 }
 
-// String returns the status's name in metrics and logs.
+// String returns the status as shown in metrics and logs.
 func (s status) String() string {
 	switch s {
 	case statusDone:
 		return "done"
-	case statusSpent:
+	case statusBudgetExhausted:
 		return "spent"
 	case statusNoSuchTurn:
 		return "no_such_turn"
-	case statusReserved:
+	case statusBudgetReserved:
 		return "reserved"
-	case statusStoreAway:
+	case statusStoreUnavailable:
 		return "store_away"
 	}
 	return "unavailable"
 }
 
-// begin asks a home to begin a turn, under a Grant that the asking node chose.
-type begin struct {
+// beginRequest asks a coordinator to begin a turn. Grant is chosen by the sender.
+type beginRequest struct {
 	Request Request
 	Grant   ledger.GrantID
 }
 
 // Kind implements peer.Message.
-func (*begin) Kind() peer.Kind { return kindBegin }
+func (*beginRequest) Kind() peer.Kind { return kindBeginRequest }
 
 // Encode implements peer.Message.
-func (m *begin) Encode(e *wire.Encoder) {
+func (m *beginRequest) Encode(e *wire.Encoder) {
 	e.String(string(m.Request.Program))
 	e.Bool(m.Request.Budgeted)
 	e.Uint32(m.Request.Budget)
@@ -112,7 +113,7 @@
 }
 
 // Decode implements peer.Message.
-func (m *begin) Decode(d *wire.Decoder) {
+func (m *beginRequest) Decode(d *wire.Decoder) {
 	m.Request = Request{
 		Program: ledger.ProgramID(d.String()), Budgeted: d.Bool(), Budget: d.Uint32(), MaxTurnTokens: d.Uint32(),
 		Previous: ledger.TurnID(d.String()),
@@ -120,24 +121,24 @@
 	m.Grant = ledger.GrantID(d.Uint64())
 }
 
-// begun answers begin.
-type begun struct {
+// beginResponse responds to beginRequest.
+type beginResponse struct {
 	Status  status
 	Charged uint64
 	Ahead   bool
 	First   bool
 	Chain   []ledger.Location
-	// Resident is where the turn before ran.
+	// Resident is where the previous turn ran.
 	Resident ledger.CacheLocation
-	// Reason is an error's text.
+	// Reason is the text of the error, if any.
 	Reason string
 }
 
 // Kind implements peer.Message.
-func (*begun) Kind() peer.Kind { return kindBegun }
+func (*beginResponse) Kind() peer.Kind { return kindBeginResponse }
 
 // Encode implements peer.Message.
-func (m *begun) Encode(e *wire.Encoder) {
+func (m *beginResponse) Encode(e *wire.Encoder) {
 	e.Uint8(uint8(m.Status))
 	e.Uint64(m.Charged)
 	e.Bool(m.Ahead)
@@ -148,58 +149,58 @@
 }
 
 // Decode implements peer.Message.
-func (m *begun) Decode(d *wire.Decoder) {
+func (m *beginResponse) Decode(d *wire.Decoder) {
 	m.Status, m.Charged = status(d.Uint8()), d.Uint64()
 	m.Ahead, m.First, m.Chain = d.Bool(), d.Bool(), decodeChain(d)
 	m.Resident, m.Reason = decodeResident(d), d.String()
 }
 
-// working is a part before begun: the home lives and waits for the log.
-type working struct{}
+// progress is sent before the final response while the sender waits for the log.
+type progress struct{}
 
 // Kind implements peer.Message.
-func (*working) Kind() peer.Kind { return kindWorking }
+func (*progress) Kind() peer.Kind { return kindProgress }
 
 // Encode implements peer.Message.
-func (*working) Encode(*wire.Encoder) {}
+func (*progress) Encode(*wire.Encoder) {}
 
 // Decode implements peer.Message.
-func (*working) Decode(*wire.Decoder) {}
+func (*progress) Decode(*wire.Decoder) {}
 
-// finish tells a home what a turn handed out.
-type finish struct {
+// finishRequest reports how many tokens a turn used.
+type finishRequest struct {
 	Program ledger.ProgramID
 	Grant   ledger.GrantID
 	Used    uint32
 }
 
 // Kind implements peer.Message.
-func (*finish) Kind() peer.Kind { return kindFinish }
+func (*finishRequest) Kind() peer.Kind { return kindFinishRequest }
 
 // Encode implements peer.Message.
-func (m *finish) Encode(e *wire.Encoder) {
+func (m *finishRequest) Encode(e *wire.Encoder) {
 	e.String(string(m.Program))
 	e.Uint64(uint64(m.Grant))
 	e.Uint32(m.Used)
 }
 
 // Decode implements peer.Message.
-func (m *finish) Decode(d *wire.Decoder) {
+func (m *finishRequest) Decode(d *wire.Decoder) {
 	m.Program, m.Grant, m.Used = ledger.ProgramID(d.String()), ledger.GrantID(d.Uint64()), d.Uint32()
 }
 
-// keep asks a home to write a turn: its text and its place in the index, where
-// Turn.Chain holds the turns before.
-type keep struct {
+// persistRequest asks a node to write a turn's text and its index entry. Turn.Chain holds the
+// locations of the previous turns.
+type persistRequest struct {
 	Turn ledger.IndexEntry
 	Text []byte
 }
 
 // Kind implements peer.Message.
-func (*keep) Kind() peer.Kind { return kindKeep }
+func (*persistRequest) Kind() peer.Kind { return kindPersistRequest }
 
 // Encode implements peer.Message.
-func (m *keep) Encode(e *wire.Encoder) {
+func (m *persistRequest) Encode(e *wire.Encoder) {
 	e.String(string(m.Turn.Program))
 	e.String(string(m.Turn.Turn))
 	encodeChain(e, m.Turn.Chain)
@@ -209,83 +210,83 @@
 }
 
 // Decode implements peer.Message.
-func (m *keep) Decode(d *wire.Decoder) {
+func (m *persistRequest) Decode(d *wire.Decoder) {
 	m.Turn = ledger.IndexEntry{
 		Program: ledger.ProgramID(d.String()), Turn: ledger.TurnID(d.String()), Chain: decodeChain(d), Retention: d.Duration(),
 		CacheLocation: decodeResident(d),
 	}
 	m.Text = d.Blob()
-	if m.Turn.Retention < 0 || m.Turn.Retention > maxKeep {
-		m.Turn.Retention = maxKeep
+	if m.Turn.Retention < 0 || m.Turn.Retention > maxRetention {
+		m.Turn.Retention = maxRetention
 	}
 }
 
-// maxKeep bounds how long a turn is kept.
-const maxKeep = 24 * time.Hour
+// maxRetention bounds how long a turn is retained.
+const maxRetention = 24 * time.Hour
 
-// kept answers keep.
-type kept struct {
+// persistResponse responds to persistRequest and persistAnywhereRequest.
+type persistResponse struct {
 	Status   status
 	Location ledger.Location
 	Reason   string
 }
 
 // Kind implements peer.Message.
-func (*kept) Kind() peer.Kind { return kindKept }
+func (*persistResponse) Kind() peer.Kind { return kindPersistResponse }
 
 // Encode implements peer.Message.
-func (m *kept) Encode(e *wire.Encoder) {
+func (m *persistResponse) Encode(e *wire.Encoder) {
 	e.Uint8(uint8(m.Status))
 	encodeLocation(e, m.Location)
 	e.String(m.Reason)
 }
 
 // Decode implements peer.Message.
-func (m *kept) Decode(d *wire.Decoder) {
+func (m *persistResponse) Decode(d *wire.Decoder) {
 	m.Status, m.Location, m.Reason = status(d.Uint8()), decodeLocation(d), d.String()
 }
 
-// done answers finish.
-type done struct {
+// finishResponse responds to finishRequest.
+type finishResponse struct {
 	Status status
 	Reason string
 }
 
 // Kind implements peer.Message.
-func (*done) Kind() peer.Kind { return kindDone }
+func (*finishResponse) Kind() peer.Kind { return kindFinishResponse }
 
 // Encode implements peer.Message.
-func (m *done) Encode(e *wire.Encoder) {
+func (m *finishResponse) Encode(e *wire.Encoder) {
 	e.Uint8(uint8(m.Status))
 	e.String(m.Reason)
 }
 
 // Decode implements peer.Message.
-func (m *done) Decode(d *wire.Decoder) { m.Status, m.Reason = status(d.Uint8()), d.String() }
+func (m *finishResponse) Decode(d *wire.Decoder) { m.Status, m.Reason = status(d.Uint8()), d.String() }
 
-// read asks a node that reaches the store for the texts of a chain.
-type read struct{ Chain []ledger.Location }
+// readRequest asks a node to read the texts of a chain from the store.
+type readRequest struct{ Chain []ledger.Location }
 
 // Kind implements peer.Message.
-func (*read) Kind() peer.Kind { return kindRead }
+func (*readRequest) Kind() peer.Kind { return kindReadRequest }
 
 // Encode implements peer.Message.
-func (m *read) Encode(e *wire.Encoder) { encodeChain(e, m.Chain) }
+func (m *readRequest) Encode(e *wire.Encoder) { encodeChain(e, m.Chain) }
 
 // Decode implements peer.Message.
-func (m *read) Decode(d *wire.Decoder) { m.Chain = decodeChain(d) }
+func (m *readRequest) Decode(d *wire.Decoder) { m.Chain = decodeChain(d) }
 
-// texts answers read.
-type texts struct {
+// readResponse responds to readRequest.
+type readResponse struct {
 	Status status
 	Texts  [][]byte
 }
 
 // Kind implements peer.Message.
-func (*texts) Kind() peer.Kind { return kindTexts }
+func (*readResponse) Kind() peer.Kind { return kindReadResponse }
 
 // Encode implements peer.Message.
-func (m *texts) Encode(e *wire.Encoder) {
+func (m *readResponse) Encode(e *wire.Encoder) {
 	e.Uint8(uint8(m.Status))
 	e.Uint32(uint32(len(m.Texts)))
 	for _, text := range m.Texts {
@@ -294,7 +295,7 @@
 }
 
 // Decode implements peer.Message.
-func (m *texts) Decode(d *wire.Decoder) {
+func (m *readResponse) Decode(d *wire.Decoder) {
 	const leastBytes = 4
 	m.Status = status(d.Uint8())
 	for range d.Count(leastBytes) {
@@ -302,17 +303,17 @@
 	}
 }
 
-// find asks a home for a turn in some of its partitions.
-type find struct {
+// findRequest asks a coordinator to search some of its partitions for a turn.
+type findRequest struct {
 	Turn       ledger.TurnID
 	Partitions []int
 }
 
 // Kind implements peer.Message.
-func (*find) Kind() peer.Kind { return kindFind }
+func (*findRequest) Kind() peer.Kind { return kindFindRequest }
 
 // Encode implements peer.Message.
-func (m *find) Encode(e *wire.Encoder) {
+func (m *findRequest) Encode(e *wire.Encoder) {
 	e.String(string(m.Turn))
 	e.Uint32(uint32(len(m.Partitions)))
 	for _, partition := range m.Partitions {
@@ -321,7 +322,7 @@
 }
 
 // Decode implements peer.Message.
-func (m *find) Decode(d *wire.Decoder) {
+func (m *findRequest) Decode(d *wire.Decoder) {
 	const partitionBytes = 2
 	m.Turn = ledger.TurnID(d.String())
 	for range d.Count(partitionBytes) {
@@ -329,20 +330,20 @@
 	}
 }
 
-// foundTurn answers find.
-type foundTurn struct {
+// findResponse responds to findRequest.
+type findResponse struct {
 	Status   status
 	Chain    []ledger.Location
 	Resident ledger.CacheLocation
-	// Reason is an error's text.
+	// Reason is the text of the error, if any.
 	Reason string
 }
 
 // Kind implements peer.Message.
-func (*foundTurn) Kind() peer.Kind { return kindFoundTurn }
+func (*findResponse) Kind() peer.Kind { return kindFindResponse }
 
 // Encode implements peer.Message.
-func (m *foundTurn) Encode(e *wire.Encoder) {
+func (m *findResponse) Encode(e *wire.Encoder) {
 	e.Uint8(uint8(m.Status))
 	encodeChain(e, m.Chain)
 	encodeResident(e, m.Resident)
@@ -350,7 +351,7 @@
 }
 
 // Decode implements peer.Message.
-func (m *foundTurn) Decode(d *wire.Decoder) {
+func (m *findResponse) Decode(d *wire.Decoder) {
 	m.Status, m.Chain = status(d.Uint8()), decodeChain(d)
 	m.Resident, m.Reason = decodeResident(d), d.String()
 }
--- a/internal/coordinator/recorded_test.go
+++ b/internal/coordinator/recorded_test.go
@@ -12,7 +12,7 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// TestRecordedBytesOfMessages: what builds ask of homes and tell them stays as it is.
+// TestRecordedBytesOfMessages guards compatibility with nodes of other versions.
 func TestRecordedBytesOfMessages(t *testing.T) {
 	chain := []ledger.Location{{Partition: 3, Offset: 9, Size: 20}}
 	resident := ledger.CacheLocation{Instance: "i", Tokens: 80}
@@ -20,20 +20,20 @@
 		message, empty peer.Message
 		written        string
 	}{
-		"begin":      {&begin{Request: Request{Program: "p", Budgeted: true, Budget: 900, MaxTurnTokens: 60, Previous: "t"}, Grant: 7}, &begin{}, "000000017001000003840000003c00000001740000000000000007"},
-		"begun":      {&begun{Status: statusDone, Charged: 40, Ahead: true, First: true, Chain: chain, Resident: resident}, &begun{}, "010000000000000028010100000001000300000000000000090000001400000001690000005000000000"},
-		"find":       {&find{Turn: "t", Partitions: []int{1, 2}}, &find{}, "00000001740000000200010002"},
-		"found turn": {&foundTurn{Status: statusNoSuchTurn, Reason: "r", Chain: chain, Resident: resident}, &foundTurn{}, "030000000100030000000000000009000000140000000169000000500000000172"},
+		"begin":      {&beginRequest{Request: Request{Program: "p", Budgeted: true, Budget: 900, MaxTurnTokens: 60, Previous: "t"}, Grant: 7}, &beginRequest{}, "000000017001000003840000003c00000001740000000000000007"},
+		"begun":      {&beginResponse{Status: statusDone, Charged: 40, Ahead: true, First: true, Chain: chain, Resident: resident}, &beginResponse{}, "010000000000000028010100000001000300000000000000090000001400000001690000005000000000"},
+		"find":       {&findRequest{Turn: "t", Partitions: []int{1, 2}}, &findRequest{}, "00000001740000000200010002"},
+		"found turn": {&findResponse{Status: statusNoSuchTurn, Reason: "r", Chain: chain, Resident: resident}, &findResponse{}, "030000000100030000000000000009000000140000000169000000500000000172"},
 		"keep": {
-			&keep{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")},
-			&keep{}, "000000017000000001740000000100030000000000000009000000140000000df84758000000000169000000500000000178",
+			&persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")},
+			&persistRequest{}, "000000017000000001740000000100030000000000000009000000140000000df84758000000000169000000500000000178",
 		},
 		"keep anywhere": {
-			&keepAnywhere{keep: keep{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")}},
-			&keepAnywhere{}, "000000017000000001740000000100030000000000000009000000140000000df8475800000000016900000050000000017800000000",
+			&persistAnywhereRequest{persistRequest: persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")}},
+			&persistAnywhereRequest{}, "000000017000000001740000000100030000000000000009000000140000000df8475800000000016900000050000000017800000000",
 		},
-		"kept": {&kept{Status: statusDone, Location: ledger.TextAt(5, 9, 20), Reason: "r"}, &kept{}, "0180050000000000000009000000140000000172"},
-		"read": {&read{Chain: chain}, &read{}, "000000010003000000000000000900000014"},
+		"kept": {&persistResponse{Status: statusDone, Location: ledger.TextAt(5, 9, 20), Reason: "r"}, &persistResponse{}, "0180050000000000000009000000140000000172"},
+		"read": {&readRequest{Chain: chain}, &readRequest{}, "000000010003000000000000000900000014"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -52,10 +52,10 @@
 
 func FuzzDecodeMessages(f *testing.F) {
 	encoder := wire.NewEncoder(nil)
-	(&begin{Request: Request{Program: "p"}}).Encode(encoder)
+	(&beginRequest{Request: Request{Program: "p"}}).Encode(encoder)
 	f.Add(encoder.Bytes())
 	f.Fuzz(func(_ *testing.T, encoded []byte) {
-		for _, message := range []peer.Message{&begin{}, &begun{}, &finish{}, &keep{}, &keepAnywhere{}, &kept{}, &done{}, &read{}, &texts{}, &find{}, &foundTurn{}} {
+		for _, message := range []peer.Message{&beginRequest{}, &beginResponse{}, &finishRequest{}, &persistRequest{}, &persistAnywhereRequest{}, &persistResponse{}, &finishResponse{}, &readRequest{}, &readResponse{}, &findRequest{}, &findResponse{}} {
 			message.Decode(wire.NewDecoder(encoded))
 		}
 	})
--- a/internal/coordinator/regions_test.go
+++ b/internal/coordinator/regions_test.go
@@ -13,43 +13,43 @@
 	"stepseam.example/stepseam/internal/residency"
 )
 
-// TestTextsOfTurnsPassNoNodeOutsideTheirHomes keeps and reads turns from nodes of three
-// regions, while the program's home lies in each of them.
-func TestTextsOfTurnsPassNoNodeOutsideTheirHomes(t *testing.T) {
+// TestTextsStayInAllowedRegions persists and reads turns at nodes of three regions, with
+// coordinators inside and outside the allowed regions.
+func TestTextsStayInAllowedRegions(t *testing.T) {
 	is := is.New(t)
 	nodes := startCluster(t, 3)
 	for i, one := range nodes {
 		one.identity.Region = identity.Region(fmt.Sprint("r", i))
 	}
-	show(nodes, nodes)
-	time.Sleep(settleAfter) // each takes its part of the partitions
+	setViews(nodes, nodes)
+	time.Sleep(singleNodeDelay) // each node coordinates its partitions
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	keptThere := 0
 	for number := range 12 {
 		program := ledger.ProgramID(fmt.Sprint("p", number))
 		from := nodes[number%len(nodes)]
-		home, self := from.service.home(from.service.config.Ledger.Partition(program))
+		coordinator, self := from.service.coordinator(from.service.config.Ledger.Partition(program))
 		if self {
 			continue
 		}
-		there := nodeNamed(nodes, home.Name)
+		there := nodeNamed(nodes, coordinator.Name)
 		within := residency.OnlyIn([]string{string(from.identity.Region)})
-		appended, texts := there.store.appended.Load(), there.store.texts.Load()
+		appended, texts := there.store.appended.Load(), there.store.textReads.Load()
 		turn := ledger.TurnID("t" + program)
 		is.NoErr(from.service.PersistTurn(ctx, ledger.IndexEntry{Program: program, Turn: turn, Retention: time.Minute}, []byte("text"), within))
-		begun, err := from.service.Begin(ctx, Request{Program: program, Previous: turn})
+		turnsBegun, err := from.service.Begin(ctx, Request{Program: program, Previous: turn})
 		is.NoErr(err)
-		read, err := from.service.Texts(ctx, program, begun.Chain, within)
+		read, err := from.service.Texts(ctx, program, turnsBegun.Chain, within)
 		is.NoErr(err)
 		is.Equal(string(read[0]), "text")
-		is.Equal(there.store.appended.Load(), appended) // the home has written nothing
-		is.Equal(there.store.texts.Load(), texts)       // and read no text
+		is.Equal(there.store.appended.Load(), appended) // the coordinator has written nothing
+		is.Equal(there.store.textReads.Load(), texts)   // and read no text
 
-		both := residency.OnlyIn([]string{string(from.identity.Region), string(home.Region)})
+		both := residency.OnlyIn([]string{string(from.identity.Region), string(coordinator.Region)})
 		is.NoErr(from.service.PersistTurn(ctx, ledger.IndexEntry{Program: program, Turn: turn + "2", Retention: time.Minute}, []byte("text"), both))
 		if there.store.appended.Load() > appended {
-			keptThere++ // the home is one of the data's own
+			keptThere++ // the coordinator is in an allowed region
 		}
 	}
 	is.True(keptThere > 0)
--- a/internal/coordinator/texts.go
+++ b/internal/coordinator/texts.go
@@ -12,41 +12,41 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// PersistTurn makes a turn that ended whole durable: its text and its place in the index.
-// Chain holds the turns before. It tries until ctx ends, since an answer whose end
-// is held back for it would be broken off otherwise. Errors wrap
-// ledgerlog.ErrUnavailable. The text goes to no node outside the regions within.
-func (s *Service) PersistTurn(ctx context.Context, turn ledger.IndexEntry, text []byte, within residency.AllowedRegions) error {
+// PersistTurn writes the text and the index entry of a finished turn. Chain holds the previous
+// turns. It retries until ctx ends, since giving up would break off a response whose end is
+// delayed until the turn is persisted. Errors wrap ledgerlog.ErrUnavailable. The text is sent
+// to no node outside the allowed regions.
+func (s *Service) PersistTurn(ctx context.Context, turn ledger.IndexEntry, text []byte, allowed residency.AllowedRegions) error {
 	for {
-		err := s.keepOnce(ctx, turn, text, within)
+		err := s.tryPersist(ctx, turn, text, allowed)
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
 		s.config.Logger.Info("turn not kept yet", "turn", turn.Turn, "error", err)
-		_ = wait.For(ctx, keepPause) // the end of ctx shows in the next try
+		_ = wait.For(ctx, persistRetryInterval) // the next attempt returns the error if ctx has ended
 	}
 }
 
-// keepOnce lets the home write, where that is another node, so that the turns of
-// many nodes share its calls of the store; else this node writes, or where the store does
-// not answer it, one that the store may answer.
-func (s *Service) keepOnce(ctx context.Context, turn ledger.IndexEntry, text []byte, within residency.AllowedRegions) error {
-	request := writingOf(turn, text, within)
-	home, remote := s.remote(turn.Program, within)
+// tryPersist makes one attempt to persist a turn. It prefers the coordinator if that is another
+// node, so that the turns of many nodes share calls of the store. Otherwise this node writes,
+// or, if the store is unavailable to it, another one.
+func (s *Service) tryPersist(ctx context.Context, turn ledger.IndexEntry, text []byte, allowed residency.AllowedRegions) error {
+	request := newPendingTurn(turn, text, allowed)
+	coordinator, remote := s.remote(turn.Program, allowed)
 	if remote {
-		location, err := s.keepThere(ctx, home, request)
+		location, err := s.persistRemotely(ctx, coordinator, request)
 		if err == nil {
 			s.config.Ledger.CacheText(location, text)
 			return nil
 		}
-		s.config.Logger.Info("home did not keep a turn", "turn", turn.Turn, "home", home.Name, "error", err)
+		s.config.Logger.Info("home did not keep a turn", "turn", turn.Turn, "home", coordinator.Name, "error", err)
 	}
-	_, err := s.keepHere(ctx, request)
-	if err == nil || ctx.Err() != nil || s.storeAnswers() {
+	_, err := s.persistLocally(ctx, request)
+	if err == nil || ctx.Err() != nil || s.storeAvailable() {
 		return err
 	}
-	location, helpErr := firstHelp(s, home.Name, within, func(helper identity.Node) (ledger.Location, error) {
-		return s.keepThere(ctx, helper, request)
+	location, helpErr := callHelpers(s, coordinator.Name, allowed, func(helper identity.Node) (ledger.Location, error) {
+		return s.persistRemotely(ctx, helper, request)
 	})
 	if helpErr == nil {
 		s.config.Ledger.CacheText(location, text)
@@ -54,76 +54,78 @@
 	return helpErr
 }
 
-// keepHere writes a turn through this node's own ledger, unless the store stops answering
-// this node. A turn that is kept twice is kept.
-func (s *Service) keepHere(ctx context.Context, asked writing) (ledger.Location, error) {
-	ctx, cancel := s.whileStoreAnswers(ctx)
+// persistLocally writes a turn through this node's own ledger and stops if the store becomes
+// unavailable to this node. Persisting a turn twice is harmless.
+func (s *Service) persistLocally(ctx context.Context, turn pendingTurn) (ledger.Location, error) {
+	ctx, cancel := s.untilStoreUnavailable(ctx)
 	defer cancel()
-	if !s.storeAnswers() {
-		return ledger.Location{}, errStoreAway
+	if !s.storeAvailable() {
+		return ledger.Location{}, errStoreUnavailable
 	}
-	return s.config.Ledger.PersistTurnWithText(ctx, asked.turn, asked.text, asked.apart)
+	return s.config.Ledger.PersistTurnWithText(ctx, turn.turn, turn.text, turn.restricted)
 }
 
-// remote returns the home of a program if that is another node that may be asked, that the
-// store may answer, and that may hold texts that belong within the given regions.
-func (s *Service) remote(program ledger.ProgramID, within residency.AllowedRegions) (identity.Node, bool) {
-	home, self := s.home(s.config.Ledger.Partition(program))
-	return home, !self && s.mayAsk(home) && !s.storeless.has(home.Name) && within.Allows(string(home.Region))
+// remote returns a program's coordinator and whether it may do the work: it is another node
+// that can be called, the store is not known to be unavailable to it, and it is in an allowed
+// region.
+func (s *Service) remote(program ledger.ProgramID, allowed residency.AllowedRegions) (identity.Node, bool) {
+	coordinator, self := s.coordinator(s.config.Ledger.Partition(program))
+	return coordinator, !self && s.mayCall(coordinator) && !s.storeUnavailable.has(coordinator.Name) && allowed.Allows(string(coordinator.Region))
 }
 
-// keepThere lets another node write a turn.
-func (s *Service) keepThere(ctx context.Context, there identity.Node, request writing) (ledger.Location, error) {
-	answer, err := s.askToKeep(ctx, there, request)
+// persistRemotely asks another node to persist a turn.
+func (s *Service) persistRemotely(ctx context.Context, target identity.Node, request pendingTurn) (ledger.Location, error) {
+	response, err := s.requestPersist(ctx, target, request)
 	if err != nil {
 		return ledger.Location{}, err
 	}
-	got, ok := answer.(*kept)
+	got, ok := response.(*persistResponse)
 	if !ok || got.Status != statusDone {
-		s.noteStatus(there, ok, got)
-		return ledger.Location{}, fmt.Errorf("%w: %s did not keep the turn: %+v", ledgerlog.ErrUnavailable, there.Name, answer)
+		s.recordStatus(target, ok, got)
+		return ledger.Location{}, fmt.Errorf("%w: %s did not keep the turn: %+v", ledgerlog.ErrUnavailable, target.Name, response)
 	}
 	return got.Location, nil
 }
 
-// Texts returns the texts of a chain of a program's turns: from memory, from the
-// home's or from the store. Errors wrap ledgerlog.ErrUnavailable. No node outside the
-// regions within is asked, since it would read the texts.
-func (s *Service) Texts(ctx context.Context, program ledger.ProgramID, chain []ledger.Location, within residency.AllowedRegions) ([][]byte, error) {
+// Texts returns the texts of a chain of a program's turns from memory, the coordinator or the
+// store. Errors wrap ledgerlog.ErrUnavailable. Nodes outside the allowed regions are not
+// called, since they would read the texts.
+func (s *Service) Texts(ctx context.Context, program ledger.ProgramID, chain []ledger.Location, allowed residency.AllowedRegions) ([][]byte, error) {
 	if found, all := s.config.Ledger.CachedTexts(chain); all {
 		return found, nil
 	}
-	home, remote := s.remote(program, within)
+	coordinator, remote := s.remote(program, allowed)
 	if remote {
-		found, err := s.readThere(ctx, home, chain)
+		found, err := s.readRemotely(ctx, coordinator, chain)
 		if err == nil {
 			return found, nil
 		}
-		s.config.Logger.Info("home did not read turns", "program", program, "home", home.Name, "error", err)
+		s.config.Logger.Info("home did not read turns", "program", program, "home", coordinator.Name, "error", err)
 	}
-	found, err := s.readHere(ctx, chain)
-	if err == nil || ctx.Err() != nil || s.storeAnswers() {
+	found, err := s.readLocally(ctx, chain)
+	if err == nil || ctx.Err() != nil || s.storeAvailable() {
 		return found, err
 	}
-	return firstHelp(s, home.Name, within, func(helper identity.Node) ([][]byte, error) { return s.readThere(ctx, helper, chain) })
+	return callHelpers(s, coordinator.Name, allowed, func(helper identity.Node) ([][]byte, error) { return s.readRemotely(ctx, helper, chain) })
 }
 
-// readHere reads texts from the store, unless that stops answering this node.
-func (s *Service) readHere(ctx context.Context, chain []ledger.Location) ([][]byte, error) {
-	ctx, cancel := s.whileStoreAnswers(ctx)
+// readLocally reads texts from the store and stops if the store becomes unavailable to this
+// node.
+func (s *Service) readLocally(ctx context.Context, chain []ledger.Location) ([][]byte, error) {
+	ctx, cancel := s.untilStoreUnavailable(ctx)
 	defer cancel()
 	return s.config.Ledger.Texts(ctx, chain)
 }
 
-// readThere lets another node read texts.
-func (s *Service) readThere(ctx context.Context, there identity.Node, chain []ledger.Location) ([][]byte, error) {
-	answer, err := s.callWhileItWorks(ctx, there, &read{Chain: chain})
+// readRemotely asks another node to read texts and caches them.
+func (s *Service) readRemotely(ctx context.Context, target identity.Node, chain []ledger.Location) ([][]byte, error) {
+	response, err := s.callWithProgress(ctx, target, &readRequest{Chain: chain})
 	if err != nil {
 		return nil, err
 	}
-	got, ok := answer.(*texts)
+	got, ok := response.(*readResponse)
 	if !ok || got.Status != statusDone || len(got.Texts) != len(chain) {
-		return nil, fmt.Errorf("%w: %s has not read the turns", ledgerlog.ErrUnavailable, there.Name)
+		return nil, fmt.Errorf("%w: %s has not read the turns", ledgerlog.ErrUnavailable, target.Name)
 	}
 	for i, location := range chain {
 		s.config.Ledger.CacheText(location, got.Texts[i])
@@ -132,14 +134,14 @@
 }
 
 func (s *Service) handleRead(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
-	asked, ok := request.(*read)
+	turn, ok := request.(*readRequest)
 	if !ok {
 		return nil, fmt.Errorf("homes: unexpected %T", request)
 	}
-	defer s.tellWorking(sendPart)()
-	found, err := s.readHere(ctx, asked.Chain)
+	defer s.sendProgress(sendPart)()
+	found, err := s.readLocally(ctx, turn.Chain)
 	if err != nil {
-		return &texts{Status: statusUnavailable}, nil
+		return &readResponse{Status: statusUnavailable}, nil
 	}
-	return &texts{Status: statusDone, Texts: found}, nil
+	return &readResponse{Status: statusDone, Texts: found}, nil
 }
--- a/internal/coordinator/turn_test.go
+++ b/internal/coordinator/turn_test.go
@@ -6,11 +6,11 @@
 	"github.com/matryer/is"
 )
 
-func TestOnlyTheFirstEndOfATurnCounts(t *testing.T) {
+func TestOnlyFirstFinishCounts(t *testing.T) {
 	is := is.New(t)
-	var told []uint32
-	turn := &Turn{finish: func(used uint32) { told = append(told, used) }}
+	var reported []uint32
+	turn := &Turn{finish: func(used uint32) { reported = append(reported, used) }}
 	turn.Finish(7)
 	turn.Finish(9)
-	is.Equal(told, []uint32{7})
+	is.Equal(reported, []uint32{7})
 }
--- a/internal/coordinator/view.go
+++ b/internal/coordinator/view.go
@@ -12,107 +12,108 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// SetView tells which nodes live. Partitions that are at home elsewhere now are
-// given up at once.
+// SetView sets the membership view and gives up the partitions that this node no longer
+// coordinates.
 func (s *Service) SetView(view membership.View) {
-	s.view.Store(newSiteView(view, s.config.Ledger.Partitions()))
-	s.config.Ledger.SettleIdle(s.keepsCredits)
+	s.view.Store(newClusterView(view, s.config.Ledger.Partitions()))
+	s.config.Ledger.SettleIdle(s.retainsCredits)
 }
 
-// Close makes this node the home of nothing.
+// Close makes this node give up all partitions and coordinate none.
 func (s *Service) Close() {
 	s.closing.Store(true)
-	s.config.Ledger.SettleIdle(s.keepsCredits)
+	s.config.Ledger.SettleIdle(s.retainsCredits)
 }
 
-// IncarnationOf names a life of a node in the ledger.
+// IncarnationOf returns the id of a node's incarnation in the ledger.
 func IncarnationOf(node identity.Reference) ledger.IncarnationID {
 	return ledger.IncarnationID(string(node.Name) + "." + strconv.FormatUint(uint64(node.Incarnation), 36))
 }
 
-// IsAlive tells whether a life is a member that has not died.
-func (s *Service) IsAlive(life ledger.IncarnationID) bool {
+// IsAlive reports whether an incarnation is a member that is not dead.
+func (s *Service) IsAlive(incarnation ledger.IncarnationID) bool {
 	view := s.view.Load()
 	if view == nil {
 		return false
 	}
-	return view.isMember(life)
+	return view.isMember(incarnation)
 }
 
-// MayBeAlive tells whether a life may go on: it is a member that has not died, or this
-// node does not know all others yet.
-func (s *Service) MayBeAlive(life ledger.IncarnationID) bool {
-	return s.IsAlive(life) || s.config.Peers != nil && time.Since(s.began) < learnMembers
+// MayBeAlive reports whether an incarnation is alive, or may be since this node does not know
+// all members yet.
+func (s *Service) MayBeAlive(incarnation ledger.IncarnationID) bool {
+	return s.IsAlive(incarnation) || s.config.Peers != nil && time.Since(s.began) < membershipDelay
 }
 
-// Run gives up partitions that are at home elsewhere, and tells others whether the store
-// answers this node, until ctx ends.
+// Run gives up partitions that this node does not coordinate and announces the store's
+// availability to this node, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	var watching sync.WaitGroup
 	watching.Go(func() { s.watchStore(ctx) })
-	s.config.Ledger.Run(ctx, s.keepsCredits)
+	s.config.Ledger.Run(ctx, s.retainsCredits)
 	watching.Wait()
 }
 
-// keepsCredits tells whether this node holds on to a partition's credits. One that the store
-// does not answer could give none back, and goes on with them afterwards.
-func (s *Service) keepsCredits(partition int) bool {
-	return s.isHome(partition) || s.away.Load() && !s.closing.Load()
+// retainsCredits reports whether this node keeps its credits of a partition. A node to which
+// the store is unavailable can't return any and continues to use them.
+func (s *Service) retainsCredits(partition int) bool {
+	return s.isCoordinator(partition) || s.unavailable.Load() && !s.closing.Load()
 }
 
-func (s *Service) isHome(partition int) bool {
-	_, self := s.home(partition)
+func (s *Service) isCoordinator(partition int) bool {
+	_, self := s.coordinator(partition)
 	return self
 }
 
-// home returns the node that keeps a partition, and whether that is this one. It
-// returns neither while this node does not know the others yet, or stops.
-func (s *Service) home(partition int) (identity.Node, bool) {
+// coordinator returns the coordinator of a partition and whether that is this node. It returns
+// neither before this node knows other members, or after Close.
+func (s *Service) coordinator(partition int) (identity.Node, bool) {
 	view := s.view.Load()
 	if view == nil || len(view.members) <= 1 {
-		return identity.Node{}, !s.closing.Load() && (s.config.Peers == nil || time.Since(s.began) > settleAfter)
+		return identity.Node{}, !s.closing.Load() && (s.config.Peers == nil || time.Since(s.began) > singleNodeDelay)
 	}
-	best := s.keeper(view, view.ranked(partition, s.config.Self, s.closing.Load()))
+	best := s.chooseCoordinator(view, view.ranked(partition, s.config.Self, s.closing.Load()))
 	return best, best.Name == s.config.Self
 }
 
-// keeper returns the one of a partition's candidates that keeps it.
-func (s *Service) keeper(view *siteView, candidates []identity.Node) identity.Node {
-	if view.homesStay(s.config.Self) {
-		return keeperOf(candidates, func(identity.NodeName) bool { return false })
+// chooseCoordinator returns the one of a partition's candidates that coordinates it.
+func (s *Service) chooseCoordinator(view *clusterView, candidates []identity.Node) identity.Node {
+	if view.coordinatorsPinned(s.config.Self) {
+		return selectCoordinator(candidates, func(identity.NodeName) bool { return false })
 	}
-	return keeperOf(candidates, func(name identity.NodeName) bool { return s.lacksStore(view, name) })
+	return selectCoordinator(candidates, func(name identity.NodeName) bool { return s.storeUnavailableFor(view, name) })
 }
 
-// lacksStore tells whether the store does not answer a node, as far as it has told.
-func (s *Service) lacksStore(view *siteView, name identity.NodeName) bool {
+// storeUnavailableFor reports whether a node has reported that the store is unavailable to it.
+func (s *Service) storeUnavailableFor(view *clusterView, name identity.NodeName) bool {
 	if name == s.config.Self {
-		return s.away.Load()
+		return s.unavailable.Load()
 	}
-	return view.lacking[name] || s.toldAway.has(name)
+	return view.storeUnavailableAt[name] || s.reportedUnavailable.has(name)
 }
 
-// passedOver returns the first by rank of a partition's candidates if another node keeps the
-// partition since the store does not answer that one.
-func (s *Service) passedOver(partition int) (identity.Node, bool) {
+// displacedCandidate returns a partition's first candidate if a substitute coordinates the
+// partition because the store is unavailable to that candidate.
+func (s *Service) displacedCandidate(partition int) (identity.Node, bool) {
 	view := s.view.Load()
 	if view == nil {
 		return identity.Node{}, false
 	}
 	candidates := view.ranked(partition, s.config.Self, s.closing.Load())
-	if len(candidates) == 0 || s.keeper(view, candidates).Name == candidates[0].Name {
+	if len(candidates) == 0 || s.chooseCoordinator(view, candidates).Name == candidates[0].Name {
 		return identity.Node{}, false
 	}
 	return candidates[0], true
 }
 
-// mayAsk tells whether a home may be asked: there is one, and it has answered lately.
-func (s *Service) mayAsk(home identity.Node) bool {
-	return home.Name != "" && s.config.Peers != nil && !s.avoided(home.Name)
+// mayCall reports whether a coordinator may be called: there is one, and it has not failed
+// recently.
+func (s *Service) mayCall(coordinator identity.Node) bool {
+	return coordinator.Name != "" && s.config.Peers != nil && !s.isAvoided(coordinator.Name)
 }
 
-// Addresses returns the peer addresses of the other nodes that live, in a slice that the
-// caller must not change.
+// Addresses returns the peer addresses of the other nodes that are alive. The caller must not
+// modify the slice.
 func (s *Service) Addresses() []netip.AddrPort {
 	view := s.view.Load()
 	if view == nil {
@@ -121,11 +122,11 @@
 	return view.addresses(s.config.Self)
 }
 
-// Coordinated returns the partitions that this node is the home of.
+// Coordinated returns the partitions that this node coordinates.
 func (s *Service) Coordinated() []int {
 	var kept []int
 	for partition := range s.config.Ledger.Partitions() {
-		if s.isHome(partition) {
+		if s.isCoordinator(partition) {
 			kept = append(kept, partition)
 		}
 	}
