--- a/internal/coordinator/begin.go
+++ b/internal/coordinator/begin.go
@@ -59,7 +59,7 @@
 
 // errNextCandidate reports that the coordinator did not begin the turn and that another
 // candidate now coordinates the partition.
-var errNextCandidate = errors.New("homes: the store does not answer the home, the next one is asked")
+var errNextCandidate = errors.New("coordinator: store is unavailable to the coordinator; another candidate coordinates the partition")
 
 // failOver records that the store is unavailable to a coordinator and reports whether another
 // node coordinates the partition now.
@@ -228,7 +228,7 @@
 	}
 	got, ok := answer.(*beginResponse)
 	if !ok {
-		return nil, fmt.Errorf("%w: home %s answered %T", ledgerlog.ErrUnavailable, coordinator.Name, answer)
+		return nil, fmt.Errorf("%w: coordinator %s sent an unexpected response %T", ledgerlog.ErrUnavailable, coordinator.Name, answer)
 	}
 	err = got.err(coordinator.Name)
 	s.count("home", err)
@@ -258,7 +258,7 @@
 			return
 		}
 		if attempt == finishAttempts {
-			s.config.Logger.Info("turn's end not told", "home", coordinator.Name, "program", program, "used", used, "error", err)
+			s.config.Logger.Info("failed to report the end of a turn to its coordinator", "home", coordinator.Name, "program", program, "used", used, "error", err)
 			return
 		}
 		time.Sleep(finishRetryInterval)
--- a/internal/coordinator/candidates_test.go
+++ b/internal/coordinator/candidates_test.go
@@ -41,7 +41,7 @@
 			}
 		}
 		if kept != want {
-			t.Fatalf("%s keeps, want %s", kept.Name, want.Name)
+			t.Fatalf("%s coordinates, want %s", kept.Name, want.Name)
 		}
 	})
 }
--- a/internal/coordinator/clusterview_test.go
+++ b/internal/coordinator/clusterview_test.go
@@ -33,7 +33,7 @@
 		is.Equal(placed.ranked(partition, "n1", false)[0], want)
 		is.Equal(placed.ranked(partition, "n1", false)[0], want) // cached
 		if placed.ranked(partition, want.Name, true)[0] == want {
-			t.Fatalf("%s closes and is the home of %d", want.Name, partition)
+			t.Fatalf("%s is closing and still the first candidate of partition %d", want.Name, partition)
 		}
 	}
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -156,7 +156,7 @@
 		if ctx.Err() == nil && !errors.Is(err, peer.ErrUnknownKind) {
 			s.avoidNode(coordinator.Name)
 		}
-		return nil, fmt.Errorf("%w: home %s: %w", ledgerlog.ErrUnavailable, coordinator.Name, err)
+		return nil, fmt.Errorf("%w: coordinator %s: %w", ledgerlog.ErrUnavailable, coordinator.Name, err)
 	}
 	return answer, nil
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -223,7 +223,7 @@
 func (f *lossyClient) Call(ctx context.Context, address netip.AddrPort, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
 	answer, err := f.Client.Call(ctx, address, request, onPart)
 	if _, begins := request.(*beginRequest); begins && f.lose.Load() {
-		return nil, errors.New("answer lost")
+		return nil, errors.New("response lost")
 	}
 	return answer, err
 }
--- a/internal/coordinator/storestatus.go
+++ b/internal/coordinator/storestatus.go
@@ -119,7 +119,7 @@
 	s.unavailable.Store(seen.unavailable)
 	rank, _ := s.candidacies()
 	everybody := rank < broadcastRank
-	s.config.Logger.Info("store's answers to this node told", "away", seen.unavailable, "changes", seen.changes, "everybody", everybody)
+	s.config.Logger.Info("announced the store's availability to this node", "away", seen.unavailable, "changes", seen.changes, "everybody", everybody)
 	s.statusChanges.WithLabelValues(statusLabel(seen.unavailable)).Inc()
 	s.config.Announce(seen.changes, everybody)
 }
--- a/internal/coordinator/texts.go
+++ b/internal/coordinator/texts.go
@@ -22,7 +22,7 @@
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		s.config.Logger.Info("turn not kept yet", "turn", turn.Turn, "error", err)
+		s.config.Logger.Info("failed to persist turn; retrying", "turn", turn.Turn, "error", err)
 		_ = wait.For(ctx, persistRetryInterval) // the next attempt returns the error if ctx has ended
 	}
 }
@@ -39,7 +39,7 @@
 			s.config.Ledger.CacheText(location, text)
 			return nil
 		}
-		s.config.Logger.Info("home did not keep a turn", "turn", turn.Turn, "home", coordinator.Name, "error", err)
+		s.config.Logger.Info("coordinator failed to persist turn; persisting locally", "turn", turn.Turn, "home", coordinator.Name, "error", err)
 	}
 	_, err := s.persistLocally(ctx, request)
 	if err == nil || ctx.Err() != nil || s.storeAvailable() {
@@ -82,7 +82,7 @@
 	got, ok := response.(*persistResponse)
 	if !ok || got.Status != statusDone {
 		s.recordStatus(target, ok, got)
-		return ledger.Location{}, fmt.Errorf("%w: %s did not keep the turn: %+v", ledgerlog.ErrUnavailable, target.Name, response)
+		return ledger.Location{}, fmt.Errorf("%w: node %s did not persist the turn: %+v", ledgerlog.ErrUnavailable, target.Name, response)
 	}
 	return got.Location, nil
 }
@@ -100,7 +100,7 @@
 		if err == nil {
 			return found, nil
 		}
-		s.config.Logger.Info("home did not read turns", "program", program, "home", coordinator.Name, "error", err)
+		s.config.Logger.Info("coordinator failed to read turns; reading locally", "program", program, "home", coordinator.Name, "error", err)
 	}
 	found, err := s.readLocally(ctx, chain)
 	if err == nil || ctx.Err() != nil || s.storeAvailable() {
@@ -125,7 +125,7 @@
 	}
 	got, ok := response.(*readResponse)
 	if !ok || got.Status != statusDone || len(got.Texts) != len(chain) {
-		return nil, fmt.Errorf("%w: %s has not read the turns", ledgerlog.ErrUnavailable, target.Name)
+		return nil, fmt.Errorf("%w: node %s did not read all texts", ledgerlog.ErrUnavailable, target.Name)
 	}
 	for i, location := range chain {
 		s.config.Ledger.CacheText(location, got.Texts[i])
