--- a/internal/ledgerlog/appender.go
+++ b/internal/ledgerlog/appender.go
@@ -19,20 +19,21 @@
 	// minRetryPause and maxRetryPause bound the pause after a failed call.
 	minRetryPause = 40 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
-	// callOverhead is what a record takes in a call besides its bytes.
+	// callOverhead is the size of a record's framing in a call, in bytes.
 	callOverhead = 4
 )
 
-// errAbandoned tells that the waiting time ended before the outcome was known.
-var errAbandoned = errors.New("ledgerlog: gave up waiting for the store")
+// errWaitEnded reports that the caller's context ended before the outcome was known.
+var errWaitEnded = errors.New("ledgerlog: gave up waiting for the store")
 
-// submission is a group of adjacent records that waits to be written.
+// submission is a group of adjacent records that is waiting to be written.
 type submission struct {
 	records [][]byte
 	bytes   int
-	// context ends the wait; records under one that never ends are written whenever that is possible.
+	// context ends the wait. Records whose context never ends are retried until they are
+	// written.
 	context context.Context
-	// outcome has room for one result.
+	// outcome is buffered for one result.
 	outcome chan appendOutcome
 }
 
@@ -41,31 +42,31 @@
 	err   error
 }
 
-// expired tells whether nobody waits for the records any more.
+// expired reports whether the caller has stopped waiting.
 func (s *submission) expired() bool { return s.context.Err() != nil }
 
 const (
-	// firstGap and longestGap bound the pause between two calls that refusals lead to.
-	firstGap   = 10 * time.Millisecond
-	longestGap = 160 * time.Millisecond
+	// minGap and maxGap bound the pause between two calls after refusals.
+	minGap = 10 * time.Millisecond
+	maxGap = 160 * time.Millisecond
 )
 
-// pacer spaces this node's appends while the store refuses some of them, so that
-// each call takes more records. It is safe for concurrent use.
+// pacer spaces this node's appends while the store refuses some of them, so that each call
+// carries more records. It is safe for concurrent use.
 type pacer struct {
 	// gap is in nanoseconds.
 	gap atomic.Int64
 }
 
-// refused makes the gaps longer.
+// refused doubles the gap.
 func (p *pacer) refused() {
-	p.gap.Store(int64(min(max(2*time.Duration(p.gap.Load()), firstGap), longestGap)))
+	p.gap.Store(int64(min(max(2*time.Duration(p.gap.Load()), minGap), maxGap)))
 }
 
-// reset leaves no gaps.
+// reset removes the gap.
 func (p *pacer) reset() { p.gap.Store(0) }
 
-// accepted makes the gaps a little shorter, down to none.
+// accepted shrinks the gap by a few percent, down to none.
 func (p *pacer) accepted() {
 	const keepPercent = 92
 	gap := p.gap.Load() * keepPercent / 100
@@ -75,56 +76,55 @@
 	p.gap.Store(gap)
 }
 
-// wait pauses between two calls.
+// wait pauses for the current gap, with jitter.
 func (p *pacer) wait() {
 	if gap := time.Duration(p.gap.Load()); gap > 0 {
-		sleepAbout(gap)
+		sleepJittered(gap)
 	}
 }
 
-// appender writes records to one partition, one call at a time: what comes in
-// during a call goes into the next. Each call has a sequence number, so that a
-// call whose answer was lost is repeated without writing twice.
+// appender writes records to one partition, one call at a time; records that are submitted
+// during a call go into the next one. Each call has a sequence number, so that a call whose
+// outcome is unknown can be repeated without writing twice.
 type appender struct {
-	store     logstore.Store
-	gate      Availability
-	partition logstore.Partition
-	producer  string
-	callBytes int
-	logger    *slog.Logger
-	metrics   *metrics
-	pacer     *pacer
-	// retransmission says when a call is repeated, with the same sequence number.
+	store        logstore.Store
+	availability Availability
+	partition    logstore.Partition
+	producer     string
+	callBytes    int
+	logger       *slog.Logger
+	metrics      *metrics
+	pacer        *pacer
+	// retransmission estimates when a call is repeated with the same sequence number.
 	retransmission *retransmission
-	// written is told of each batch in the log, and how long ago it was sent first, before
-	// those who wait for it.
-	written func(first logstore.Offset, records [][]byte, ago time.Duration)
+	// onWritten is called for each batch in the log, with the time since it was first sent,
+	// before its waiters are released.
+	onWritten func(first logstore.Offset, records [][]byte, ago time.Duration)
 
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex   sync.Mutex
 	queue   []*submission
 	running bool
 	epoch   uint64
 	// sequence is the number of the next call.
 	sequence uint64
-	// gathering is used by the running call alone.
-	gathering gathering
+	// batchDelay is used only by the goroutine that runs calls.
+	batchDelay batchDelay
 }
 
-// append writes records and returns the offset of the first. Errors: ctx's end
-// as errAbandoned, in which case the records may be written after all; or what the
-// store said.
+// append writes records and returns the offset of the first. Errors wrap errWaitEnded if ctx
+// ended, in which case the records may still be written, or are those of the store.
 func (a *appender) append(ctx context.Context, records [][]byte) (logstore.Offset, error) {
 	return a.submit(ctx, records).wait()
 }
 
-// wait returns what append does.
+// wait returns the outcome of the submission, with the errors of append.
 func (s *submission) wait() (logstore.Offset, error) {
 	select {
 	case outcome := <-s.outcome:
 		return outcome.first, outcome.err
 	case <-s.context.Done():
-		return 0, fmt.Errorf("%w: %w", errAbandoned, s.context.Err())
+		return 0, fmt.Errorf("%w: %w", errWaitEnded, s.context.Err())
 	}
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// idle tells whether everything that was submitted is written.
+// idle reports whether everything that was submitted is written.
 func (a *appender) idle() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -166,8 +166,8 @@
 		if len(batch) == 0 {
 			return
 		}
-		a.gathering.called(len(batch), time.Now())
-		regained := a.gate.Recovered()
+		a.batchDelay.callStarted(len(batch), time.Now())
+		recovered := a.availability.Recovered()
 		err := a.write(batch)
 		if err == nil {
 			pause = minRetryPause
@@ -175,15 +175,15 @@
 			a.pacer.wait()
 			continue
 		}
-		a.space()
+		a.adjustPace()
 		a.metrics.appendFailures.Inc()
-		a.putBack(batch)
-		a.rest(pause, regained)
+		a.requeue(batch)
+		a.pauseAfterFailure(pause, recovered)
 		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-// waiting tells whether there is something to write, and ends the run otherwise.
+// waiting reports whether there is something to write, and otherwise marks the run as ended.
 func (a *appender) waiting() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -191,26 +191,26 @@
 	return a.running
 }
 
-// next returns the submissions for one call once the store may be called and others have had
-// the time to go with it, and none once nobody waits for any.
+// next returns the submissions for one call once the store may be called and the batch delay
+// has passed. It returns none once nobody is waiting.
 func (a *appender) next() []*submission {
 	for a.waiting() {
 		ctx, cancel := context.WithTimeout(context.Background(), maxRetryPause)
-		err := a.gate.Await(ctx, a.partition)
+		err := a.availability.Await(ctx, a.partition)
 		cancel()
 		if err == nil {
-			time.Sleep(a.gathering.wait(time.Now()))
-			return a.take()
+			time.Sleep(a.batchDelay.wait(time.Now()))
+			return a.dequeue()
 		}
-		if a.ended() {
+		if a.dropExpired() {
 			return nil
 		}
 	}
 	return nil
 }
 
-// ended drops the submissions that nobody waits for, and tells whether there is no other.
-func (a *appender) ended() bool {
+// dropExpired drops the submissions that nobody waits for and reports whether no other is left.
+func (a *appender) dropExpired() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.queue = slices.DeleteFunc(a.queue, (*submission).expired)
@@ -218,8 +218,8 @@
 	return !a.running
 }
 
-// take returns the submissions for one call, and none once the queue is empty.
-func (a *appender) take() []*submission {
+// dequeue returns the submissions for one call, or none if the queue is empty.
+func (a *appender) dequeue() []*submission {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	var batch []*submission
@@ -241,14 +241,14 @@
 	return batch
 }
 
-func (a *appender) putBack(batch []*submission) {
+func (a *appender) requeue(batch []*submission) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.queue = append(batch, a.queue...)
 }
 
-// write makes one call and, while it is not known whether that took effect,
-// repeats it. It returns an error only if the batch was not written, for certain.
+// write makes one call and repeats it while its outcome is unknown. It returns an error only if
+// the batch was certainly not written.
 func (a *appender) write(batch []*submission) error {
 	var records [][]byte
 	for _, one := range batch {
@@ -258,8 +258,8 @@
 	pause := minRetryPause
 	sent := time.Now()
 	for {
-		regained := a.gate.Recovered()
-		result, err := a.call(records, unanswered, regained)
+		recovered := a.availability.Recovered()
+		result, err := a.call(records, unanswered, recovered)
 		switch {
 		case err == nil:
 			a.sequence++
@@ -279,39 +279,41 @@
 			return err
 		}
 		a.metrics.appendFailures.Inc()
-		a.rest(pause, regained)
+		a.pauseAfterFailure(pause, recovered)
 		pause = min(2*pause, maxRetryPause)
-		// What may have been done is repeated however long that takes, and this wait has no end.
-		_ = a.gate.Await(context.Background(), a.partition)
+		// A call that may have taken effect is repeated until its outcome is known, so this
+		// wait has no end.
+		_ = a.availability.Await(context.Background(), a.partition)
 	}
 }
 
-// space spaces the calls after a refusal. That of a store that is away says nothing of how
-// many it takes.
-func (a *appender) space() {
-	if a.gate.Available(a.partition) {
+// adjustPace widens the gap after a refusal. Failures while the store is unavailable say
+// nothing about its capacity and reset the gap.
+func (a *appender) adjustPace() {
+	if a.availability.Available(a.partition) {
 		a.pacer.refused()
 		return
 	}
 	a.pacer.reset()
 }
 
-// rest pauses after a failed call, unless the store has regained since it began. Where it
-// is known to be away, the gate paces, and the pause is short.
-func (a *appender) rest(pause time.Duration, regained <-chan struct{}) {
-	if !a.gate.Available(a.partition) {
+// pauseAfterFailure pauses after a failed call, unless the store has recovered since the call
+// began. While the store is known to be unavailable, the pause is short, since the circuit
+// breaker paces the calls.
+func (a *appender) pauseAfterFailure(pause time.Duration, recovered <-chan struct{}) {
+	if !a.availability.Available(a.partition) {
 		pause = minRetryPause
 	}
-	sleepUntil(regained, pause)
+	sleepUntilRecovered(recovered, pause)
 }
 
-// call makes one call; unanswered is how many of the same have got no answer. A probe that
-// hangs when the store answers others again gets the time of a first call from then on.
-func (a *appender) call(records [][]byte, unanswered int, regained <-chan struct{}) (logstore.AppendResult, error) {
+// call makes one call; unanswered is how many identical calls got no response. If the store
+// recovers while a probe hangs, the probe gets the timeout of a first call from then on.
+func (a *appender) call(records [][]byte, unanswered int, recovered <-chan struct{}) (logstore.AppendResult, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.retransmission.timeout(unanswered))
 	defer cancel()
-	if !a.gate.Available(a.partition) {
-		go a.shorten(ctx, cancel, regained)
+	if !a.availability.Available(a.partition) {
+		go a.shortenOnRecovery(ctx, cancel, recovered)
 	}
 	began := time.Now()
 	result, err := a.store.Append(ctx, logstore.AppendRequest{
@@ -326,18 +328,18 @@
 	return result, err
 }
 
-func (a *appender) shorten(ctx context.Context, cancel context.CancelFunc, regained <-chan struct{}) {
+func (a *appender) shortenOnRecovery(ctx context.Context, cancel context.CancelFunc, recovered <-chan struct{}) {
 	select {
-	case <-regained:
-		_ = wait.For(ctx, a.retransmission.timeout(0)) // either way it is over
+	case <-recovered:
+		_ = wait.For(ctx, a.retransmission.timeout(0)) // the context's end or the timeout both end the call
 		cancel()
 	case <-ctx.Done():
 	}
 }
 
 func (a *appender) resolve(batch []*submission, records [][]byte, first logstore.Offset, ago time.Duration) {
-	if a.written != nil {
-		a.written(first, records, ago)
+	if a.onWritten != nil {
+		a.onWritten(first, records, ago)
 	}
 	for _, one := range batch {
 		one.outcome <- appendOutcome{first: first}
@@ -351,18 +353,18 @@
 	}
 }
 
-// sleepUntil waits for between half of pause and one and a half of it, so that nodes that
-// failed together do not come back together, and until the store has regained at most.
-func sleepUntil(regained <-chan struct{}, pause time.Duration) {
-	timer := time.NewTimer(about(pause))
+// sleepUntilRecovered waits for half to one and a half times pause, so that nodes that failed
+// together do not retry together, or until the store has recovered.
+func sleepUntilRecovered(recovered <-chan struct{}, pause time.Duration) {
+	timer := time.NewTimer(jitter(pause))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-regained:
+	case <-recovered:
 	}
 }
 
-// sleepAbout is sleepUntil without an early end.
-func sleepAbout(pause time.Duration) { time.Sleep(about(pause)) }
+// sleepJittered is sleepUntilRecovered without an early end.
+func sleepJittered(pause time.Duration) { time.Sleep(jitter(pause)) }
 
-func about(pause time.Duration) time.Duration { return pause/2 + rand.N(pause) }
+func jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause) }
--- a/internal/ledgerlog/gather_test.go
+++ b/internal/ledgerlog/batchdelay_test.go
@@ -18,40 +18,40 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-func TestLoneCallDoesNotWait(t *testing.T) {
+func TestSingleCallDoesNotWait(t *testing.T) {
 	is := is.New(t)
-	gathered := &gathering{}
+	gathered := &batchDelay{}
 	now := time.Now()
 	is.Equal(gathered.wait(now), time.Duration(0))
-	gathered.called(1, now)
-	is.Equal(gathered.wait(now), longestGather)
-	is.Equal(gathered.wait(now.Add(longestGather)), time.Duration(0))
+	gathered.callStarted(1, now)
+	is.Equal(gathered.wait(now), maxBatchGap)
+	is.Equal(gathered.wait(now.Add(maxBatchGap)), time.Duration(0))
 	is.Equal(gathered.wait(now.Add(time.Hour)), time.Duration(0))
 }
 
-// TestGapFollowsTheRate: it is never longer than its bounds, whatever comes.
-func TestGapFollowsTheRate(t *testing.T) {
+// TestBatchGapFollowsRate checks that the gap stays within its bounds.
+func TestBatchGapFollowsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		gathered := &gathering{}
+		gathered := &batchDelay{}
 		now := time.Now()
 		for _, draw := range rapid.SliceOf(rapid.IntRange(0, 1<<20)).Draw(t, "calls") {
 			now = now.Add(time.Duration(draw%5000) * time.Millisecond)
-			gathered.called(draw%40, now)
-			if gap := gathered.gap(); gap < sureGap || gap > longestGather {
+			gathered.callStarted(draw%40, now)
+			if gap := gathered.gap(); gap < minBatchGap || gap > maxBatchGap {
 				t.Fatalf("gap %s", gap)
 			}
 		}
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
-			gathered.called(20, now)
+			gathered.callStarted(20, now)
 		}
-		if gap := gathered.gap(); gap > 2*medianWait {
+		if gap := gathered.gap(); gap > 2*maxMedianWait {
 			t.Fatalf("gap %s at 2,000 a second", gap)
 		}
 	})
 }
 
-// slowStore takes some time for each append.
+// slowStore delays each append.
 type slowStore struct {
 	*store.Store
 	takes time.Duration
@@ -62,9 +62,9 @@
 	return s.Store.Append(ctx, request)
 }
 
-// keptTurns keeps turns of one program at random times for a while and returns the calls
-// of the store a turn and the median time that a turn took.
-func keptTurns(t testing.TB, turns, perSecond int) (calls float64, median time.Duration) {
+// persistTurns persists turns of one program at random times. It returns the calls of the store
+// per turn and the median latency.
+func persistTurns(t testing.TB, turns, perSecond int) (calls float64, median time.Duration) {
 	log := &slowStore{Store: store.New(), takes: 3 * time.Millisecond}
 	l := newLedger(log, "a")
 	ctx := context.Background()
@@ -91,30 +91,30 @@
 	return float64(log.Calls("append")-before) / float64(turns), took[turns/2]
 }
 
-// TestManyTurnsShareCalls: the more come, the fewer calls each takes, and half of them wait
-// no longer than medianWait beyond the call itself and what is left of the one before it.
+// TestManyTurnsShareCalls checks that calls per turn fall with the rate while the median
+// latency stays within maxMedianWait plus the duration of one call.
 func TestManyTurnsShareCalls(t *testing.T) {
 	for perSecond, most := range map[int]float64{1: 1, 10: 1, 30: 0.95, 100: 0.8, 1000: 0.2} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				calls, median := keptTurns(t, 2000, perSecond)
+				calls, median := persistTurns(t, 2000, perSecond)
 				t.Logf("%d a second: %.2f calls a turn, median %s", perSecond, calls, median)
 				is.True(calls <= most)
-				is.True(median <= 3*time.Millisecond+medianWait)
+				is.True(median <= 3*time.Millisecond+maxMedianWait)
 			})
 		})
 	}
 }
 
-// BenchmarkCallsOfAKeptTurn reports the calls of the store a kept turn at a home, by the
-// turns a second there: make a few seconds of them.
+// BenchmarkCallsOfAKeptTurn reports the store's calls per persisted turn and the median
+// latency, by turns per second.
 func BenchmarkCallsOfAKeptTurn(b *testing.B) {
 	const seconds = 3
 	for _, perSecond := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(perSecond, "_a_second"), func(b *testing.B) {
 			for b.Loop() {
-				calls, median := keptTurns(b, seconds*perSecond, perSecond)
+				calls, median := persistTurns(b, seconds*perSecond, perSecond)
 				b.ReportMetric(calls, "calls/turn")
 				b.ReportMetric(float64(median)/float64(time.Millisecond), "median-ms")
 			}
--- a/internal/ledgerlog/claim.go
+++ b/internal/ledgerlog/claim.go
@@ -6,81 +6,80 @@
 	"stepseam.example/stepseam/internal/ledger"
 )
 
-// claim makes this life the partition's owner, in the background, unless it is.
-// While the present owner lives, it is given time to release, and a stand-in gives it more.
-func (h *holder) claim(standIn bool) {
-	patience := releasePatience
-	if standIn {
-		patience = standInPatience
+// claim makes this incarnation the partition's owner, in the background. An owner that is alive
+// gets time to release first, and more of it if this node is only a substitute coordinator.
+func (m *creditManager) claim(substitute bool) {
+	timeout := releaseTimeout
+	if substitute {
+		timeout = substituteReleaseTimeout
 	}
-	if !h.partition.follower.heard() {
-		h.learnOwner(standIn)
+	if !m.partition.reader.caughtUp() {
+		m.readOwner(substitute)
 		return
 	}
-	owner := h.partition.follower.owner()
-	now := h.clock()
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if owner == h.life || h.claiming || h.claimedAt > 0 && now-h.claimedAt < ownPause {
+	owner := m.partition.reader.owner()
+	now := m.clock()
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if owner == m.incarnation || m.claiming || m.claimedAt > 0 && now-m.claimedAt < claimInterval {
 		return
 	}
-	if h.wantedSince == 0 {
-		h.wantedSince = now
+	if m.wantedSince == 0 {
+		m.wantedSince = now
 	}
-	if owner != "" && h.members.IsAlive(owner) && now-h.wantedSince < patience {
+	if owner != "" && m.members.IsAlive(owner) && now-m.wantedSince < timeout {
 		return
 	}
-	h.leaving, h.wantedSince = false, 0
-	h.claimedAt = now
-	h.write(ledger.OwnershipClaim{Incarnation: h.life})
+	m.releasing, m.wantedSince = false, 0
+	m.claimedAt = now
+	m.writeOwnership(ledger.OwnershipClaim{Incarnation: m.incarnation})
 }
 
-// learnOwner reads the partition for the first time, in the background, and claims
-// it then.
-func (h *holder) learnOwner(standIn bool) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.claiming {
+// readOwner reads the partition for the first time, in the background, and then claims it.
+func (m *creditManager) readOwner(substitute bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.claiming {
 		return
 	}
-	h.claiming = true
+	m.claiming = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), learnTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), firstReadTimeout)
 		defer cancel()
 		// After a failed read, the next turn tries again.
-		err := h.partition.follower.readToEnd(ctx)
-		h.mutex.Lock()
-		h.claiming = false
-		h.mutex.Unlock()
+		err := m.partition.reader.readToEnd(ctx)
+		m.mutex.Lock()
+		m.claiming = false
+		m.mutex.Unlock()
 		if err == nil {
-			h.claim(standIn)
+			m.claim(substitute)
 		}
 	}()
 }
 
-// release gives the ownership back. Nothing is ahead of the log here any more.
-func (h *holder) release() {
-	owner := h.partition.follower.owner()
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if owner == h.life && !h.claiming {
-		h.write(ledger.OwnershipRelease{Incarnation: h.life})
+// release gives up the ownership. All grants of this node are in the log by then.
+func (m *creditManager) release() {
+	owner := m.partition.reader.owner()
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if owner == m.incarnation && !m.claiming {
+		m.writeOwnership(ledger.OwnershipRelease{Incarnation: m.incarnation})
 	}
 }
 
-// write writes a record of the ownership and reads the partition up to it, in the
-// background. It needs the mutex.
-func (h *holder) write(record ledger.Record) {
-	h.claiming = true
-	waiting := h.partition.submitNow(ledger.Encode(record))
+// writeOwnership writes an ownership record and reads the partition up to it, in the
+// background. The caller must hold the mutex.
+func (m *creditManager) writeOwnership(record ledger.Record) {
+	m.claiming = true
+	waiting := m.partition.submitNow(ledger.Encode(record))
 	go func() {
 		outcome := <-waiting.outcome
 		if outcome.err == nil {
-			// A failed read is repeated by the next who needs it.
-			_ = h.partition.follower.readTo(context.Background(), outcome.first)
+			// A failed read is repeated by the next caller that needs it.
+			_ = m.partition.reader.readTo(context.Background(), outcome.first)
 		}
-		h.mutex.Lock()
-		defer h.mutex.Unlock()
-		h.claiming = false
+		m.mutex.Lock()
+		defer m.mutex.Unlock()
+		m.claiming = false
 	}()
 }
--- a/internal/ledgerlog/confirm_test.go
+++ b/internal/ledgerlog/confirm_test.go
@@ -14,10 +14,10 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// newFollower returns a follower of an empty partition.
-func newFollower(log logstore.Store) *follower {
+// newReader returns a reader of an empty partition.
+func newReader(log logstore.Store) *reader {
 	began := time.Now()
-	return &follower{
+	return &reader{
 		store: log, partition: logstore.Partition{Topic: "ledger"}, metrics: newMetrics(nil), window: &readWindow{},
 		clock: func() time.Duration { return time.Since(began) }, state: ledger.NewPartition(),
 		verdicts: map[ledger.AttemptID]*ledger.Verdict{}, logger: slog.New(slog.DiscardHandler),
@@ -25,44 +25,43 @@
 	}
 }
 
-// TestLateAnswerConfirmsNothing: an append whose answer was lost is repeated until it is
-// answered, and the answer tells where its records stand, not what others have written since.
-// An owner that took it for news would hand out tokens ahead of the log beside the one that
-// has come in its place.
+// TestLateAnswerConfirmsNothing guards against an owner that takes the late response to a
+// repeated append for a current confirmation. It would make unlogged grants at the same time as
+// the owner that replaced it.
 func TestLateAnswerConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		reads := newFollower(store.New())
+		reads := newReader(store.New())
 		time.Sleep(ledger.TakeoverDelay + time.Second)
 		owned := [][]byte{ledger.Encode(ledger.OwnershipClaim{Incarnation: "a"})}
-		reads.applyOwn(0, owned, ledger.ConfirmationTTL+time.Millisecond)
+		reads.applyWritten(0, owned, ledger.ConfirmationTTL+time.Millisecond)
 		is.Equal(reads.owner(), ledger.IncarnationID("a"))
-		is.True(!reads.sure("a"))
-		reads.applyOwn(1, [][]byte{ledger.Encode(ledger.Settlement{Program: "p"})}, time.Millisecond)
-		is.True(reads.sure("a")) // nobody else had written by then
+		is.True(!reads.exclusive("a"))
+		reads.applyWritten(1, [][]byte{ledger.Encode(ledger.Settlement{Program: "p"})}, time.Millisecond)
+		is.True(reads.exclusive("a")) // no other node had written by then
 	})
 }
 
-// TestReadConfirmsFromItsSending for the same reason: its answer may take long.
+// TestReadConfirmsFromItsSending guards against the same fault for reads.
 func TestReadConfirmsFromItsSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		reads := newFollower(&late{Store: log, by: 500 * time.Millisecond})
+		reads := newReader(&slowReads{Store: log, by: 500 * time.Millisecond})
 		time.Sleep(time.Second)
 		is.NoErr(reads.readToEnd(t.Context()))
 		is.Equal(reads.confirmed, time.Second)
 	})
 }
 
-// late answers reads some time after it has done them.
-type late struct {
+// slowReads delays the responses to reads.
+type slowReads struct {
 	logstore.Store
 	by time.Duration
 }
 
 // Read implements logstore.Store.
-func (l *late) Read(ctx context.Context, request logstore.ReadRequest) (logstore.ReadResult, error) {
+func (l *slowReads) Read(ctx context.Context, request logstore.ReadRequest) (logstore.ReadResult, error) {
 	result, err := l.Store.Read(ctx, request)
 	time.Sleep(l.by)
 	return result, err
--- /dev/null
+++ b/internal/ledgerlog/creditmanager.go
@@ -0,0 +1,394 @@
+package ledgerlog
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"stepseam.example/stepseam/internal/ledger"
+	"stepseam.example/stepseam/internal/wait"
+)
+
+const (
+	// creditIdleTimeout is how long a program's credit is idle before it is settled.
+	creditIdleTimeout = 3 * time.Second
+	// grantTimeout is how long a turn may take before its grant counts as used in full.
+	grantTimeout = time.Minute
+	// lazySubmitDelay is how long a reservation that no turn waits for may be delayed to share
+	// a call.
+	lazySubmitDelay = 250 * time.Millisecond
+	// claimInterval is the minimum time between two claims of one partition.
+	claimInterval = time.Second
+	// releaseTimeout is how long an owner that is alive may take to release.
+	releaseTimeout = 4 * time.Second
+	// substituteReleaseTimeout is the same for a substitute coordinator. An earlier claim would
+	// be of no use: the substitute would not be an exclusive owner yet, and the displaced owner
+	// would not be one after its return.
+	substituteReleaseTimeout = ledger.TakeoverDelay
+	// firstReadTimeout bounds the first read of a partition.
+	firstReadTimeout = 2 * time.Second
+	// availabilityPollInterval is the time between two checks whether the store is still
+	// available.
+	availabilityPollInterval = 50 * time.Millisecond
+	// maxReserveAttempts is how often a turn tries to reserve tokens that other live nodes have
+	// reserved, and reserveRetryInterval the time in between. A node that is not the
+	// coordinator returns the rest of a reservation as soon as its turn ends.
+	maxReserveAttempts   = 3
+	reserveRetryInterval = 60 * time.Millisecond
+	// abandonedTTL is how long the end of a turn that has not begun is remembered.
+	abandonedTTL = 10 * time.Second
+)
+
+// creditManager manages this node's credits of the programs of one partition, and the ownership
+// of the partition.
+type creditManager struct {
+	partition    *partition
+	availability Availability
+	incarnation  ledger.IncarnationID
+	// members is set before the first turn.
+	members Members
+	clock   func() time.Duration
+
+	// mutex guards the fields below.
+	mutex   sync.Mutex
+	credits map[ledger.ProgramID]*creditEntry
+	// abandoned holds the turns that were finished before they began, with the time of that.
+	abandoned map[ledger.GrantID]time.Duration
+	// claimedAt is when the ownership was last claimed. claiming is set while an ownership
+	// record is being written.
+	claimedAt time.Duration
+	claiming  bool
+	// wantedSince is when this node first wanted the ownership of another one; zero if it does
+	// not.
+	wantedSince time.Duration
+	// releasing is set while the ownership is to be given up.
+	releasing bool
+}
+
+// creditEntry is a credit and its pending reservation.
+type creditEntry struct {
+	credit *ledger.Credit
+	// pending is the reservation being written, or nil. Its done channel is closed after its
+	// other fields are set.
+	pending *pendingReservation
+	// allowUnlogged permits unlogged grants before the first verdict. It is set if this node
+	// was the exclusive owner and the log had no record of the program when the credit was
+	// created.
+	allowUnlogged bool
+	// refillRefused is set if the last reservation was refused, which stops reservations in
+	// advance.
+	refillRefused bool
+}
+
+// Grant is the right to use the tokens of one turn.
+type Grant struct {
+	Program ledger.ProgramID
+	ID      ledger.GrantID
+	// Charged is the amount charged to the budget before this turn, in tokens, as far as known.
+	Charged uint64
+	// Unlogged is set if the reservation is not in the log yet.
+	Unlogged bool
+	// First is set if no tokens were granted to the program before.
+	First bool
+}
+
+// begin begins a turn. Its errors are those of Ledger.BeginTurn. A node that is not the
+// coordinator reserves only what the turn needs.
+func (m *creditManager) begin(ctx context.Context, request TurnRequest) (Grant, error) {
+	for refused := 0; ; {
+		grant, call, own := m.tryBegin(request)
+		if call == nil {
+			return m.checkAbandoned(grant)
+		}
+		if call != refusedReservation {
+			m.partition.flush()
+		}
+		if err := m.await(ctx, call); err != nil {
+			return Grant{}, err
+		}
+		if call.err != nil {
+			return Grant{}, fmt.Errorf("%w: reserve: %w", ErrUnavailable, call.err)
+		}
+		if !own || call.granted {
+			continue
+		}
+		err := m.refusalError(request.Program)
+		refused++
+		if !errors.Is(err, ErrBudgetReserved) || refused >= maxReserveAttempts || wait.For(ctx, reserveRetryInterval) != nil {
+			return Grant{}, err
+		}
+	}
+}
+
+// await waits for a reservation's outcome. If the store becomes unavailable for the partition,
+// it returns at once, and the reservation continues in the background.
+func (m *creditManager) await(ctx context.Context, call *pendingReservation) error {
+	ticker := time.NewTicker(availabilityPollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-call.done:
+			return nil
+		default:
+		}
+		if !m.availability.Available(m.partition.appender.partition) {
+			return ErrStoreUnavailable
+		}
+		select {
+		case <-call.done:
+			return nil
+		case <-ctx.Done():
+			return fmt.Errorf("%w: reserve: %w", ErrUnavailable, ctx.Err())
+		case <-ticker.C:
+		}
+	}
+}
+
+// checkAbandoned returns the grant unless its turn was finished before it began.
+func (m *creditManager) checkAbandoned(grant Grant) (Grant, error) {
+	m.mutex.Lock()
+	_, abandoned := m.abandoned[grant.ID]
+	m.mutex.Unlock()
+	if abandoned {
+		m.finish(grant.Program, grant.ID, 0)
+		return Grant{}, ErrAbandoned
+	}
+	return grant, nil
+}
+
+// tryBegin begins a turn if its tokens fit the credit. Otherwise it returns the reservation to
+// wait for; own reports whether the reservation was made for this turn.
+func (m *creditManager) tryBegin(request TurnRequest) (grant Grant, call *pendingReservation, own bool) {
+	program, maxTokens, coordinator := request.Program, request.MaxTurnTokens, request.Coordinator
+	exclusive := m.exclusive()
+	reserves := coordinator || exclusive || m.availability.Available(m.partition.appender.partition)
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	entry, known := m.credits[program]
+	if !reserves && (!known || entry.pending == nil && !entry.credit.Fits(maxTokens, false)) {
+		return Grant{}, unavailableReservation, true
+	}
+	if !known {
+		entry = &creditEntry{credit: ledger.NewCredit(program, m.incarnation, request.Budget, maxTokens, m.clock())}
+		entry.allowUnlogged = exclusive && !m.partition.reader.knows(program)
+		m.credits[program] = entry
+		m.reserveMore(entry, maxTokens, coordinator)
+		own = true
+	}
+	if entry.credit.Fits(maxTokens, entry.allowUnlogged && exclusive) {
+		grant = Grant{Program: program, ID: request.ID, Charged: entry.credit.Charged, Unlogged: entry.pending != nil, First: entry.credit.Fresh()}
+		entry.credit.Open(grant.ID, maxTokens, m.clock())
+		if coordinator && entry.pending == nil && !entry.refillRefused && entry.credit.Low() {
+			m.reserveMore(entry, maxTokens, true)
+		}
+		return grant, nil, false
+	}
+	if entry.pending == nil && entry.credit.Exhausted(maxTokens) {
+		return Grant{}, refusedReservation, true
+	}
+	if entry.pending == nil {
+		m.reserveMore(entry, maxTokens, coordinator)
+		own = true
+	}
+	return Grant{}, entry.pending, own
+}
+
+// reserveMore reserves more tokens for a credit, in the background. The caller must hold the
+// mutex.
+func (m *creditManager) reserveMore(entry *creditEntry, maxTokens uint32, ample bool) {
+	attempt := ledger.AttemptID(rand.Uint64())
+	record := entry.credit.NextReservation(attempt, maxTokens, entry.allowUnlogged, ample)
+	m.reserve(entry, record)
+}
+
+// reserve writes a reservation and applies its verdict, in the background. The caller must hold
+// the mutex.
+func (m *creditManager) reserve(entry *creditEntry, record ledger.Reservation) {
+	call, attempt := &pendingReservation{done: make(chan struct{})}, record.Attempt
+	entry.pending = call
+	m.partition.reader.expectVerdict(attempt)
+	waiting := m.partition.submitLater(ledger.Encode(record))
+	go func() {
+		verdict, err := m.awaitVerdict(attempt, waiting)
+		m.mutex.Lock()
+		defer m.mutex.Unlock()
+		if err == nil {
+			entry.credit.ApplyVerdict(verdict, m.maySettle)
+			call.granted = verdict.Granted > 0
+			entry.refillRefused = !call.granted
+		}
+		call.err = err
+		entry.pending = nil
+		close(call.done)
+	}()
+}
+
+// rebase replaces a program's reservations by one for its next turns, written with the
+// partition's next call. It does nothing while the store is unavailable.
+func (m *creditManager) rebase(program ledger.ProgramID) {
+	if !m.availability.Available(m.partition.appender.partition) {
+		return
+	}
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	entry, known := m.credits[program]
+	if !known || m.releasing || entry.pending != nil {
+		return
+	}
+	settled, next, changed := entry.credit.Rebase(ledger.AttemptID(rand.Uint64()))
+	if !changed {
+		return
+	}
+	m.submitAll(settled)
+	m.reserve(entry, next)
+}
+
+// maySettle reports whether an incarnation may still return what it has reserved.
+func (m *creditManager) maySettle(incarnation ledger.IncarnationID) bool {
+	return incarnation == m.incarnation || m.members.MayBeAlive(incarnation)
+}
+
+// awaitVerdict waits until a reservation is in the log, without a timeout, and returns its
+// verdict.
+func (m *creditManager) awaitVerdict(attempt ledger.AttemptID, waiting *submission) (ledger.Verdict, error) {
+	outcome := <-waiting.outcome
+	if outcome.err != nil {
+		m.partition.reader.verdict(attempt)
+		return ledger.Verdict{}, outcome.err
+	}
+	for {
+		recovered := m.availability.Recovered()
+		err := m.partition.reader.readTo(context.Background(), outcome.first)
+		if verdict, known := m.partition.reader.verdict(attempt); known {
+			return verdict, nil
+		}
+		if err == nil {
+			return ledger.Verdict{}, fmt.Errorf("%w: the verdict was passed over", ErrUnavailable)
+		}
+		m.partition.reader.expectVerdict(attempt)
+		sleepUntilRecovered(recovered, maxRetryPause)
+	}
+}
+
+// finish ends a turn, or prevents it from beginning if it has not.
+func (m *creditManager) finish(program ledger.ProgramID, grant ledger.GrantID, used uint32) {
+	if m.finishAndSettle(program, grant, used) {
+		m.partition.flush()
+	}
+}
+
+// finishAndSettle ends a turn and reports whether that settled the program's credit, for which
+// the program's next coordinator may be waiting.
+func (m *creditManager) finishAndSettle(program ledger.ProgramID, grant ledger.GrantID, used uint32) (settled bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	entry, known := m.credits[program]
+	if !known || !entry.credit.Finish(grant, used, m.clock()) {
+		m.abandoned[grant] = m.clock()
+		return false
+	}
+	return m.releasing && m.settleIfIdle(program, entry, 0)
+}
+
+// forgetAbandoned requires the mutex.
+func (m *creditManager) forgetAbandoned() {
+	now := m.clock()
+	for grant, since := range m.abandoned {
+		if now-since > abandonedTTL {
+			delete(m.abandoned, grant)
+		}
+	}
+}
+
+// settleIfIdle settles and removes a credit that has been idle for the given time. It reports
+// whether that produced records to write. The caller must hold the mutex.
+func (m *creditManager) settleIfIdle(program ledger.ProgramID, entry *creditEntry, idle time.Duration) bool {
+	if entry.pending != nil || !entry.credit.Idle(idle, m.clock()) {
+		return false
+	}
+	records := entry.credit.Settle()
+	m.submitAll(records)
+	delete(m.credits, program)
+	return len(records) > 0
+}
+
+// submitAll writes records with the partition's next call.
+func (m *creditManager) submitAll(records []ledger.Record) {
+	for _, record := range records {
+		m.partition.submitLater(ledger.Encode(record))
+	}
+}
+
+// refusalError returns the error for a turn whose reservation was refused.
+func (m *creditManager) refusalError(program ledger.ProgramID) error {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	entry, known := m.credits[program]
+	switch {
+	case !known:
+		return &BudgetExhaustedError{}
+	case entry.credit.Blocked():
+		return fmt.Errorf("%w: %d tokens are charged", ErrBudgetReserved, entry.credit.Charged)
+	}
+	return &BudgetExhaustedError{Charged: entry.credit.Charged}
+}
+
+// settleIdle settles idle credits. If this node does not coordinate the partition, or stops, it
+// settles all credits without an open turn and gives up the ownership.
+func (m *creditManager) settleIdle(coordinator bool) {
+	idle := creditIdleTimeout
+	switch {
+	case !coordinator:
+		idle = 0
+	case !m.availability.Available(m.partition.appender.partition):
+		// Programs whose turns could not be persisted come back, and nothing can be reserved
+		// for them while the store is unavailable.
+		idle = grantTimeout
+	}
+	m.mutex.Lock()
+	m.releasing = !coordinator
+	if !coordinator {
+		m.wantedSince = 0
+	}
+	m.forgetAbandoned()
+	undecided, settled := false, false
+	for program, entry := range m.credits {
+		entry.credit.Expire(grantTimeout, m.clock())
+		undecided = undecided || entry.pending != nil
+		settled = m.settleIfIdle(program, entry, idle) || settled
+	}
+	m.mutex.Unlock()
+	if settled && !coordinator {
+		m.partition.flush()
+	}
+	switch {
+	case coordinator:
+	case undecided:
+		m.partition.flush()
+	default:
+		m.release()
+	}
+}
+
+// allDecided reports whether no reservation and no ownership record is pending.
+func (m *creditManager) allDecided() bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	for _, entry := range m.credits {
+		if entry.pending != nil {
+			return false
+		}
+	}
+	return !m.claiming
+}
+
+// exclusive reports whether this node may make unlogged grants.
+func (m *creditManager) exclusive() bool {
+	m.mutex.Lock()
+	releasing := m.releasing
+	m.mutex.Unlock()
+	return !releasing && m.partition.reader.exclusive(m.incarnation)
+}
--- a/internal/ledgerlog/ledgerlog.go
+++ b/internal/ledgerlog/ledgerlog.go
@@ -1,6 +1,6 @@
-// Package ledgerlog runs the ledger of budgets and kept turns on the durable log.
-// A reservation is appended and the partition read up to it; what stands there
-// decides. Any node can do this for any program, at any time.
+// Package ledgerlog runs the ledger of budgets and the index of turns on the durable log. A
+// reservation is appended and the partition is read up to it; the state at that offset decides.
+// Any node can do this for any program at any time.
 package ledgerlog
 
 import (
@@ -20,80 +20,83 @@
 )
 
 var (
-	// ErrUnavailable tells that the store could not be asked in time. Nothing may
-	// be concluded about budget or history.
+	// ErrUnavailable reports that the store could not be reached in time. It implies nothing
+	// about budgets or turns. Its text is sent to other nodes.
 	ErrUnavailable = errors.New("ledgerlog: the ledger can't be reached")
-	// ErrStoreUnavailable tells that the store takes nothing from this node for now. It wraps
-	// ErrUnavailable.
+	// ErrStoreUnavailable reports that the store is unavailable to this node for now. It wraps
+	// ErrUnavailable. Its text is sent to other nodes.
 	ErrStoreUnavailable = fmt.Errorf("%w: the store answers nothing", ErrUnavailable)
-	// ErrNoSuchTurn tells that the log holds no such turn, for certain.
+	// ErrNoSuchTurn reports that the log certainly has no such turn. Its text is sent to other
+	// nodes.
 	ErrNoSuchTurn = errors.New("ledgerlog: no such turn")
-	// ErrBudgetReserved tells that what is left of the budget is reserved by other nodes,
-	// which may give some of it back.
+	// ErrBudgetReserved reports that the rest of the budget is reserved by other nodes, which
+	// may return some of it. Its text is sent to other nodes.
 	ErrBudgetReserved = errors.New("ledgerlog: the rest of the budget is reserved elsewhere")
-	// ErrAbandoned tells that whoever asked for the turn has said meanwhile that it
-	// does not take place.
+	// ErrAbandoned reports that the caller finished the turn before it began. Its text is sent
+	// to other nodes.
 	ErrAbandoned = errors.New("ledgerlog: the turn was abandoned")
 )
 
-// BudgetExhaustedError tells that the budget does not hold one more attempt.
+// BudgetExhaustedError reports that the budget has no room for another turn. Its text is sent
+// to other nodes.
 type BudgetExhaustedError struct {
-	// Charged is what stands against the budget, in tokens.
+	// Charged is the amount charged to the budget, in tokens.
 	Charged uint64
 }
 
-// Error gives the charges.
+// Error implements error.
 func (e *BudgetExhaustedError) Error() string {
 	return fmt.Sprintf("ledgerlog: budget spent, %d tokens are charged", e.Charged)
 }
 
-// tidyPause is the time between two looks for what rests.
-const tidyPause = 500 * time.Millisecond
+// settleInterval is the time between two searches for idle credits.
+const settleInterval = 500 * time.Millisecond
 
-// Availability tells when calls of the store may go out. Reads need not wait: the store fails
+// Availability reports when the store may be called. Reads do not need to wait: the store fails
 // those that may not go out at once.
 type Availability interface {
 	// Await returns once an append to a partition may go out, or an error when ctx ends.
 	Await(ctx context.Context, place logstore.Partition) error
-	// Available tells whether calls on a partition are answered, as far as is known.
+	// Available reports whether calls on a partition are answered, as far as known.
 	Available(place logstore.Partition) bool
-	// Recovered returns a channel that is closed once the store, or a part of it, answers
-	// again.
+	// Recovered returns a channel that is closed once the store, or a part of it, has
+	// recovered. A nil channel never reports a recovery.
 	Recovered() <-chan struct{}
 }
 
-// openGate lets all calls out.
-type openGate struct{}
+// alwaysAvailable is the Availability of a store without a circuit breaker.
+type alwaysAvailable struct{}
 
-func (openGate) Await(context.Context, logstore.Partition) error { return nil }
-func (openGate) Available(logstore.Partition) bool               { return true }
-func (openGate) Recovered() <-chan struct{}                      { return nil }
+func (alwaysAvailable) Await(context.Context, logstore.Partition) error { return nil }
+func (alwaysAvailable) Available(logstore.Partition) bool               { return true }
+func (alwaysAvailable) Recovered() <-chan struct{}                      { return nil }
 
-// Config is what a Ledger is made from. All fields but Gate and Registerer are required.
+// Config configures a Ledger. All fields but IndexTextBytes, Availability and Registerer are
+// required.
 type Config struct {
 	Store logstore.Store
-	// Topic holds charges and the index of turns, TextTopic their texts.
+	// Topic is the topic of charges and the index, TextTopic that of texts.
 	Topic, TextTopic string
 	// Partitions is the number of partitions of either topic.
 	Partitions int
-	// Producer is unique to this life of the process; it is its LifeID too.
+	// Producer is unique to this incarnation of the process and serves as its IncarnationID.
 	Producer string
 	// RecordBytes and CallBytes bound one record and one append.
 	RecordBytes, CallBytes int
 	// Retain is how long the store keeps records.
 	Retain time.Duration
-	// IndexTextBytes bounds the texts of turns that a take-over of a partition reads; 0
-	// leaves all texts to their own topic.
+	// IndexTextBytes bounds the bytes of texts that a node reads when it takes a partition
+	// over; 0 keeps all texts out of the index.
 	IndexTextBytes int
-	// CacheBytes bounds the texts of turns in memory.
+	// CacheBytes bounds the cache of texts in memory.
 	CacheBytes int
-	// Availability is that of Store; nil lets all calls out.
+	// Availability is that of Store; nil never delays a call.
 	Availability Availability
 	Logger       *slog.Logger
 	Registerer   prometheus.Registerer
 }
 
-// Ledger reserves and settles budgets and keeps turns. It is safe for concurrent use.
+// Ledger reserves and settles budgets and persists turns. It is safe for concurrent use.
 type Ledger struct {
 	config     Config
 	partitions []*partition
@@ -102,162 +105,161 @@
 
 // partition is one partition of the ledger's topic.
 type partition struct {
-	appender *appender
-	follower *follower
-	holder   *holder
+	appender      *appender
+	reader        *reader
+	creditManager *creditManager
 
-	// mutex guards lazy and timer: submissions that go with the next append.
+	// mutex guards lazy, the submissions that go with the next append, and timer.
 	mutex sync.Mutex
 	lazy  []*submission
 	timer *time.Timer
 }
 
-// New returns a ledger that has read nothing yet.
+// New returns a ledger that has not read its partitions yet.
 func New(config Config) *Ledger {
 	if config.Availability == nil {
-		config.Availability = openGate{}
+		config.Availability = alwaysAvailable{}
 	}
 	counted := newMetrics(config.Registerer)
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
 	pace, window, resend := &pacer{}, &readWindow{}, &retransmission{}
 	built := &Ledger{config: config, texts: newTextStore(config, counted, pace, resend)}
-	rule := config.textRule()
+	limits := config.textLimits()
 	for number := range config.Partitions {
 		place := logstore.Partition{Topic: config.Topic, Number: number}
-		reads := &follower{
+		reads := &reader{
 			store: config.Store, partition: place, metrics: counted, window: window,
 			clock: clock, state: ledger.NewPartition(), verdicts: map[ledger.AttemptID]*ledger.Verdict{},
-			logger: config.Logger, onText: built.texts.remember, largestText: rule.TextBytes,
+			logger: config.Logger, onText: built.texts.cacheText, largestText: limits.TextBytes,
 		}
-		reads.state.SetTextLimits(rule)
+		reads.state.SetTextLimits(limits)
 		added := &partition{
-			follower: reads,
+			reader: reads,
 			appender: &appender{
-				store: config.Store, gate: config.Availability, partition: place, producer: config.Producer, callBytes: config.CallBytes,
+				store: config.Store, availability: config.Availability, partition: place, producer: config.Producer, callBytes: config.CallBytes,
 				logger: config.Logger, metrics: counted, pacer: pace, retransmission: resend,
-				written: reads.applyOwn, epoch: 1,
+				onWritten: reads.applyWritten, epoch: 1,
 			},
 		}
-		added.holder = &holder{
-			partition: added, gate: config.Availability, life: ledger.IncarnationID(config.Producer), members: unknownMembers{}, clock: clock,
-			credits: map[ledger.ProgramID]*heldCredit{}, abandoned: map[ledger.GrantID]time.Duration{},
+		added.creditManager = &creditManager{
+			partition: added, availability: config.Availability, incarnation: ledger.IncarnationID(config.Producer), members: unknownMembers{}, clock: clock,
+			credits: map[ledger.ProgramID]*creditEntry{}, abandoned: map[ledger.GrantID]time.Duration{},
 		}
 		built.partitions = append(built.partitions, added)
 	}
 	return built
 }
 
-// Members tells which lives of nodes go on.
+// Members reports which incarnations of nodes are alive.
 type Members interface {
-	// IsAlive tells whether a life is known to go on.
-	IsAlive(life ledger.IncarnationID) bool
-	// MayBeAlive tells whether a life may go on, as far as that can be known yet.
-	MayBeAlive(life ledger.IncarnationID) bool
+	// IsAlive reports whether an incarnation is known to be alive.
+	IsAlive(incarnation ledger.IncarnationID) bool
+	// MayBeAlive reports whether an incarnation may be alive, as far as known.
+	MayBeAlive(incarnation ledger.IncarnationID) bool
 }
 
-// unknownMembers are those of a node that nobody tells of others.
+// unknownMembers is used until SetMembers is called.
 type unknownMembers struct{}
 
 func (unknownMembers) IsAlive(ledger.IncarnationID) bool    { return false }
 func (unknownMembers) MayBeAlive(ledger.IncarnationID) bool { return true }
 
-// SetMembers tells which lives go on. It is called at most once, before the first
-// turn; without it other nodes may live, but none is waited for.
+// SetMembers sets the source of members. It must be called at most once, before the first turn.
+// Without it other nodes may be alive, but none is given time to release its ownership.
 func (l *Ledger) SetMembers(members Members) {
 	for _, p := range l.partitions {
-		p.holder.members = members
+		p.creditManager.members = members
 	}
 }
 
-func (l *Ledger) of(program ledger.ProgramID) *partition {
+func (l *Ledger) partitionOf(program ledger.ProgramID) *partition {
 	return l.partitions[l.Partition(program)]
 }
 
 // TurnRequest asks for the tokens of one turn.
 type TurnRequest struct {
 	Program ledger.ProgramID
-	// ID is chosen by whoever asks, so that it can end the turn without having
-	// heard of its beginning.
+	// ID is chosen by the caller, so that it can finish the turn even if the response is lost.
 	ID ledger.GrantID
-	// Budget is the program's, MaxTurnTokens what the turn hands out at most, in tokens.
+	// Budget is the program's budget and MaxTurnTokens the upper bound of this turn, in tokens.
 	Budget, MaxTurnTokens uint32
-	// Coordinator tells whether this node should own the program's partition; Substitute that it does so
-	// in place of one that lives and may come back soon.
+	// Coordinator is set if this node should own the program's partition. Substitute is set if
+	// it does so in place of a live node that may return soon.
 	Coordinator, Substitute bool
 }
 
-// NewGrantID returns an id that no other turn has.
+// NewGrantID returns a random id.
 func NewGrantID() ledger.GrantID { return ledger.GrantID(rand.Uint64()) }
 
-// BeginTurn begins a turn. Errors: a *SpentError, or one that wraps ErrUnavailable,
-// ErrReserved or ErrAbandoned.
+// BeginTurn begins a turn. Errors: a *BudgetExhaustedError, or one that wraps ErrUnavailable,
+// ErrBudgetReserved or ErrAbandoned.
 func (l *Ledger) BeginTurn(ctx context.Context, request TurnRequest) (Grant, error) {
-	holder := l.of(request.Program).holder
+	creditManager := l.partitionOf(request.Program).creditManager
 	if request.Coordinator {
-		holder.claim(request.Substitute)
+		creditManager.claim(request.Substitute)
 	}
-	return holder.take(ctx, request)
+	return creditManager.begin(ctx, request)
 }
 
-// CatchUp reads a partition to its end, as far as the store answers until ctx ends.
+// CatchUp reads a partition to its end, as far as possible until ctx ends.
 func (l *Ledger) CatchUp(ctx context.Context, partition int) {
-	// Whoever needs the partition reads on.
-	_ = l.partitions[partition].follower.readToEnd(ctx)
+	// A failed read is repeated by the next caller that needs the partition.
+	_ = l.partitions[partition].reader.readToEnd(ctx)
 }
 
-// FinishTurn ends a turn that handed out used tokens. One that has not begun yet will
-// not begin any more.
+// FinishTurn ends a turn that used tokens. A turn that has not begun yet is prevented from
+// beginning.
 func (l *Ledger) FinishTurn(program ledger.ProgramID, grant ledger.GrantID, used uint32) {
-	l.of(program).holder.finish(program, grant, used)
+	l.partitionOf(program).creditManager.finish(program, grant, used)
 }
 
-// Partition returns the number of the partition that holds a program.
+// Partition returns the number of a program's partition.
 func (l *Ledger) Partition(program ledger.ProgramID) int {
 	return int(xxhash.Sum64String(string(program)) % uint64(len(l.partitions)))
 }
 
-// Run settles what rests until ctx ends; home tells which partitions are at home here.
-func (l *Ledger) Run(ctx context.Context, home func(partition int) bool) {
-	ticker := time.NewTicker(tidyPause)
+// Run calls SettleIdle at regular intervals until ctx ends.
+func (l *Ledger) Run(ctx context.Context, coordinates func(partition int) bool) {
+	ticker := time.NewTicker(settleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			l.SettleIdle(home)
+			l.SettleIdle(coordinates)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// SettleIdle settles what rests and gives up partitions that are at home elsewhere.
-func (l *Ledger) SettleIdle(home func(partition int) bool) {
+// SettleIdle settles idle credits and gives up the partitions that this node does not
+// coordinate according to coordinates.
+func (l *Ledger) SettleIdle(coordinates func(partition int) bool) {
 	for number, p := range l.partitions {
-		p.holder.tidy(home(number))
+		p.creditManager.settleIdle(coordinates(number))
 	}
 }
 
-// submitNow writes a record at once, with what waits for a call to go with.
+// submitNow writes a record at once, together with the lazy submissions.
 func (p *partition) submitNow(record []byte) *submission {
 	p.flush()
 	return p.appender.submit(context.Background(), [][]byte{record})
 }
 
-// submitLater writes a record with the next call, or after gatherPause.
+// submitLater writes a record with the next call, or after lazySubmitDelay.
 func (p *partition) submitLater(record []byte) *submission {
 	waiting := newSubmission(context.Background(), [][]byte{record})
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.lazy = append(p.lazy, waiting)
 	if p.timer == nil {
-		p.timer = time.AfterFunc(gatherPause, func() { p.flush() })
+		p.timer = time.AfterFunc(lazySubmitDelay, func() { p.flush() })
 	}
 	return waiting
 }
 
-// flush writes what waits for a call to go with, and then what is given, in one call as far
-// as there is room.
+// flush writes the lazy submissions and then the given ones, in one call as far as they fit.
 func (p *partition) flush(with ...*submission) {
 	p.mutex.Lock()
 	waiting := p.lazy
@@ -270,11 +272,11 @@
 	p.appender.enqueue(append(waiting, with...)...)
 }
 
-// Stop settles every credit without an open turn, gives ownerships back and writes
-// it all. It returns ctx's error if that is not done by its end.
+// Stop settles all credits without an open turn, gives up ownerships and waits until everything
+// is written. It returns ctx's error if ctx ends first.
 func (l *Ledger) Stop(ctx context.Context) error {
 	const pause = 10 * time.Millisecond
-	for !l.stopped() {
+	for !l.tryStop() {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("ledgerlog: stop: %w", ctx.Err())
@@ -284,13 +286,13 @@
 	return nil
 }
 
-// stopped writes what can be written by now and tells whether that is all.
-func (l *Ledger) stopped() bool {
+// tryStop writes what can be written now and reports whether nothing is left.
+func (l *Ledger) tryStop() bool {
 	all := true
 	for _, p := range l.partitions {
-		p.holder.tidy(false)
+		p.creditManager.settleIdle(false)
 		p.flush()
-		all = all && p.holder.decided() && p.appender.idle()
+		all = all && p.creditManager.allDecided() && p.appender.idle()
 	}
 	return all
 }
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -19,7 +19,7 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// testTextBytes is room for many texts of the tests.
+// testTextBytes has room for many texts of the tests.
 const testTextBytes = 512 << 10
 
 func newLedger(log logstore.Store, name string) *Ledger {
@@ -29,13 +29,13 @@
 	})
 }
 
-// answeringGate lets all calls out and tells what a test says.
-type answeringGate struct {
-	openGate
+// fakeAvailability never delays calls and reports what a test says.
+type fakeAvailability struct {
+	alwaysAvailable
 	answers func() bool
 }
 
-func (g answeringGate) Available(logstore.Partition) bool { return g.answers() }
+func (g fakeAvailability) Available(logstore.Partition) bool { return g.answers() }
 
 func within(t *testing.T, limit time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
@@ -43,7 +43,7 @@
 	return ctx
 }
 
-// findTurn looks for a turn in its program's partition first, then in all.
+// findTurn searches the program's partition first, then all others.
 func findTurn(ctx context.Context, l *Ledger, program ledger.ProgramID, turn ledger.TurnID) (ledger.IndexedTurn, error) {
 	var partitions []int
 	for i := range l.Partitions() {
@@ -52,9 +52,9 @@
 	return l.Find(ctx, turn, partitions...)
 }
 
-// take begins a turn under an id of its own.
-func take(ctx context.Context, l *Ledger, program ledger.ProgramID, budget, most uint32, home bool) (Grant, error) {
-	return l.BeginTurn(ctx, TurnRequest{Program: program, ID: NewGrantID(), Budget: budget, MaxTurnTokens: most, Coordinator: home})
+// beginTurn begins a turn under a new id.
+func beginTurn(ctx context.Context, l *Ledger, program ledger.ProgramID, budget, most uint32, coordinator bool) (Grant, error) {
+	return l.BeginTurn(ctx, TurnRequest{Program: program, ID: NewGrantID(), Budget: budget, MaxTurnTokens: most, Coordinator: coordinator})
 }
 
 func TestBudgetIsSharedByAllNodes(t *testing.T) {
@@ -63,14 +63,14 @@
 			is := is.New(t)
 			log := store.New()
 			first, second := newLedger(log, "a"), newLedger(log, "b")
-			grant, err := take(within(t, time.Second), first, "p", 100, 60, false)
+			grant, err := beginTurn(within(t, time.Second), first, "p", 100, 60, false)
 			is.NoErr(err)
-			// Whether the budget is spent shows when the first turn ends.
-			_, err = take(within(t, time.Second), second, "p", 100, 60, false)
+			// Whether the budget is exhausted is not known before the first turn ends.
+			_, err = beginTurn(within(t, time.Second), second, "p", 100, 60, false)
 			is.True(errors.Is(err, ErrBudgetReserved))
 			first.FinishTurn(grant.Program, grant.ID, used)
 			is.NoErr(first.Stop(within(t, time.Second)))
-			_, err = take(within(t, time.Second), second, "p", 100, 60, false)
+			_, err = beginTurn(within(t, time.Second), second, "p", 100, 60, false)
 			if used == 30 {
 				is.NoErr(err)
 				return
@@ -89,55 +89,56 @@
 			l := newLedger(store.New(), "a")
 			request := TurnRequest{Program: "p", ID: NewGrantID(), Budget: 100, MaxTurnTokens: 60, Coordinator: true}
 			if early {
-				l.FinishTurn(request.Program, request.ID, 0) // overtakes the request
+				l.FinishTurn(request.Program, request.ID, 0) // arrives before the request
 			}
 			_, err := l.BeginTurn(within(t, time.Second), request)
 			is.Equal(errors.Is(err, ErrAbandoned), early)
 			l.FinishTurn(request.Program, request.ID, 0)
-			grant, err := take(within(t, time.Second), l, "p", 100, 60, true)
+			grant, err := beginTurn(within(t, time.Second), l, "p", 100, 60, true)
 			is.NoErr(err)
 			l.FinishTurn(grant.Program, grant.ID, 60)
-			_, err = take(within(t, time.Second), l, "p", 100, 60, true)
+			_, err = beginTurn(within(t, time.Second), l, "p", 100, 60, true)
 			var spent *BudgetExhaustedError
 			is.True(errors.As(err, &spent))
 		})
 	}
 }
 
-func TestSilentStoreRefusesInTimeAndTheCreditIsKept(t *testing.T) {
+func TestReservationSurvivesTimeoutOfItsTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		l := newLedger(log, "a")
 		log.Fail(store.Fault{LoseAnswers: true})
 		began := time.Now()
-		_, err := take(within(t, 300*time.Millisecond), l, "p", 100, 60, false)
+		_, err := beginTurn(within(t, 300*time.Millisecond), l, "p", 100, 60, false)
 		is.True(errors.Is(err, ErrUnavailable))
 		is.Equal(time.Since(began), 300*time.Millisecond)
 		log.Fail(store.Fault{})
 		time.Sleep(2 * time.Second)
 		appends := log.Calls("append")
-		grant, err := take(within(t, time.Second), l, "p", 100, 60, false)
-		is.NoErr(err) // from the reservation that nobody waited for
+		grant, err := beginTurn(within(t, time.Second), l, "p", 100, 60, false)
+		is.NoErr(err) // from the reservation of the first attempt
 		is.Equal(log.Calls("append"), appends)
 		l.FinishTurn(grant.Program, grant.ID, 40)
-		_, err = take(within(t, time.Second), l, "p", 100, 60, false)
+		_, err = beginTurn(within(t, time.Second), l, "p", 100, 60, false)
 		is.NoErr(err)
 	})
 }
 
-// TestTurnIsRefusedAtOnceWhileTheStoreIsAway refuses what needs the store, lets go on
-// what has a reservation left, and serves all once the store is back.
-func TestTurnIsRefusedAtOnceWhileTheStoreIsAway(t *testing.T) {
+// TestTurnIsRefusedAtOnceWhileStoreIsUnavailable checks that turns which need the store are
+// refused without delay, that existing reservations are served, and that all turns are served
+// after recovery.
+func TestTurnIsRefusedAtOnceWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		var away atomic.Bool
 		l := New(Config{
 			Store: log, Topic: "ledger", TextTopic: "texts", Partitions: 3, Producer: "a", RecordBytes: 64, CallBytes: 1 << 20,
-			CacheBytes: 1 << 10, Logger: slog.New(slog.DiscardHandler), Availability: answeringGate{answers: func() bool { return !away.Load() }},
+			CacheBytes: 1 << 10, Logger: slog.New(slog.DiscardHandler), Availability: fakeAvailability{answers: func() bool { return !away.Load() }},
 		})
-		grant, err := take(within(t, time.Second), l, "p", 1000, 60, true)
+		grant, err := beginTurn(within(t, time.Second), l, "p", 1000, 60, true)
 		is.NoErr(err)
 		l.FinishTurn(grant.Program, grant.ID, 40)
 		time.Sleep(time.Second)
@@ -147,15 +148,15 @@
 			time.Sleep(300 * time.Millisecond)
 			away.Store(true)
 		}()
-		_, err = take(within(t, 5*time.Second), l, "q", 100, 60, false)
+		_, err = beginTurn(within(t, 5*time.Second), l, "q", 100, 60, false)
 		is.True(errors.Is(err, ErrStoreUnavailable) && errors.Is(err, ErrUnavailable))
 		is.True(time.Since(began) <= 360*time.Millisecond)
 		began = time.Now()
-		_, err = take(within(t, 5*time.Second), l, "r", 100, 60, false)
+		_, err = beginTurn(within(t, 5*time.Second), l, "r", 100, 60, false)
 		is.True(errors.Is(err, ErrStoreUnavailable))
 		is.Equal(time.Since(began), time.Duration(0))
-		for range 8 { // as long as its reservation lasts
-			if grant, err = take(within(t, 2*time.Second), l, "p", 1000, 60, true); err != nil {
+		for range 8 { // until its reservation is used up
+			if grant, err = beginTurn(within(t, 2*time.Second), l, "p", 1000, 60, true); err != nil {
 				break
 			}
 			l.FinishTurn(grant.Program, grant.ID, 60)
@@ -165,29 +166,29 @@
 		log.Fail(store.Fault{})
 		away.Store(false)
 		time.Sleep(2 * time.Second)
-		_, err = take(within(t, time.Second), l, "q", 100, 60, false)
+		_, err = beginTurn(within(t, time.Second), l, "q", 100, 60, false)
 		is.NoErr(err)
 	})
 }
 
-func TestTurnsOfOneProgramShareACall(t *testing.T) {
+func TestTurnsOfOneProgramShareReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		l := newLedger(log, "a")
 		for range 4 {
-			grant, err := take(within(t, time.Second), l, "p", 1000, 60, true)
+			grant, err := beginTurn(within(t, time.Second), l, "p", 1000, 60, true)
 			is.NoErr(err)
 			l.FinishTurn(grant.Program, grant.ID, 25)
 		}
 		appends := log.Calls("append")
-		time.Sleep(time.Second)        // the first look, in the background, may come after the turns
+		time.Sleep(time.Second)        // the initial read, in the background, may come after the turns
 		is.True(appends <= 2)          // one may be the claim of the ownership
-		is.Equal(log.Calls("read"), 1) // the first look, which tells who owns the partition
+		is.Equal(log.Calls("read"), 1) // the initial read, which finds the partition's owner
 	})
 }
 
-func TestRefusalsSpaceTheCalls(t *testing.T) {
+func TestRefusalsWidenTheGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		pace := &pacer{}
@@ -200,7 +201,7 @@
 		for range 20 {
 			pace.refused()
 		}
-		is.True(took() >= longestGap/2 && took() <= 2*longestGap)
+		is.True(took() >= maxGap/2 && took() <= 2*maxGap)
 		for range 200 {
 			pace.accepted()
 		}
@@ -208,15 +209,15 @@
 	})
 }
 
-// own makes l the sure owner of the partition of program p.
+// own makes l the exclusive owner of the partition of program p.
 func own(t *testing.T, l *Ledger) {
-	grant, err := take(within(t, time.Second), l, "p", 1000, 1, true)
+	grant, err := beginTurn(within(t, time.Second), l, "p", 1000, 1, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.FinishTurn(grant.Program, grant.ID, 0)
 	time.Sleep(time.Second)
-	if !l.of("p").holder.sure() {
+	if !l.partitionOf("p").creditManager.exclusive() {
 		t.Fatal("not a sure owner")
 	}
 }
@@ -231,18 +232,18 @@
 	return found
 }
 
-func TestSureOwnerBeginsProgramsWithoutTheStore(t *testing.T) {
+func TestExclusiveOwnerBeginsProgramsWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		cut := &cutStore{Store: log}
+		cut := &unresponsiveStore{Store: log}
 		l, other := newLedger(log, "a"), newLedger(cut, "b")
 		own(t, l)
 		log.Fail(store.Fault{Silent: true})
 		program := samePartition(l, 1)[0]
 		handedOut := uint32(0)
 		for {
-			grant, err := take(within(t, 100*time.Millisecond), l, program, 1000, 100, true)
+			grant, err := beginTurn(within(t, 100*time.Millisecond), l, program, 1000, 100, true)
 			if err != nil {
 				is.True(errors.Is(err, ErrUnavailable))
 				break
@@ -251,37 +252,37 @@
 			l.FinishTurn(grant.Program, grant.ID, 80)
 			handedOut += 80
 		}
-		is.Equal(handedOut, uint32(320)) // 350 ahead of the log
-		_, err := take(within(t, 100*time.Millisecond), other, program, 1000, 100, true)
+		is.Equal(handedOut, uint32(320)) // the limit of unlogged grants is 350
+		_, err := beginTurn(within(t, 100*time.Millisecond), other, program, 1000, 100, true)
 		is.True(errors.Is(err, ErrUnavailable))
 
-		// The owner reaches the store before the other node does; in the other order
-		// the program would be left what the owner has not handed out ahead.
+		// The owner reaches the store before the other node does. In the other order the
+		// program could use only LoggedBudget.
 		cut.silent.Store(true)
 		log.Fail(store.Fault{})
 		time.Sleep(5 * time.Second)
 		cut.silent.Store(false)
-		time.Sleep(2 * time.Second) // the call under way ends
-		grant, err := take(within(t, time.Second), l, program, 1000, 100, true)
+		time.Sleep(2 * time.Second) // the pending call ends
+		grant, err := beginTurn(within(t, time.Second), l, program, 1000, 100, true)
 		is.NoErr(err)
 		is.True(!grant.Unlogged)
 		l.FinishTurn(grant.Program, grant.ID, 100)
 		is.NoErr(l.Stop(within(t, time.Second)))
-		is.NoErr(other.Stop(within(t, time.Second))) // it has reserved for the turn that it refused
-		_, err = take(within(t, time.Second), other, program, 1000, 600, true)
+		is.NoErr(other.Stop(within(t, time.Second))) // it has made a reservation for the refused turn
+		_, err = beginTurn(within(t, time.Second), other, program, 1000, 600, true)
 		var spent *BudgetExhaustedError
 		is.True(errors.As(err, &spent))
-		is.Equal(spent.Charged, uint64(420)) // nothing is forgotten
+		is.Equal(spent.Charged, uint64(420)) // unlogged grants are charged
 	})
 }
 
-// cutStore is a way to a store on which one node's appends may get no answer.
-type cutStore struct {
+// unresponsiveStore is a store on which one node's appends may get no response.
+type unresponsiveStore struct {
 	logstore.Store
 	silent atomic.Bool
 }
 
-func (c *cutStore) Append(ctx context.Context, request logstore.AppendRequest) (logstore.AppendResult, error) {
+func (c *unresponsiveStore) Append(ctx context.Context, request logstore.AppendRequest) (logstore.AppendResult, error) {
 	if c.silent.Load() {
 		<-ctx.Done()
 		return logstore.AppendResult{}, fmt.Errorf("%w: %w", logstore.ErrOutcomeUnknown, ctx.Err())
@@ -289,7 +290,7 @@
 	return c.Store.Append(ctx, request)
 }
 
-func TestOwnershipPassesOnCleanlyAtAPlannedStop(t *testing.T) {
+func TestPlannedStopReleasesOwnership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
@@ -297,29 +298,29 @@
 		own(t, first)
 		is.NoErr(first.Stop(within(t, time.Second)))
 		own(t, second)
-		// The second node dies; the third can't be sure.
-		_, err := take(within(t, time.Second), third, "p", 1000, 1, true)
+		// The second node dies, so the third is not an exclusive owner.
+		_, err := beginTurn(within(t, time.Second), third, "p", 1000, 1, true)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		is.Equal(third.of("p").follower.owner(), ledger.IncarnationID("c"))
-		is.True(!third.of("p").holder.sure())
-		_, err = take(within(t, time.Second), second, samePartition(second, 1)[0], 1000, 1, true)
+		is.Equal(third.partitionOf("p").reader.owner(), ledger.IncarnationID("c"))
+		is.True(!third.partitionOf("p").creditManager.exclusive())
+		_, err = beginTurn(within(t, time.Second), second, samePartition(second, 1)[0], 1000, 1, true)
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		is.True(!second.of("p").holder.sure()) // and the second hears of it
+		is.True(!second.partitionOf("p").creditManager.exclusive()) // and the second node learns of the new owner
 	})
 }
 
-func TestLostAnswersWriteNothingTwice(t *testing.T) {
+func TestLostResponsesCauseNoDuplicates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		l := newLedger(log, "a")
 		log.Fail(store.Fault{LoseAnswers: true})
 		time.AfterFunc(2*time.Second, func() { log.Fail(store.Fault{}) })
-		_, err := take(within(t, 10*time.Second), l, "p", 100, 60, false)
+		_, err := beginTurn(within(t, 10*time.Second), l, "p", 100, 60, false)
 		is.NoErr(err)
-		is.Equal(len(log.Records(l.of("p").follower.partition)), 1)
+		is.Equal(len(log.Records(l.partitionOf("p").reader.partition)), 1)
 	})
 }
 
@@ -366,7 +367,8 @@
 			location, err := l.WriteText(within(t, 2*time.Second), []byte("text"))
 			is.NoErr(err)
 			is.NoErr(l.PersistTurn(within(t, 2*time.Second), ledger.IndexEntry{Program: "p", Turn: "t", Chain: []ledger.Location{location}, Retention: time.Minute}))
-			// A node without any memory finds it as well, but proves no absence.
+			// A node without any state finds the turn too, but can't prove the absence of
+			// another.
 			other := newLedger(log, "b")
 			kept, err := findTurn(within(t, 30*time.Second), other, "p", "t")
 			is.NoErr(err)
@@ -391,20 +393,20 @@
 			_, err := findTurn(within(t, 4*time.Second), l, "p", "t")
 			is.True(errors.Is(err, ErrUnavailable))
 			is.True(!errors.Is(err, ErrNoSuchTurn))
-			time.Sleep(time.Second) // reads under way end
+			time.Sleep(time.Second) // pending reads end
 		}
 	})
 }
 
-func TestForgottenHistoryIsSkipped(t *testing.T) {
+func TestTrimmedRecordsAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		_, err := take(within(t, time.Second), newLedger(log, "a"), "p", 100, 60, false)
+		_, err := beginTurn(within(t, time.Second), newLedger(log, "a"), "p", 100, 60, false)
 		is.NoErr(err)
 		l := newLedger(log, "b")
-		log.Trim(l.of("p").follower.partition, 1)
-		_, err = take(within(t, time.Second), l, "p", 100, 60, false)
+		log.Trim(l.partitionOf("p").reader.partition, 1)
+		_, err = beginTurn(within(t, time.Second), l, "p", 100, 60, false)
 		is.NoErr(err)
 	})
 }
@@ -437,12 +439,12 @@
 	{Delay: 300 * time.Millisecond},
 }
 
-// replace ends a node's life and begins another.
+// replace starts a new incarnation of a node.
 func (s *schedule) replace(node int) {
 	s.nodes[node] = s.start(s.log, fmt.Sprintf("n%d.%d", node, s.step))
 }
 
-// disturb plays the trouble that draw names, if any.
+// disturb injects the fault that draw selects, if any.
 func (s *schedule) disturb(draw int) {
 	at := draw % len(s.nodes)
 	switch draw / 3 % 24 {
@@ -460,25 +462,25 @@
 	case 7:
 		time.Sleep(time.Duration(draw%9000) * time.Millisecond)
 	case 8, 9:
-		time.Sleep(creditIdle)
+		time.Sleep(creditIdleTimeout)
 		for _, node := range s.nodes {
-			node.of(s.program).holder.tidy(draw%5 != 0)
+			node.partitionOf(s.program).creditManager.settleIdle(draw%5 != 0)
 		}
 	}
 }
 
-// turn takes a turn of the program, or of another one, which only makes the node
-// an owner.
+// turn runs a turn of the program, or one of another program, which only makes the node an
+// owner.
 func (s *schedule) turn(draw int) {
 	node := s.nodes[draw%len(s.nodes)]
 	if draw/3%24 >= 20 {
-		_, _ = take(within(s.t, 400*time.Millisecond), node, "p", 1<<20, 1, true)
+		_, _ = beginTurn(within(s.t, 400*time.Millisecond), node, "p", 1<<20, 1, true)
 		return
 	}
 	request := TurnRequest{Program: s.program, ID: NewGrantID(), Budget: sharedBudget, MaxTurnTokens: sharedMost, Coordinator: draw/5%2 == 0}
 	abandoned := draw%11 == 0
 	if abandoned {
-		node.FinishTurn(s.program, request.ID, 0) // overtakes the beginning
+		node.FinishTurn(s.program, request.ID, 0) // arrives before the beginning
 	}
 	grant, err := node.BeginTurn(within(s.t, 400*time.Millisecond), request)
 	if err != nil {
@@ -500,19 +502,18 @@
 	}
 }
 
-// keep keeps a turn, with which the program's credit is rebased, or fails to.
+// keep attempts to persist a turn, which rebases the program's credit.
 func (s *schedule) keep(node *Ledger, draw int) {
 	turn := ledger.IndexEntry{Program: s.program, Turn: ledger.TurnID(fmt.Sprint("t", draw)), Retention: time.Minute}
 	_ = node.PersistTurn(within(s.t, 300*time.Millisecond), turn)
 }
 
-// TestNodesNeverOverspendTogether lets several nodes take turns of one program
-// while the store fails in all its ways, nodes die, all of them at once too,
-// stop as planned and disagree on who is the home. Together they never hand out
-// more than the budget and the most of one turn.
+// TestNodesNeverOverspendTogether runs turns of one program on several nodes through store
+// failures, crashes of one or all nodes, planned stops and disagreement about the coordinator.
+// Together they must never use more than the budget and one turn.
 func TestNodesNeverOverspendTogether(t *testing.T) { testOverspending(t, newLedger) }
 
-func TestNodesWithGatesNeverOverspendTogether(t *testing.T) { testOverspending(t, newGatedLedger) }
+func TestNodesWithBreakersNeverOverspendTogether(t *testing.T) { testOverspending(t, newBreakerLedger) }
 
 func testOverspending(t *testing.T, start func(log logstore.Store, name string) *Ledger) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/ledgerlog/metrics.go
+++ b/internal/ledgerlog/metrics.go
@@ -2,13 +2,13 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics count the ledger's work with the store.
+// metrics counts the ledger's calls of the store.
 type metrics struct {
 	appendSeconds  prometheus.Histogram
 	appendFailures prometheus.Counter
 	readSeconds    prometheus.Histogram
 	readFailures   prometheus.Counter
-	// texts counts texts of turns by where they were written.
+	// texts counts written texts by place.
 	texts *prometheus.CounterVec
 }
 
--- a/internal/ledgerlog/outage_test.go
+++ b/internal/ledgerlog/outage_test.go
@@ -24,13 +24,13 @@
 	outagePartitions = 24
 )
 
-// outageLedger is the ledger of a node whose calls go through breakers, with many partitions.
-func outageLedger(log logstore.Store) *Ledger { return gatedLedger(log, "a", outagePartitions) }
+// outageLedger returns a ledger with many partitions and a circuit breaker.
+func outageLedger(log logstore.Store) *Ledger { return breakerLedger(log, "a", outagePartitions) }
 
-// newGatedLedger is newLedger with breakers.
-func newGatedLedger(log logstore.Store, name string) *Ledger { return gatedLedger(log, name, 3) }
+// newBreakerLedger is newLedger with a circuit breaker.
+func newBreakerLedger(log logstore.Store, name string) *Ledger { return breakerLedger(log, name, 3) }
 
-func gatedLedger(log logstore.Store, name string, partitions int) *Ledger {
+func breakerLedger(log logstore.Store, name string, partitions int) *Ledger {
 	gated := guardedstore.New(guardedstore.Config{Store: log, Logger: slog.New(slog.DiscardHandler)})
 	return New(Config{
 		Store: gated, Availability: gated, Topic: "ledger", TextTopic: "texts", Partitions: partitions, Producer: name,
@@ -38,9 +38,9 @@
 	})
 }
 
-// TestAppendsOfAStoreThatIsAwayAreFew: a node whose partitions all have something to write
-// makes a bounded number of calls in an outage, and all is written soon after its end.
-func TestAppendsOfAStoreThatIsAwayAreFew(t *testing.T) {
+// TestFewAppendsWhileStoreIsUnavailable bounds the calls of a node that has records for all
+// partitions in an outage, and the time until all are written after it.
+func TestFewAppendsWhileStoreIsUnavailable(t *testing.T) {
 	for _, fault := range []store.Fault{{Busy: true}, {Silent: true}, {LoseAnswers: true}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -48,29 +48,29 @@
 			log.Fail(fault)
 			l := outageLedger(log)
 			for i := range 100 {
-				l.of(ledger.ProgramID(fmt.Sprint(i))).submitNow([]byte{byte(i)})
+				l.partitionOf(ledger.ProgramID(fmt.Sprint(i))).submitNow([]byte{byte(i)})
 			}
 			time.Sleep(outage)
 			// Before the breaker opens, each partition fails at 0, 20, 60 and 140 ms at the
-			// soonest; after it, probes alone.
+			// earliest; after that there are only probes.
 			const before = 4
 			is.True(log.Calls("append") <= outagePartitions*before+int(outage/(150*time.Millisecond)))
 			log.Fail(store.Fault{})
-			// The next probe, the time of a call that hangs, and the spread of those that wait.
+			// The next probe, the time of a call that hangs, and the spread of waiting calls.
 			time.Sleep(700 * time.Millisecond)
 			written := 0
 			for _, p := range l.partitions {
 				written += len(log.Records(p.appender.partition))
 			}
 			is.Equal(written, 100)
-			is.Equal(l.of("p").appender.pacer.gap.Load(), int64(0)) // no calls are spaced for what the outage refused
+			is.Equal(l.partitionOf("p").appender.pacer.gap.Load(), int64(0)) // refusals during the outage do not slow down later calls
 		})
 	}
 }
 
-// partlyAway returns a ledger that knows that its log is away on one partition of either
-// topic, that of the program given.
-func partlyAway(t *testing.T, log *store.Store, program ledger.ProgramID) *Ledger {
+// partlyUnavailable returns a ledger that has detected that the given program's partition is
+// unavailable in both topics.
+func partlyUnavailable(t *testing.T, log *store.Store, program ledger.ProgramID) *Ledger {
 	l := outageLedger(log)
 	down := l.Partition(program)
 	log.Fail(store.Fault{Silent: true, Partition: &down})
@@ -79,47 +79,47 @@
 	l.texts.partition = down
 	_, texts := l.texts.writer()
 	go func() { _, _ = texts.append(ctx, [][]byte{{1}}) }()
-	go func() { _, _ = l.of(program).appender.append(ctx, [][]byte{{1}}) }()
-	for i := 0; ctx.Err() == nil; i++ { // others are answered
+	go func() { _, _ = l.partitionOf(program).appender.append(ctx, [][]byte{{1}}) }()
+	for i := 0; ctx.Err() == nil; i++ { // other partitions are available
 		_, _ = l.partitions[(down+1)%outagePartitions].appender.append(ctx, [][]byte{{1}})
 		time.Sleep(50 * time.Millisecond)
 	}
 	return l
 }
 
-// TestWorkGoesToPartitionsThatAnswer at once, and what needs the one that is away is
-// refused at once and not run.
-func TestWorkGoesToPartitionsThatAnswer(t *testing.T) {
+// TestWorkMovesToAvailablePartitions checks that writes move without delay, and that turns
+// which need the unavailable partition are refused at once.
+func TestWorkMovesToAvailablePartitions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		l := partlyAway(t, log, "p")
+		l := partlyUnavailable(t, log, "p")
 		began := time.Now()
 		location, err := l.WriteText(within(t, time.Second), []byte("text"))
 		is.NoErr(err)
 		is.True(int(location.Partition) != l.Partition("p"))
 		is.NoErr(l.PersistTurn(within(t, time.Second), ledger.IndexEntry{Program: "p", Turn: "t", Chain: []ledger.Location{location}, Retention: time.Minute}))
 		is.Equal(time.Since(began), time.Duration(0))
-		_, err = take(within(t, 5*time.Second), l, "p", 100, 60, true)
+		_, err = beginTurn(within(t, 5*time.Second), l, "p", 100, 60, true)
 		is.True(errors.Is(err, ErrStoreUnavailable))
 		is.Equal(time.Since(began), time.Duration(0))
 		other := ledger.ProgramID("q")
 		for i := 0; l.Partition(other) == l.Partition("p"); i++ {
 			other = ledger.ProgramID(fmt.Sprint("q", i))
 		}
-		_, err = take(within(t, time.Second), l, other, 100, 60, false)
+		_, err = beginTurn(within(t, time.Second), l, other, 100, 60, false)
 		is.NoErr(err)
 		log.Fail(store.Fault{})
 		time.Sleep(time.Second)
-		grant, err := take(within(t, time.Second), l, "p", 100, 60, true)
-		is.NoErr(err) // by the reservation that was kept
+		grant, err := beginTurn(within(t, time.Second), l, "p", 100, 60, true)
+		is.NoErr(err) // by the reservation that was made during the outage
 		l.FinishTurn(grant.Program, grant.ID, 60)
 		is.NoErr(l.Stop(within(t, time.Second)))
 	})
 }
 
-// TestSubmissionsThatNobodyWaitsForEndAtTheGate, and a stop ends with its time.
-func TestSubmissionsThatNobodyWaitsForEndAtTheGate(t *testing.T) {
+// TestExpiredSubmissionsAreDropped also checks that Stop returns when its context ends.
+func TestExpiredSubmissionsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
@@ -127,48 +127,48 @@
 		l := outageLedger(log)
 		for number := range outagePartitions {
 			_, err := l.partitions[number].appender.append(within(t, 100*time.Millisecond), [][]byte{{1}})
-			is.True(errors.Is(err, errAbandoned))
+			is.True(errors.Is(err, errWaitEnded))
 		}
 		time.Sleep(time.Second)
 		for _, p := range l.partitions {
 			is.True(p.appender.idle())
 		}
-		l.of("p").submitNow([]byte{1})
+		l.partitionOf("p").submitNow([]byte{1})
 		began := time.Now()
 		is.True(errors.Is(l.Stop(within(t, 2*time.Second)), context.DeadlineExceeded))
 		is.Equal(time.Since(began), 2*time.Second)
 		log.Fail(store.Fault{})
 		is.NoErr(l.Stop(within(t, time.Second)))
-		is.Equal(len(log.Records(l.of("p").appender.partition)), 1)
+		is.Equal(len(log.Records(l.partitionOf("p").appender.partition)), 1)
 	})
 }
 
-// TestOnlyTheHomeReservesWhileTheStoreIsAway: what others would reserve for turns that they
-// refuse would be written, and their partitions read, by all nodes at the store's return.
-func TestOnlyTheHomeReservesWhileTheStoreIsAway(t *testing.T) {
+// TestOnlyCoordinatorReservesWhileStoreIsUnavailable guards against a burst of writes and reads
+// by all nodes when the store recovers.
+func TestOnlyCoordinatorReservesWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		l := outageLedger(log)
-		grant, err := take(within(t, time.Second), l, "known", 100, 60, false)
+		grant, err := beginTurn(within(t, time.Second), l, "known", 100, 60, false)
 		is.NoErr(err)
 		log.Fail(store.Fault{Busy: true})
-		l.of("p").submitNow([]byte{1})
+		l.partitionOf("p").submitNow([]byte{1})
 		time.Sleep(time.Second)
-		_, err = take(within(t, time.Second), l, "known", 100, 60, false)
+		_, err = beginTurn(within(t, time.Second), l, "known", 100, 60, false)
 		is.True(errors.Is(err, ErrStoreUnavailable))
 		for i := range 100 {
-			_, err := take(within(t, time.Second), l, ledger.ProgramID(fmt.Sprint(i)), 100, 60, false)
+			_, err := beginTurn(within(t, time.Second), l, ledger.ProgramID(fmt.Sprint(i)), 100, 60, false)
 			is.True(errors.Is(err, ErrStoreUnavailable))
 		}
-		_, err = take(within(t, time.Second), l, "own", 100, 60, true)
+		_, err = beginTurn(within(t, time.Second), l, "own", 100, 60, true)
 		is.True(errors.Is(err, ErrStoreUnavailable))
 		log.Fail(store.Fault{})
 		appends := log.Calls("append")
 		time.Sleep(time.Second)
-		is.True(log.Calls("append")-appends <= 3) // the probe's record, the home's reservation, its claim
+		is.True(log.Calls("append")-appends <= 3) // the probe's record, the coordinator's reservation and its claim
 		for i := range 100 {
-			begun, err := take(within(t, time.Second), l, ledger.ProgramID(fmt.Sprint(i)), 100, 60, false)
+			begun, err := beginTurn(within(t, time.Second), l, ledger.ProgramID(fmt.Sprint(i)), 100, 60, false)
 			is.NoErr(err)
 			l.FinishTurn(begun.Program, begun.ID, 60)
 		}
@@ -177,14 +177,14 @@
 	})
 }
 
-// TestEachRecordIsWrittenOnce whatever the store does meanwhile.
+// TestEachRecordIsWrittenOnce guards against lost and duplicate records under store failures.
 func TestEachRecordIsWrittenOnce(t *testing.T) {
 	faults := []store.Fault{{}, {}, {Busy: true}, {Silent: true}, {LoseAnswers: true}, {Delay: 300 * time.Millisecond}}
 	rapid.Check(t, func(rt *rapid.T) {
 		draws := rapid.SliceOfN(rapid.IntRange(0, 1<<20), 1, 60).Draw(rt, "draws")
 		synctest.Test(t, func(*testing.T) {
 			log := store.New()
-			l := newGatedLedger(log, "a")
+			l := newBreakerLedger(log, "a")
 			for number, draw := range draws {
 				fault := faults[draw%len(faults)]
 				if down := draw / 10 % 4; down < 3 {
@@ -211,30 +211,30 @@
 	})
 }
 
-// TestCreditOutlastsAnOutage: a turn that can't be kept ends, and its program comes back when
-// its client has given up on it. What is reserved must be there still.
-func TestCreditOutlastsAnOutage(t *testing.T) {
+// TestCreditOutlastsOutage checks that a program that returns after an outage still finds its
+// reservation.
+func TestCreditOutlastsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var away atomic.Bool
-		home := New(Config{
+		coordinator := New(Config{
 			Store: store.New(), Topic: "ledger", TextTopic: "texts", Partitions: 1, Producer: "a", RecordBytes: 64, CallBytes: 1 << 20,
-			CacheBytes: 1 << 10, Availability: answeringGate{answers: func() bool { return !away.Load() }}, Logger: slog.New(slog.DiscardHandler),
+			CacheBytes: 1 << 10, Availability: fakeAvailability{answers: func() bool { return !away.Load() }}, Logger: slog.New(slog.DiscardHandler),
 		})
-		atHome := func(int) bool { return true }
-		begun, err := take(within(t, time.Second), home, "p", 1000, 100, true)
+		coordinatesAll := func(int) bool { return true }
+		begun, err := beginTurn(within(t, time.Second), coordinator, "p", 1000, 100, true)
 		is.NoErr(err)
-		time.Sleep(time.Second) // the reservation stands
+		time.Sleep(time.Second) // the reservation is in the log
 		away.Store(true)
-		home.FinishTurn(begun.Program, begun.ID, 10)
+		coordinator.FinishTurn(begun.Program, begun.ID, 10)
 		for range 6 {
 			time.Sleep(time.Second)
-			home.SettleIdle(atHome)
+			coordinator.SettleIdle(coordinatesAll)
 		}
-		again, err := take(within(t, time.Second), home, "p", 1000, 100, true)
+		again, err := beginTurn(within(t, time.Second), coordinator, "p", 1000, 100, true)
 		is.NoErr(err)
 		away.Store(false)
-		home.FinishTurn(again.Program, again.ID, 10)
-		is.NoErr(home.Stop(within(t, time.Second)))
+		coordinator.FinishTurn(again.Program, again.ID, 10)
+		is.NoErr(coordinator.Stop(within(t, time.Second)))
 	})
 }
--- a/internal/ledgerlog/keeptext_test.go
+++ b/internal/ledgerlog/persisttext_test.go
@@ -18,7 +18,7 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// smallText is short enough for the records of newLedger.
+// smallText fits the records of newLedger.
 const smallText = "a small text"
 
 func keepText(ctx context.Context, l *Ledger, turn ledger.TurnID, chain []ledger.Location, text string) error {
@@ -26,7 +26,7 @@
 	return err
 }
 
-// readTurn returns the texts of a turn's chain.
+// readTurn returns the texts and the locations of a turn's chain.
 func readTurn(ctx context.Context, l *Ledger, turn ledger.TurnID) ([]string, []ledger.Location, error) {
 	kept, err := findTurn(ctx, l, "p", turn)
 	if err != nil {
@@ -40,9 +40,10 @@
 	return texts, kept.Chain, err
 }
 
-// TestKeptTurnIsOneCall: with its text, once the node knows the partition; the text of a
-// large turn, of one that is kept apart and of one that finds no room goes to its topic.
-func TestKeptTurnIsOneCall(t *testing.T) {
+// TestTurnWithTextIsPersistedInOneCall checks that a small text shares a call with its index
+// entry once the node has read the partition. Large and separate texts, and those that exceed
+// the partition's limit, go to their topic.
+func TestTurnWithTextIsPersistedInOneCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
@@ -53,16 +54,16 @@
 			is.NoErr(err)
 			return log.Calls("append") - before
 		}
-		is.Equal(calls("t0", smallText, false), 2) // nothing is known of the partition
+		is.Equal(calls("t0", smallText, false), 2) // the partition has not been read
 		_, err := findTurn(within(t, time.Second), l, "p", "never")
 		is.True(errors.Is(err, ErrNoSuchTurn))
 		is.Equal(calls("t1", smallText, false), 1)
 		is.Equal(calls("t2", smallText, true), 2)
 		is.Equal(calls("t3", strings.Repeat("x", 64), false), 2)
 		is.Equal(calls("t4", "", false), 1)
-		l.of("p").follower.state.NoteText(testTextBytes, l.of("p").follower.clock())
+		l.partitionOf("p").reader.state.NoteText(testTextBytes, l.partitionOf("p").reader.clock())
 		is.Equal(calls("t5", smallText, false), 2)
-		time.Sleep(2 * time.Minute) // the store has dropped them
+		time.Sleep(2 * time.Minute) // the store's retention has passed
 		is.Equal(calls("t6", smallText, false), 1)
 
 		other := newLedger(log, "b")
@@ -74,9 +75,9 @@
 	})
 }
 
-// TestWhoTakesAPartitionOverHasItsTexts: they were on the way, and do not stay beyond the
-// cache.
-func TestWhoTakesAPartitionOverHasItsTexts(t *testing.T) {
+// TestTakeoverCachesTexts checks that reading a partition caches its texts, within the cache's
+// bounds.
+func TestTakeoverCachesTexts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
@@ -93,15 +94,15 @@
 		is.True(all)
 		is.Equal(string(texts[0]), fmt.Sprint("text of the turn ", turns-1))
 		is.True(other.texts.cached <= other.config.CacheBytes)
-		first, _, err := readTurn(within(t, time.Second), other, "t0") // not remembered
+		first, _, err := readTurn(within(t, time.Second), other, "t0") // not cached
 		is.NoErr(err)
 		is.Equal(first, []string{"text of the turn 0"})
 	})
 }
 
-// TestTextIsReadOnlyWhereItStands: a location that may mean any turn's text, as a build
-// before hands on, or that holds something else, is no text.
-func TestTextIsReadOnlyWhereItStands(t *testing.T) {
+// TestTextIsReadOnlyAtItsLocation covers unresolved locations, which nodes of older versions
+// pass on, and locations of other records.
+func TestTextIsReadOnlyAtItsLocation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := newLedger(store.New(), "a")
@@ -114,7 +115,7 @@
 		for _, wrong := range []ledger.Location{
 			ledger.TextBefore(number, len(smallText)),
 			ledger.TextAt(number, right.Offset, len(smallText)+1),
-			ledger.TextAt(number, right.Offset+1, len(smallText)), // the Keep
+			ledger.TextAt(number, right.Offset+1, len(smallText)), // the index entry
 			ledger.TextAt(number, right.Offset+100, len(smallText)),
 		} {
 			_, err := l.Texts(within(t, time.Second), []ledger.Location{wrong})
@@ -123,40 +124,41 @@
 	})
 }
 
-// TestBuildBeforeCannotReadATextInTheIndex: it asks the texts' topic for a partition that
-// is none, as recorded bytes tell it, which is an unreadable turn and no missing one.
-func TestBuildBeforeCannotReadATextInTheIndex(t *testing.T) {
+// TestOlderVersionCannotReadIndexText checks that a node of an older version gets an error, and
+// does not take the turn for absent, since it reads a partition of the text topic that does not
+// exist.
+func TestOlderVersionCannotReadIndexText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		l := newLedger(log, "a")
 		own(t, l)
 		is.NoErr(keepText(within(t, time.Second), l, "t1", nil, smallText))
-		records := log.Records(l.of("p").follower.partition)
+		records := log.Records(l.partitionOf("p").reader.partition)
 		decoded, err := ledger.Decode(records[len(records)-1])
 		is.NoErr(err)
-		before := decoded.(ledger.IndexEntry).Chain[0] // what a build before takes the chain for
+		before := decoded.(ledger.IndexEntry).Chain[0] // the location as an older version sees it
 		is.True(int(before.Partition) >= l.Partitions())
 		result, err := log.Read(within(t, time.Second), logstore.ReadRequest{
 			Partition: logstore.Partition{Topic: "texts", Number: int(before.Partition)}, From: logstore.Offset(before.Offset),
 		})
-		is.True(err != nil || len(result.Records) == 0) // errTextShort there, which is ErrUnavailable
+		is.True(err != nil || len(result.Records) == 0) // an older version returns errTextShort, which is ErrUnavailable
 	})
 }
 
-// keepRun is one run of TestKeptTurnsAreFoundWhole.
-type keepRun struct {
+// persistRun is one run of TestPersistedTurnsAreComplete.
+type persistRun struct {
 	t     *testing.T
 	log   *store.Store
 	nodes []*Ledger
-	// kept holds the texts of the chains of the turns whose keeping was told.
+	// kept holds the texts of the chains of acknowledged turns.
 	kept map[ledger.TurnID][]string
 	last ledger.TurnID
 	step int
 }
 
-// keep keeps a turn that goes on from the last one, or from none.
-func (k *keepRun) keep(draw int) {
+// keep persists a turn that continues the last one, or none.
+func (k *persistRun) keep(draw int) {
 	node := k.nodes[draw%len(k.nodes)]
 	var chain []ledger.Location
 	var texts []string
@@ -174,8 +176,8 @@
 	}
 }
 
-// disturb plays the trouble that draw names, if any.
-func (k *keepRun) disturb(draw int) {
+// disturb injects the fault that draw selects, if any.
+func (k *persistRun) disturb(draw int) {
 	switch draw / 3 % 12 {
 	case 0, 1:
 		fault := scheduleFaults[draw/36%len(scheduleFaults)]
@@ -192,15 +194,14 @@
 	}
 }
 
-// TestKeptTurnsAreFoundWhole: while the store fails in all its ways, answers get lost,
-// nodes die and several write one partition, each turn whose keeping was told is found
-// with its texts by a node without any memory.
-func TestKeptTurnsAreFoundWhole(t *testing.T) {
+// TestPersistedTurnsAreComplete checks that a node without any state finds each acknowledged
+// turn with its texts after store failures, lost responses, crashes and concurrent writers.
+func TestPersistedTurnsAreComplete(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		draws := rapid.SliceOfN(rapid.IntRange(0, 1<<20), 5, 60).Draw(rt, "draws")
 		synctest.Test(t, func(t *testing.T) {
 			log := store.New()
-			run := &keepRun{t: t, log: log, kept: map[ledger.TurnID][]string{}, nodes: []*Ledger{newLedger(log, "n0"), newLedger(log, "n1"), newLedger(log, "n2")}}
+			run := &persistRun{t: t, log: log, kept: map[ledger.TurnID][]string{}, nodes: []*Ledger{newLedger(log, "n0"), newLedger(log, "n1"), newLedger(log, "n2")}}
 			own(t, run.nodes[0])
 			for step, draw := range draws {
 				run.step = step
@@ -216,27 +217,27 @@
 					rt.Fatalf("turn %s: %v, %q instead of %q", turn, err, texts, want)
 				}
 			}
-			time.Sleep(time.Minute) // calls under way end
+			time.Sleep(time.Minute) // pending calls end
 		})
 	})
 }
 
-// TestLackOfRoomIsToldOnce: not for each text, and again once there is room for the largest.
-func TestLackOfRoomIsToldOnce(t *testing.T) {
+// TestFullPartitionIsLoggedOnce checks that the change is logged, rather than each text.
+func TestFullPartitionIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	lines := &strings.Builder{}
-	f := &follower{logger: slog.New(slog.NewTextHandler(lines, nil)), state: ledger.NewPartition(), largestText: 50}
+	f := &reader{logger: slog.New(slog.NewTextHandler(lines, nil)), state: ledger.NewPartition(), largestText: 50}
 	f.state.SetTextLimits(ledger.TextLimits{Retain: time.Minute, WindowBytes: 100, TextBytes: 50})
-	f.tellRoom(0)
+	f.logRoom(0)
 	is.Equal(lines.String(), "")
 	f.state.NoteText(60, 0)
-	f.tellRoom(0)
-	is.Equal(lines.String(), "") // smaller ones find room
+	f.logRoom(0)
+	is.Equal(lines.String(), "") // smaller texts still fit
 	f.state.NoteText(40, 30*time.Second)
-	f.tellRoom(30 * time.Second)
-	f.tellRoom(31 * time.Second)
+	f.logRoom(30 * time.Second)
+	f.logRoom(31 * time.Second)
 	is.Equal(strings.Count(lines.String(), "taken=false"), 1)
-	f.tellRoom(70 * time.Second) // the first are gone
-	f.tellRoom(71 * time.Second)
+	f.logRoom(70 * time.Second) // the first texts have expired
+	f.logRoom(71 * time.Second)
 	is.Equal(strings.Count(lines.String(), "taken=true"), 1)
 }
--- a/internal/ledgerlog/rebase_test.go
+++ b/internal/ledgerlog/rebase_test.go
@@ -12,9 +12,9 @@
 	"stepseam.example/stepseam/internal/ledger"
 )
 
-// keptTurn takes a turn that hands out used tokens, and keeps it.
-func keptTurn(t *testing.T, l *Ledger, program ledger.ProgramID, number int, budget, most, used uint32) error {
-	grant, err := take(within(t, time.Second), l, program, budget, most, true)
+// runAndPersistTurn runs a turn that uses tokens, and persists it.
+func runAndPersistTurn(t *testing.T, l *Ledger, program ledger.ProgramID, number int, budget, most, used uint32) error {
+	grant, err := beginTurn(within(t, time.Second), l, program, budget, most, true)
 	if err != nil {
 		return err
 	}
@@ -23,8 +23,8 @@
 	return l.PersistTurn(within(t, time.Second), ledger.IndexEntry{Program: program, Turn: ledger.TurnID(fmt.Sprint("t", number)), Retention: time.Minute})
 }
 
-// TestRebaseCostsNoCall: each kept turn is one call, which settles and reserves too. One more
-// reserves in advance during a turn, before the first rebase.
+// TestRebaseCostsNoCall checks that settling and reserving share the call that persists a turn.
+// One more call reserves in advance during a turn before the first rebase.
 func TestRebaseCostsNoCall(t *testing.T) {
 	for _, budget := range []uint32{1700, 10_000} {
 		countRebasedCalls(t, budget)
@@ -38,20 +38,20 @@
 		l := newLedger(log, "a")
 		own(t, l)
 		program := samePartition(l, 1)[0]
-		is.NoErr(keptTurn(t, l, program, 0, budget, 100, 70))
+		is.NoErr(runAndPersistTurn(t, l, program, 0, budget, 100, 70))
 		appends, reads := log.Calls("append"), log.Calls("read")
 		const turns = 20
 		for number := range turns {
-			is.NoErr(keptTurn(t, l, program, number+1, budget, 100, 70))
+			is.NoErr(runAndPersistTurn(t, l, program, number+1, budget, 100, 70))
 		}
 		is.True(log.Calls("append")-appends <= turns+1)
 		is.Equal(log.Calls("read"), reads)
 	})
 }
 
-// TestProgramOfFewTurnsGoesOnAfterItsHomeDies: the home dies after a turn that was kept, and
-// the program's next turns run elsewhere, up to the budget and the most of one turn.
-func TestProgramOfFewTurnsGoesOnAfterItsHomeDies(t *testing.T) {
+// TestProgramOfFewTurnsSurvivesItsCoordinator checks that the next turns run on another node,
+// up to the budget and one turn.
+func TestProgramOfFewTurnsSurvivesItsCoordinator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const budget, most, used = 576, 288, 36
@@ -61,17 +61,17 @@
 		program := samePartition(first, 1)[0]
 		const before = 3
 		for number := range before {
-			is.NoErr(keptTurn(t, first, program, number, budget, most, used))
+			is.NoErr(runAndPersistTurn(t, first, program, number, budget, most, used))
 		}
 		time.Sleep(time.Second)
-		is.Equal(first.of(program).follower.state.Charged(program), uint64(before*used+most)) // one turn ahead
+		is.Equal(first.partitionOf(program).reader.state.Charged(program), uint64(before*used+most)) // one turn is reserved in advance
 		served := before
 		for ; ; served++ {
-			if err := keptTurn(t, second, program, served, budget, most, used); err != nil {
+			if err := runAndPersistTurn(t, second, program, served, budget, most, used); err != nil {
 				break
 			}
 		}
-		is.True(served >= 7) // 36 tokens each, less the 288 that the dead node held
+		is.True(served >= 7) // 36 tokens each, less the 288 that the dead node had reserved
 		is.True(served*used <= budget+most)
 	})
 }
--- a/internal/ledgerlog/release_test.go
+++ b/internal/ledgerlog/release_test.go
@@ -12,51 +12,52 @@
 	"stepseam.example/stepseam/internal/ledger"
 )
 
-// liveMembers are those of nodes that all live.
+// liveMembers reports all incarnations as alive.
 type liveMembers struct{}
 
 func (liveMembers) IsAlive(ledger.IncarnationID) bool    { return true }
 func (liveMembers) MayBeAlive(ledger.IncarnationID) bool { return true }
 
-// turnAtAHelper begins a turn at a node that is no home, where both live.
-func turnAtAHelper(t *testing.T) (home, helper *Ledger, begun Grant) {
+// turnAtOtherNode begins a turn at a node that is not the coordinator, where both are alive.
+func turnAtOtherNode(t *testing.T) (coordinator, helper *Ledger, begun Grant) {
 	log := store.New()
-	home, helper = newLedger(log, "a"), newLedger(log, "b")
-	home.SetMembers(liveMembers{})
+	coordinator, helper = newLedger(log, "a"), newLedger(log, "b")
+	coordinator.SetMembers(liveMembers{})
 	helper.SetMembers(liveMembers{})
 	helper.SettleIdle(func(int) bool { return false })
-	begun, err := take(within(t, time.Second), helper, "p", 100, 60, false)
+	begun, err := beginTurn(within(t, time.Second), helper, "p", 100, 60, false)
 	is.New(t).NoErr(err)
-	return home, helper, begun
+	return coordinator, helper, begun
 }
 
-// TestReservationOfANodeThatIsNoHomeIsGivenBackAtOnce: a turn that was begun beside the home,
-// or where the home was before, keeps the next one out for no longer than it runs.
-func TestReservationOfANodeThatIsNoHomeIsGivenBackAtOnce(t *testing.T) {
+// TestOtherNodeReturnsReservationAtOnce checks that a reservation of a node that is not the
+// coordinator blocks other turns only while its own turn runs.
+func TestOtherNodeReturnsReservationAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		home, helper, begun := turnAtAHelper(t)
+		coordinator, helper, begun := turnAtOtherNode(t)
 		helper.FinishTurn(begun.Program, begun.ID, 10)
-		_, err := take(within(t, time.Second), home, "p", 100, 60, true)
+		_, err := beginTurn(within(t, time.Second), coordinator, "p", 100, 60, true)
 		is.NoErr(err)
-		time.Sleep(2 * time.Second) // what is written in the background ends
+		time.Sleep(2 * time.Second) // background writes end
 	})
 }
 
-// TestTurnWaitsForWhatALivingNodeGivesBack, for a short time, and is refused after it.
-func TestTurnWaitsForWhatALivingNodeGivesBack(t *testing.T) {
-	for _, after := range []time.Duration{releasePause / 2, time.Second} {
+// TestTurnWaitsForReturnedReservation checks that a turn waits for a short time for a live node
+// to return its reservation, and is then refused.
+func TestTurnWaitsForReturnedReservation(t *testing.T) {
+	for _, after := range []time.Duration{reserveRetryInterval / 2, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			home, helper, begun := turnAtAHelper(t)
+			coordinator, helper, begun := turnAtOtherNode(t)
 			go func() {
 				time.Sleep(after)
 				helper.FinishTurn(begun.Program, begun.ID, 0)
 			}()
 			asked := time.Now()
-			_, err := take(within(t, time.Second), home, "p", 100, 60, true)
+			_, err := beginTurn(within(t, time.Second), coordinator, "p", 100, 60, true)
 			is.Equal(errors.Is(err, ErrBudgetReserved), after == time.Second)
-			is.True(time.Since(asked) < reserveTries*releasePause)
+			is.True(time.Since(asked) < maxReserveAttempts*reserveRetryInterval)
 			time.Sleep(2 * time.Second)
 		})
 	}
--- a/internal/ledgerlog/texts.go
+++ b/internal/ledgerlog/texts.go
@@ -13,24 +13,23 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// errTextShort tells that the log holds less of a text than its index says.
+// errTextShort reports that the log has less of a text than its location says.
 var errTextShort = errors.New("ledgerlog: text is not whole in the log")
 
-// textStore writes the texts of turns to the log and reads them by location. The
-// newest stay in memory.
+// textStore writes the texts of turns to the log, reads them by location and caches the newest.
 type textStore struct {
 	config         Config
 	metrics        *metrics
 	pacer          *pacer
 	retransmission *retransmission
 
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// partition is where texts are written; it changes when it does not answer.
+	// partition is the one that texts are written to; it changes when it is unavailable.
 	partition int
 	appenders map[int]*appender
 	cache     map[ledger.Location][]byte
-	// order lists the cached locations, the oldest first.
+	// order lists the cached locations, oldest first.
 	order  []ledger.Location
 	cached int
 }
@@ -43,9 +42,9 @@
 	}
 }
 
-// answering returns the first partition from one on that the store answers, as far as is
-// known; the one itself where it answers none.
-func (t *textStore) answering(from int) int {
+// firstAvailable returns the first available partition, as far as known, starting at from. It
+// returns from if there is none.
+func (t *textStore) firstAvailable(from int) int {
 	for i := range t.config.Partitions {
 		number := (from + i) % t.config.Partitions
 		if t.config.Availability.Available(logstore.Partition{Topic: t.config.TextTopic, Number: number}) {
@@ -55,15 +54,15 @@
 	return from
 }
 
-// writer returns the partition that is written to, and its appender.
+// writer returns the partition that texts are written to, and its appender.
 func (t *textStore) writer() (int, *appender) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.partition = t.answering(t.partition)
+	t.partition = t.firstAvailable(t.partition)
 	used, known := t.appenders[t.partition]
 	if !known {
 		used = &appender{
-			store: t.config.Store, gate: t.config.Availability, partition: logstore.Partition{Topic: t.config.TextTopic, Number: t.partition},
+			store: t.config.Store, availability: t.config.Availability, partition: logstore.Partition{Topic: t.config.TextTopic, Number: t.partition},
 			producer: t.config.Producer, callBytes: t.config.CallBytes, logger: t.config.Logger, metrics: t.metrics,
 			pacer: t.pacer, retransmission: t.retransmission, epoch: 1,
 		}
@@ -72,8 +71,8 @@
 	return t.partition, used
 }
 
-// leave makes another partition the one that is written to, unless that has happened.
-func (t *textStore) leave(partition int) {
+// avoidPartition switches to another partition unless that has already happened.
+func (t *textStore) avoidPartition(partition int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.partition == partition {
@@ -81,7 +80,7 @@
 	}
 }
 
-// write appends a text as one record, or several where it is larger than a record may be.
+// write appends a text as one record, or as several if it exceeds the maximum record size.
 func (t *textStore) write(ctx context.Context, text []byte) (ledger.Location, error) {
 	records := slices.Collect(slices.Chunk(text, t.config.RecordBytes))
 	if len(records) == 0 {
@@ -89,29 +88,29 @@
 	}
 	for {
 		partition, used := t.writer()
-		within, cancel := context.WithTimeout(ctx, partitionPatience)
+		within, cancel := context.WithTimeout(ctx, partitionTimeout)
 		offset, err := used.append(within, records)
 		cancel()
 		if err == nil {
 			location := ledger.Location{Partition: uint16(partition), Offset: uint64(offset), Size: uint32(len(text))}
-			t.remember(location, text)
+			t.cacheText(location, text)
 			return location, nil
 		}
 		if ctx.Err() != nil {
 			return ledger.Location{}, err
 		}
-		t.leave(partition)
+		t.avoidPartition(partition)
 	}
 }
 
 func (t *textStore) read(ctx context.Context, location ledger.Location) ([]byte, error) {
-	if text, found := t.recall(location); found {
+	if text, found := t.cachedText(location); found {
 		return text, nil
 	}
 	if partition, inIndex := location.InIndex(t.config.Partitions); inIndex {
-		text, err := t.indexText(ctx, location, partition)
+		text, err := t.readIndexText(ctx, location, partition)
 		if err == nil {
-			t.remember(location, text)
+			t.cacheText(location, text)
 		}
 		return text, err
 	}
@@ -135,7 +134,7 @@
 	if len(text) != int(location.Size) {
 		return nil, fmt.Errorf("%w: %d bytes of %d", errTextShort, len(text), location.Size)
 	}
-	t.remember(location, text)
+	t.cacheText(location, text)
 	return text, nil
 }
 
@@ -148,14 +147,14 @@
 	})
 }
 
-func (t *textStore) recall(location ledger.Location) ([]byte, bool) {
+func (t *textStore) cachedText(location ledger.Location) ([]byte, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	text, found := t.cache[location]
 	return text, found
 }
 
-func (t *textStore) remember(location ledger.Location, text []byte) {
+func (t *textStore) cacheText(location ledger.Location, text []byte) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if _, known := t.cache[location]; known {
--- a/internal/ledgerlog/timeout.go
+++ b/internal/ledgerlog/timeout.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// firstTimeout bounds a call while no answer has been measured.
-	firstTimeout = 250 * time.Millisecond
-	// minTimeout and maxTimeout bound the wait for one call's answer.
+	// initialTimeout bounds a call before any response time has been measured.
+	initialTimeout = 250 * time.Millisecond
+	// minTimeout and maxTimeout bound the wait for one response.
 	minTimeout = 120 * time.Millisecond
 	maxTimeout = 800 * time.Millisecond
-	// Weights of the newest sample, as of RFC 6298: 1/8 in the mean, 1/4 in the
-	// deviation; the timeout is the mean and four deviations.
+	// Weights of the newest sample as in RFC 6298: 1/8 in the mean and 1/4 in the deviation.
+	// The timeout is the mean plus four deviations.
 	meanShift          = 3
 	deviationShift     = 2
 	deviationsInBounds = 4
 )
 
-// retransmission estimates how long to wait for the answer of a call before it is
-// repeated, from the times of answered calls. It is safe for concurrent use.
+// retransmission estimates how long to wait for a response before a call is repeated, from the
+// response times of earlier calls. It is safe for concurrent use.
 type retransmission struct {
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex    sync.Mutex
 	measured bool
-	// mean and deviation are of the answered calls' times.
+	// mean and deviation are those of the response times.
 	mean, deviation time.Duration
 }
 
-// answered takes the time of a call that was answered.
+// answered records a response time.
 func (r *retransmission) answered(took time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -41,12 +41,12 @@
 	r.deviation += (max(difference, -difference) - r.deviation) >> deviationShift
 }
 
-// timeout bounds one call; unanswered is how often it has been repeated without
-// an answer, each of which doubles the time.
+// timeout returns the timeout of one call; unanswered is how many repeats got no response, each
+// of which doubles the timeout.
 func (r *retransmission) timeout(unanswered int) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	wait := firstTimeout
+	wait := initialTimeout
 	if r.measured {
 		wait = max(r.mean+deviationsInBounds*r.deviation, minTimeout)
 	}
--- a/internal/ledgerlog/timeout_test.go
+++ b/internal/ledgerlog/timeout_test.go
@@ -10,7 +10,7 @@
 	"stepseam.example/stepseam/internal/emulator/store"
 )
 
-func TestOneLostAnswerHoldsATurnUpForAShortTime(t *testing.T) {
+func TestLostResponseDelaysTurnBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
@@ -18,14 +18,14 @@
 		log.Fail(store.Fault{LoseAnswers: true})
 		time.AfterFunc(50*time.Millisecond, func() { log.Fail(store.Fault{}) })
 		began := time.Now()
-		_, err := take(within(t, 10*time.Second), l, "p", 100, 60, false)
+		_, err := beginTurn(within(t, 10*time.Second), l, "p", 100, 60, false)
 		is.NoErr(err)
 		is.True(time.Since(began) < 400*time.Millisecond)
-		is.Equal(len(log.Records(l.of("p").follower.partition)), 1)
+		is.Equal(len(log.Records(l.partitionOf("p").reader.partition)), 1)
 	})
 }
 
-func TestSlowStoreIsNotAskedTwiceForLong(t *testing.T) {
+func TestSlowStoreGetsNoRepeatedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
@@ -33,22 +33,22 @@
 		log.Fail(store.Fault{Delay: 300 * time.Millisecond})
 		turn := func() int {
 			before := log.Calls("append")
-			grant, err := take(within(t, 10*time.Second), l, "p", 1<<20, 60, false)
+			grant, err := beginTurn(within(t, 10*time.Second), l, "p", 1<<20, 60, false)
 			is.NoErr(err)
 			l.FinishTurn(grant.Program, grant.ID, 60)
 			return log.Calls("append") - before
 		}
 		turn()
 		for range 10 {
-			is.Equal(turn(), 1) // the first call has shown how long answers take
+			is.Equal(turn(), 1) // the first call has measured the response time
 		}
 	})
 }
 
-func TestTimeoutFollowsTheAnswers(t *testing.T) {
+func TestTimeoutFollowsResponseTimes(t *testing.T) {
 	is := is.New(t)
 	estimate := &retransmission{}
-	is.Equal(estimate.timeout(0), firstTimeout)
+	is.Equal(estimate.timeout(0), initialTimeout)
 	is.Equal(estimate.timeout(9), maxTimeout)
 	for range 50 {
 		estimate.answered(4 * time.Millisecond)
--- a/internal/ledgerlog/turns.go
+++ b/internal/ledgerlog/turns.go
@@ -9,7 +9,7 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// WriteText makes the text of a turn durable. Errors wrap ErrUnavailable.
+// WriteText writes the text of a turn to its topic. Errors wrap ErrUnavailable.
 func (l *Ledger) WriteText(ctx context.Context, text []byte) (ledger.Location, error) {
 	location, err := l.texts.write(ctx, text)
 	if err != nil {
@@ -18,22 +18,22 @@
 	return location, nil
 }
 
-// PersistTurn adds a turn to the index. When it returns without an error, every node
-// finds the turn. While the program's own partition does not answer, another one
-// holds the record; a turn that is kept twice is kept. It tries until ctx ends.
-// Errors wrap ErrUnavailable.
+// PersistTurn adds a turn to the index. Once it returns without an error, every node finds the
+// turn. If the program's own partition is unavailable, the entry goes into another one;
+// persisting a turn twice is harmless. It retries until ctx ends. Errors wrap ErrUnavailable.
 func (l *Ledger) PersistTurn(ctx context.Context, turn ledger.IndexEntry) error {
-	return l.keepFrom(ctx, turn, 0)
+	return l.persistFrom(ctx, turn, 0)
 }
 
-// keepFrom is Keep where some partitions, from the program's own on, have been tried.
-func (l *Ledger) keepFrom(ctx context.Context, turn ledger.IndexEntry, tried int) error {
+// persistFrom is PersistTurn after tried partitions, starting with the program's own, have been
+// tried.
+func (l *Ledger) persistFrom(ctx context.Context, turn ledger.IndexEntry, tried int) error {
 	record := [][]byte{ledger.Encode(turn)}
 	own := l.Partition(turn.Program)
 	for next := tried; ; {
 		var p *partition
-		p, next = l.keepPlace(own, next)
-		p.holder.rebase(turn.Program)
+		p, next = l.nextPartition(own, next)
+		p.creditManager.rebase(turn.Program)
 		_, err := p.append(ctx, record)
 		if err == nil {
 			return nil
@@ -44,12 +44,11 @@
 	}
 }
 
-// keepPlace returns the partition for one try of several, and where the next try goes on: the
-// next partition that the store answers, as far as is known, and the next one where it answers
-// none of them.
-func (l *Ledger) keepPlace(own, try int) (*partition, int) {
-	at := func(i int) *partition { return l.partitions[(own+i%keepPartitions)%len(l.partitions)] }
-	for i := try; i < try+keepPartitions; i++ {
+// nextPartition returns the partition for an attempt and the number of the next attempt. It
+// skips partitions that are known to be unavailable, unless all of them are.
+func (l *Ledger) nextPartition(own, try int) (*partition, int) {
+	at := func(i int) *partition { return l.partitions[(own+i%maxPersistPartitions)%len(l.partitions)] }
+	for i := try; i < try+maxPersistPartitions; i++ {
 		if place := at(i); l.config.Availability.Available(place.appender.partition) {
 			return place, i + 1
 		}
@@ -57,10 +56,10 @@
 	return at(try), try + 1
 }
 
-// append writes adjacent records, with what waits for a call to go with, and returns the
-// offset of the first.
+// append writes adjacent records together with the lazy submissions and returns the offset of
+// the first.
 func (p *partition) append(ctx context.Context, records [][]byte) (logstore.Offset, error) {
-	within, cancel := context.WithTimeout(ctx, partitionPatience)
+	within, cancel := context.WithTimeout(ctx, partitionTimeout)
 	defer cancel()
 	waiting := newSubmission(within, records)
 	p.flush(waiting)
@@ -68,36 +67,36 @@
 }
 
 const (
-	// keepPartitions is how many partitions are tried for a turn's place in the index.
-	keepPartitions = 4
-	// partitionPatience is how long one partition is tried where another will do.
-	partitionPatience = 350 * time.Millisecond
+	// maxPersistPartitions is how many partitions are tried for a turn's index entry.
+	maxPersistPartitions = 4
+	// partitionTimeout is how long one partition is tried before another one is.
+	partitionTimeout = 350 * time.Millisecond
 )
 
-// Partitions returns how many partitions the ledger has.
+// Partitions returns the number of partitions.
 func (l *Ledger) Partitions() int { return len(l.partitions) }
 
-// CachedTurn returns a kept turn that this node has read of, in whichever partition.
+// CachedTurn returns the index entry of a turn that this node has read, from any partition.
 func (l *Ledger) CachedTurn(turn ledger.TurnID) (ledger.IndexedTurn, bool) {
 	for _, p := range l.partitions {
-		if kept, found := p.follower.turn(turn); found {
+		if kept, found := p.reader.turn(turn); found {
 			return kept, true
 		}
 	}
 	return ledger.IndexedTurn{}, false
 }
 
-// Find returns a kept turn, from the first of the given partitions that holds it; each
-// is read to its end first unless the turn is known. One that can't be read only matters
-// if the turn is found in no other, since then it may stand there; numbers of no
-// partition are passed over. Errors wrap ErrNoSuchTurn or ErrUnavailable.
+// Find returns the index entry of a turn from the first of the given partitions that has it.
+// Each partition is read to its end unless the turn is known. A partition that can't be read
+// causes an error only if no other one has the turn. Invalid partition numbers are skipped.
+// Errors wrap ErrNoSuchTurn or ErrUnavailable.
 func (l *Ledger) Find(ctx context.Context, turn ledger.TurnID, partitions ...int) (ledger.IndexedTurn, error) {
 	absent := fmt.Errorf("%w: %s", ErrNoSuchTurn, turn)
 	for _, number := range partitions {
 		if number < 0 || number >= len(l.partitions) {
 			continue
 		}
-		kept, found, err := l.partitions[number].follower.find(ctx, turn)
+		kept, found, err := l.partitions[number].reader.find(ctx, turn)
 		if found {
 			return kept, nil
 		}
@@ -108,14 +107,14 @@
 	return ledger.IndexedTurn{}, absent
 }
 
-// CacheText keeps the text at a location in memory.
-func (l *Ledger) CacheText(location ledger.Location, text []byte) { l.texts.remember(location, text) }
+// CacheText puts the text at a location into the cache.
+func (l *Ledger) CacheText(location ledger.Location, text []byte) { l.texts.cacheText(location, text) }
 
-// CachedTexts returns the texts of a chain if all of them are in memory.
+// CachedTexts returns the texts of a chain if all of them are in the cache.
 func (l *Ledger) CachedTexts(chain []ledger.Location) ([][]byte, bool) {
 	texts := make([][]byte, 0, len(chain))
 	for _, location := range chain {
-		text, found := l.texts.recall(location)
+		text, found := l.texts.cachedText(location)
 		if !found {
 			return nil, false
 		}
@@ -124,7 +123,7 @@
 	return texts, true
 }
 
-// Texts returns the texts of a chain, the oldest first. Errors wrap ErrUnavailable.
+// Texts returns the texts of a chain, oldest first. Errors wrap ErrUnavailable.
 func (l *Ledger) Texts(ctx context.Context, chain []ledger.Location) ([][]byte, error) {
 	texts := make([][]byte, 0, len(chain))
 	for _, location := range chain {
--- a/internal/ledgerlog/window.go
+++ b/internal/ledgerlog/window.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// The bounds of a readWindow in bytes: the first read asks for firstWindow.
+// The bounds of a readWindow, in bytes. The first read requests initialWindow.
 const (
-	leastWindow = 8 << 10
-	firstWindow = 64 << 10
-	mostWindow  = 1 << 20
-	// swiftRead is how long a read may take for the next one to ask for more.
-	swiftRead = 60 * time.Millisecond
+	minWindow     = 8 << 10
+	initialWindow = 64 << 10
+	maxWindow     = 1 << 20
+	// fastRead is the maximum duration of a read after which the window grows.
+	fastRead = 60 * time.Millisecond
 )
 
-// readWindow is how much this node asks for in one read of the ledger, by how long
-// reads took. What does not arrive in time is lost and has to be read again, so that a
-// slow link or a busy store needs smaller reads. It is safe for concurrent use.
+// readWindow adapts the size of reads to the time that they take. A response that does not
+// arrive in time must be read again, so a slow network or a busy store needs smaller reads. It
+// is safe for concurrent use.
 type readWindow struct {
 	// bytes is 0 before the first read.
 	bytes atomic.Int64
 }
 
-// size returns how much the next read asks for, in bytes.
+// size returns the size of the next read, in bytes.
 func (w *readWindow) size() int {
 	if size := w.bytes.Load(); size > 0 {
 		return int(size)
 	}
-	return firstWindow
+	return initialWindow
 }
 
-// answered notes that a read took some time and whether it was full.
+// answered records the duration of a read and whether it filled the window.
 func (w *readWindow) answered(took time.Duration, full bool) {
-	if full && took <= swiftRead {
-		w.bytes.Store(int64(min(2*w.size(), mostWindow)))
+	if full && took <= fastRead {
+		w.bytes.Store(int64(min(2*w.size(), maxWindow)))
 	}
 }
 
-// unanswered notes that a read was not answered in time.
+// unanswered records that a read timed out.
 func (w *readWindow) unanswered() {
-	w.bytes.Store(int64(max(w.size()/2, leastWindow)))
+	w.bytes.Store(int64(max(w.size()/2, minWindow)))
 }
--- a/internal/ledgerlog/window_test.go
+++ b/internal/ledgerlog/window_test.go
@@ -8,21 +8,21 @@
 	"pgregory.net/rapid"
 )
 
-func TestReadsGrowWhileSwiftAndShrinkWhenLost(t *testing.T) {
+func TestReadWindowGrowsAndShrinks(t *testing.T) {
 	is := is.New(t)
 	window := &readWindow{}
-	is.Equal(window.size(), firstWindow)
-	window.answered(swiftRead, false) // there was no more to read
-	window.answered(swiftRead+1, true)
-	is.Equal(window.size(), firstWindow)
-	window.answered(swiftRead, true)
-	is.Equal(window.size(), 2*firstWindow)
+	is.Equal(window.size(), initialWindow)
+	window.answered(fastRead, false) // there was no more to read
+	window.answered(fastRead+1, true)
+	is.Equal(window.size(), initialWindow)
+	window.answered(fastRead, true)
+	is.Equal(window.size(), 2*initialWindow)
 	window.unanswered()
 	window.unanswered()
-	is.Equal(window.size(), firstWindow/2)
+	is.Equal(window.size(), initialWindow/2)
 }
 
-func TestReadWindowStaysWithinItsBounds(t *testing.T) {
+func TestReadWindowStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := &readWindow{}
 		for range rapid.IntRange(0, 50).Draw(t, "reads") {
@@ -31,7 +31,7 @@
 			} else {
 				window.unanswered()
 			}
-			if window.size() < leastWindow || window.size() > mostWindow {
+			if window.size() < minWindow || window.size() > maxWindow {
 				t.Fatalf("%d bytes", window.size())
 			}
 		}
