--- a/internal/ledgerlog/appender.go
+++ b/internal/ledgerlog/appender.go
@@ -266,7 +266,7 @@
 			a.resolve(batch, records, result.First, time.Since(sent))
 			return nil
 		case errors.Is(err, logstore.ErrSequence), errors.Is(err, logstore.ErrFenced):
-			a.logger.Warn("store forgot the producer", "partition", a.partition.Number, "topic", a.partition.Topic,
+			a.logger.Warn("store rejected the producer; starting a new epoch", "partition", a.partition.Number, "topic", a.partition.Topic,
 				"epoch", a.epoch, "sequence", a.sequence, "error", err)
 			a.epoch, a.sequence = a.epoch+1, 0
 			if unanswered > 0 {
--- a/internal/ledgerlog/batchdelay_test.go
+++ b/internal/ledgerlog/batchdelay_test.go
@@ -69,7 +69,7 @@
 	l := newLedger(log, "a")
 	ctx := context.Background()
 	if _, err := l.Find(ctx, "never", l.Partition("p")); err == nil {
-		t.Fatal("found")
+		t.Fatal("found a turn that was never persisted")
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	before := log.Calls("append")
@@ -99,7 +99,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				calls, median := persistTurns(t, 2000, perSecond)
-				t.Logf("%d a second: %.2f calls a turn, median %s", perSecond, calls, median)
+				t.Logf("%d turns per second: %.2f calls per turn, median %s", perSecond, calls, median)
 				is.True(calls <= most)
 				is.True(median <= 3*time.Millisecond+maxMedianWait)
 			})
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -218,7 +218,7 @@
 	l.FinishTurn(grant.Program, grant.ID, 0)
 	time.Sleep(time.Second)
 	if !l.partitionOf("p").creditManager.exclusive() {
-		t.Fatal("not a sure owner")
+		t.Fatal("not an exclusive owner")
 	}
 }
 
@@ -528,7 +528,7 @@
 				run.disturb(draw)
 				run.turn(draw)
 				if run.handedOut > sharedBudget+sharedMost {
-					rt.Fatalf("%d tokens of %d handed out", run.handedOut, sharedBudget)
+					rt.Fatalf("%d tokens used of a budget of %d", run.handedOut, sharedBudget)
 				}
 			}
 			log.Fail(store.Fault{})
--- a/internal/ledgerlog/persisttext.go
+++ b/internal/ledgerlog/persisttext.go
@@ -111,7 +111,7 @@
 	}
 	r.textsRefused = !room
 	held, demanded := r.state.TextBytes(now)
-	r.logger.Info("texts in the index", "partition", r.partition.Number, "taken", room, "text_bytes", held, "demanded_bytes", demanded)
+	r.logger.Info("changed whether the index accepts texts", "partition", r.partition.Number, "taken", room, "text_bytes", held, "demanded_bytes", demanded)
 }
 
 // countUnread counts a text that this node wrote at an offset but has not applied yet, which
@@ -159,7 +159,7 @@
 func textOf(record []byte, location ledger.Location) ([]byte, error) {
 	text, found := ledger.TextOf(record)
 	if !found || len(text) != int(location.Size) {
-		return nil, fmt.Errorf("%w: another record of %d bytes", errTextShort, len(record))
+		return nil, fmt.Errorf("%w: record of %d bytes is not the text", errTextShort, len(record))
 	}
 	return bytes.Clone(text), nil
 }
--- a/internal/ledgerlog/persisttext_test.go
+++ b/internal/ledgerlog/persisttext_test.go
@@ -214,7 +214,7 @@
 			for turn, want := range run.kept {
 				texts, _, err := readTurn(within(t, 10*time.Second), reader, turn)
 				if err != nil || fmt.Sprint(texts) != fmt.Sprint(want) {
-					rt.Fatalf("turn %s: %v, %q instead of %q", turn, err, texts, want)
+					rt.Fatalf("turn %s: error %v, texts %q, want %q", turn, err, texts, want)
 				}
 			}
 			time.Sleep(time.Minute) // pending calls end
--- a/internal/ledgerlog/texts.go
+++ b/internal/ledgerlog/texts.go
@@ -14,7 +14,7 @@
 )
 
 // errTextShort reports that the log has less of a text than its location says.
-var errTextShort = errors.New("ledgerlog: text is not whole in the log")
+var errTextShort = errors.New("ledgerlog: text in the log is incomplete")
 
 // textStore writes the texts of turns to the log, reads them by location and caches the newest.
 type textStore struct {
--- a/internal/ledgerlog/turns.go
+++ b/internal/ledgerlog/turns.go
@@ -129,7 +129,7 @@
 	for _, location := range chain {
 		text, err := l.texts.read(ctx, location)
 		if err != nil {
-			return nil, fmt.Errorf("%w: read turn: %w", ErrUnavailable, err)
+			return nil, fmt.Errorf("%w: read text: %w", ErrUnavailable, err)
 		}
 		texts = append(texts, text)
 	}
