--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -133,10 +133,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		var away atomic.Bool
+		var unavailable atomic.Bool
 		l := New(Config{
 			Store: log, Topic: "ledger", TextTopic: "texts", Partitions: 3, Producer: "a", RecordBytes: 64, CallBytes: 1 << 20,
-			CacheBytes: 1 << 10, Logger: slog.New(slog.DiscardHandler), Availability: fakeAvailability{answers: func() bool { return !away.Load() }},
+			CacheBytes: 1 << 10, Logger: slog.New(slog.DiscardHandler), Availability: fakeAvailability{answers: func() bool { return !unavailable.Load() }},
 		})
 		grant, err := beginTurn(within(t, time.Second), l, "p", 1000, 60, true)
 		is.NoErr(err)
@@ -146,7 +146,7 @@
 		began := time.Now()
 		go func() {
 			time.Sleep(300 * time.Millisecond)
-			away.Store(true)
+			unavailable.Store(true)
 		}()
 		_, err = beginTurn(within(t, 5*time.Second), l, "q", 100, 60, false)
 		is.True(errors.Is(err, ErrStoreUnavailable) && errors.Is(err, ErrUnavailable))
@@ -164,7 +164,7 @@
 		is.True(errors.Is(err, ErrStoreUnavailable))
 		is.Equal(time.Since(began), time.Duration(0))
 		log.Fail(store.Fault{})
-		away.Store(false)
+		unavailable.Store(false)
 		time.Sleep(2 * time.Second)
 		_, err = beginTurn(within(t, time.Second), l, "q", 100, 60, false)
 		is.NoErr(err)
--- a/internal/ledgerlog/outage_test.go
+++ b/internal/ledgerlog/outage_test.go
@@ -216,16 +216,16 @@
 func TestCreditOutlastsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var away atomic.Bool
+		var unavailable atomic.Bool
 		coordinator := New(Config{
 			Store: store.New(), Topic: "ledger", TextTopic: "texts", Partitions: 1, Producer: "a", RecordBytes: 64, CallBytes: 1 << 20,
-			CacheBytes: 1 << 10, Availability: fakeAvailability{answers: func() bool { return !away.Load() }}, Logger: slog.New(slog.DiscardHandler),
+			CacheBytes: 1 << 10, Availability: fakeAvailability{answers: func() bool { return !unavailable.Load() }}, Logger: slog.New(slog.DiscardHandler),
 		})
 		coordinatesAll := func(int) bool { return true }
 		begun, err := beginTurn(within(t, time.Second), coordinator, "p", 1000, 100, true)
 		is.NoErr(err)
 		time.Sleep(time.Second) // the reservation is in the log
-		away.Store(true)
+		unavailable.Store(true)
 		coordinator.FinishTurn(begun.Program, begun.ID, 10)
 		for range 6 {
 			time.Sleep(time.Second)
@@ -233,7 +233,7 @@
 		}
 		again, err := beginTurn(within(t, time.Second), coordinator, "p", 1000, 100, true)
 		is.NoErr(err)
-		away.Store(false)
+		unavailable.Store(false)
 		coordinator.FinishTurn(again.Program, again.ID, 10)
 		is.NoErr(coordinator.Stop(within(t, time.Second)))
 	})
