--- a/internal/ledger/credit.go
+++ b/internal/ledger/credit.go
@@ -2,236 +2,240 @@
 
 import "time"
 
-// GrantID names the tokens that one turn may hand out, within one Credit.
+// GrantID identifies a grant, the tokens that one turn may use, within one Credit.
 type GrantID uint64
 
-// part is one reservation of a credit.
-type part struct {
+// reservation is one granted reservation of a credit.
+type reservation struct {
 	attempt AttemptID
 	granted uint64
 }
 
-// Credit is what one node may hand out of one program's budget: its reservations
-// in the log and, at a sure owner, some tokens ahead of them. It is pure and not
-// safe for concurrent use.
+// Credit is what one node may grant of one program's budget: its reservations in the log and,
+// at an exclusive owner, some unlogged tokens. It does no I/O and is not safe for concurrent
+// use.
 //
-// Invariant: spent plus what open turns may hand out is at most what the log has
-// granted, or at most AheadLimit while the node may hand out ahead of the log.
+// Invariant: used plus what open turns may use is at most what the log has granted, or at most
+// UnloggedLimit while the node may make unlogged grants.
 type Credit struct {
-	program ProgramID
-	life    IncarnationID
-	budget  uint32
-	most    uint32
-	parts   []part
-	// spent is what was handed out since the last Rebase, settled what before.
-	spent, settled uint64
-	open           map[GrantID]openGrant
-	// asked tells that a reservation's verdict is known, so that nothing may be
-	// handed out ahead of the log any more.
-	asked   bool
-	touched time.Duration
-	// Charged is what stood against the budget at the last verdict, in tokens.
+	program      ProgramID
+	incarnation  IncarnationID
+	budget       uint32
+	maxTokens    uint32
+	reservations []reservation
+	// used counts the tokens used since the last Rebase, settled those used before it.
+	used, settled uint64
+	open          map[GrantID]openGrant
+	// verdictKnown is set once a reservation's verdict is known. Unlogged grants are not
+	// allowed after that.
+	verdictKnown bool
+	lastUsed     time.Duration
+	// Charged is the amount charged to the budget at the last verdict, in tokens.
 	Charged uint64
-	// wanting is how many tokens the reservation under way needs at least. refused is that of
-	// one that the log has refused for what was handed out and what this credit holds; 0
-	// where there is none.
-	wanting, refused uint64
-	// blocked tells that the last reservation was refused though it might fit once
-	// others have settled theirs.
+	// pendingTokens is the minimum number of tokens of the pending reservation. refusedTokens
+	// is that of a reservation that the log refused although no other incarnation had an open
+	// one; 0 if there is none.
+	pendingTokens, refusedTokens uint64
+	// blocked is set if the last reservation was refused but might fit once other nodes have
+	// settled theirs.
 	blocked bool
 }
 
 type openGrant struct {
-	most  uint64
-	since time.Duration
+	maxTokens uint64
+	since     time.Duration
 }
 
-// NewCredit returns a credit of a life of a node without reservations.
-func NewCredit(program ProgramID, life IncarnationID, budget, most uint32, now time.Duration) *Credit {
-	return &Credit{program: program, life: life, budget: budget, most: most, open: map[GrantID]openGrant{}, touched: now}
+// NewCredit returns a credit of an incarnation, without reservations.
+func NewCredit(program ProgramID, incarnation IncarnationID, budget, maxTokens uint32, now time.Duration) *Credit {
+	return &Credit{program: program, incarnation: incarnation, budget: budget, maxTokens: maxTokens, open: map[GrantID]openGrant{}, lastUsed: now}
 }
 
 func (c *Credit) granted() uint64 {
 	total := uint64(0)
-	for _, one := range c.parts {
+	for _, one := range c.reservations {
 		total += one.granted
 	}
 	return total
 }
 
-// underWay is what open turns may hand out at most.
-func (c *Credit) underWay() uint64 {
+// openTokens returns the upper bound of what open turns may use.
+func (c *Credit) openTokens() uint64 {
 	total := uint64(0)
 	for _, one := range c.open {
-		total += one.most
+		total += one.maxTokens
 	}
 	return total
 }
 
-// Fits tells whether a turn of at most most tokens may begin. ahead tells whether
-// the node may hand out tokens ahead of the log.
-func (c *Credit) Fits(most uint32, ahead bool) bool {
+// Fits reports whether a turn of up to maxTokens tokens may begin. unlogged reports whether the
+// node may make unlogged grants.
+func (c *Credit) Fits(maxTokens uint32, unlogged bool) bool {
 	limit := c.granted()
-	if ahead && !c.asked {
-		limit = max(limit, UnloggedLimit(c.budget, c.most))
+	if unlogged && !c.verdictKnown {
+		limit = max(limit, UnloggedLimit(c.budget, c.maxTokens))
 	}
-	return c.spent+c.underWay()+uint64(most) <= limit
+	return c.used+c.openTokens()+uint64(maxTokens) <= limit
 }
 
-// Fresh tells whether nothing has been handed out to the program, as far as is
-// known here.
-func (c *Credit) Fresh() bool { return c.spent+c.settled == 0 && len(c.open) == 0 && c.Charged == 0 }
+// Fresh reports whether no tokens have been granted to the program, as far as known here.
+func (c *Credit) Fresh() bool { return c.used+c.settled == 0 && len(c.open) == 0 && c.Charged == 0 }
 
-// Open begins a turn that fits.
-func (c *Credit) Open(grant GrantID, most uint32, now time.Duration) {
-	c.open[grant] = openGrant{most: uint64(most), since: now}
-	c.touched = now
+// Open begins a turn. The caller must have checked Fits.
+func (c *Credit) Open(grant GrantID, maxTokens uint32, now time.Duration) {
+	c.open[grant] = openGrant{maxTokens: uint64(maxTokens), since: now}
+	c.lastUsed = now
 }
 
-// Finish ends a turn that handed out used tokens. It tells whether it was open.
+// Finish ends a turn that used tokens. It reports whether the turn was open.
 func (c *Credit) Finish(grant GrantID, used uint32, now time.Duration) bool {
 	_, known := c.open[grant]
 	if known {
 		delete(c.open, grant)
-		c.spent += uint64(used)
-		c.touched = now
+		c.used += uint64(used)
+		c.lastUsed = now
 	}
 	return known
 }
 
-// left is what a program has left of its budget where taken tokens stand against it.
-func (c *Credit) left(taken uint64) uint64 { return uint64(c.budget) - min(uint64(c.budget), taken) }
+// remaining returns what is left of the budget after taken tokens.
+func (c *Credit) remaining(taken uint64) uint64 {
+	return uint64(c.budget) - min(uint64(c.budget), taken)
+}
 
-// reserveTurns is how many whole turns a reservation holds at most.
-const reserveTurns = 4
+// maxReserveTurns bounds a reservation in advance, in turns of the maximum size.
+const maxReserveTurns = 4
 
-// lacking is how many tokens must be reserved so that a turn of at most most tokens fits.
-func (c *Credit) lacking(most uint32) uint64 {
-	needed := c.spent + c.underWay() + uint64(most)
+// missing returns how many tokens must be reserved so that a turn of up to maxTokens tokens
+// fits.
+func (c *Credit) missing(maxTokens uint32) uint64 {
+	needed := c.used + c.openTokens() + uint64(maxTokens)
 	return needed - min(needed, c.granted())
 }
 
-// Exhausted tells whether the log would refuse a turn of at most most tokens again, as it did
-// before: what stands against the budget then does not fall unless this credit gives back.
-func (c *Credit) Exhausted(most uint32) bool { return c.refused > 0 && c.lacking(most) >= c.refused }
+// Exhausted reports whether the log would refuse a turn of up to maxTokens tokens, as it has
+// refused one before. The amount that is charged to the budget does not fall then unless this
+// credit returns tokens.
+func (c *Credit) Exhausted(maxTokens uint32) bool {
+	return c.refusedTokens > 0 && c.missing(maxTokens) >= c.refusedTokens
+}
 
-// NextReservation returns the reservation to ask for, so that a turn of at most most tokens
-// fits. With ample, it holds some turns more, but at most half of what the program
-// has left, so that another node can go on with the rest if this one dies.
-func (c *Credit) NextReservation(attempt AttemptID, most uint32, sure, ample bool) Reservation {
-	least := c.lacking(most)
-	wanted := least
+// NextReservation returns the reservation to write so that a turn of up to maxTokens tokens
+// fits. If ample is set, it covers some further turns, but at most half of the remaining
+// budget, so that another node can continue with the rest if this one dies.
+func (c *Credit) NextReservation(attempt AttemptID, maxTokens uint32, exclusive, ample bool) Reservation {
+	minTokens := c.missing(maxTokens)
+	wantedTokens := minTokens
 	if ample {
-		wanted = max(min(c.left(c.granted()+c.settled)/2, reserveTurns*uint64(c.most)), least)
+		wantedTokens = max(min(c.remaining(c.granted()+c.settled)/2, maxReserveTurns*uint64(c.maxTokens)), minTokens)
 	}
-	c.wanting = least
-	if sure && !c.asked {
-		wanted = max(wanted, UnloggedLimit(c.budget, c.most))
+	c.pendingTokens = minTokens
+	if exclusive && !c.verdictKnown {
+		wantedTokens = max(wantedTokens, UnloggedLimit(c.budget, c.maxTokens))
 	}
 	return Reservation{
-		Program: c.program, Attempt: attempt, Budget: c.budget, MaxTurnTokens: c.most,
-		MinTokens: uint32(least), WantedTokens: uint32(wanted), Exclusive: sure && !c.asked, Incarnation: c.life,
+		Program: c.program, Attempt: attempt, Budget: c.budget, MaxTurnTokens: c.maxTokens,
+		MinTokens: uint32(minTokens), WantedTokens: uint32(wantedTokens), Exclusive: exclusive && !c.verdictKnown, Incarnation: c.incarnation,
 	}
 }
 
-// Rebase replaces all reservations by one for the next turns, where they hold more than half
-// of what the program has left, or less than one turn: what is reserved for later is lost
-// with the node, and a program of few turns with it. It returns the records that settle what
-// was handed out and the new reservation, which must stand after them; false where nothing is
-// to be written. Nothing may be handed out until the new verdict is known, so that a credit
-// with an open turn stays as it is.
+// Rebase replaces all reservations by one for the next turns, if they cover more than half of
+// the remaining budget or less than one turn. Tokens that are reserved for later are lost with
+// the node, which matters for programs of few turns. It returns the settlements and the new
+// reservation, which must follow them in the log, or false if nothing is to be written. No
+// tokens may be granted before the new verdict is known, so a credit with an open turn is not
+// changed.
 func (c *Credit) Rebase(attempt AttemptID) (settled []Record, next Reservation, changed bool) {
-	left := c.left(c.settled + c.spent)
-	half := max(left/2, uint64(c.most))
-	held := c.granted() - min(c.granted(), c.spent)
-	if !c.asked || len(c.open) > 0 || uint64(c.most) > left || held >= uint64(c.most) && held <= half {
+	remaining := c.remaining(c.settled + c.used)
+	half := max(remaining/2, uint64(c.maxTokens))
+	held := c.granted() - min(c.granted(), c.used)
+	if !c.verdictKnown || len(c.open) > 0 || uint64(c.maxTokens) > remaining || held >= uint64(c.maxTokens) && held <= half {
 		return nil, Reservation{}, false
 	}
 	settled = c.Settle()
-	c.settled += c.spent
-	c.parts, c.spent, c.refused, c.wanting = nil, 0, 0, uint64(c.most)
+	c.settled += c.used
+	c.reservations, c.used, c.refusedTokens, c.pendingTokens = nil, 0, 0, uint64(c.maxTokens)
 	next = Reservation{
-		Program: c.program, Attempt: attempt, Budget: c.budget, MaxTurnTokens: c.most,
-		MinTokens: c.most, WantedTokens: uint32(min(half, reserveTurns*uint64(c.most))), Incarnation: c.life,
+		Program: c.program, Attempt: attempt, Budget: c.budget, MaxTurnTokens: c.maxTokens,
+		MinTokens: c.maxTokens, WantedTokens: uint32(min(half, maxReserveTurns*uint64(c.maxTokens))), Incarnation: c.incarnation,
 	}
 	return settled, next, true
 }
 
-// Low tells whether one more turn may not fit, if the open ones hand out half of
-// what they may, so that more should be reserved before it is needed. What is
-// reserved too early is lost with the node: no more than half of what the program has left is
-// reserved so, and a credit that is rebased after each turn waits for that, unless turns are
-// open side by side.
+// Low reports whether one more turn may not fit if the open turns use half of their grants, so
+// that a reservation should be made in advance. To limit what is lost with the node, a
+// reservation in advance takes at most half of the remaining budget, and a credit that is
+// rebased after each turn makes none unless several turns are open.
 func (c *Credit) Low() bool {
-	if !c.asked || c.settled > 0 && len(c.open) <= 1 {
+	if !c.verdictKnown || c.settled > 0 && len(c.open) <= 1 {
 		return false
 	}
-	needed, granted := c.spent+c.underWay()+uint64(c.most), c.granted()
-	return granted < needed-c.underWay()/2 && needed-granted <= c.left(granted+c.settled)/2
+	needed, granted := c.used+c.openTokens()+uint64(c.maxTokens), c.granted()
+	return granted < needed-c.openTokens()/2 && needed-granted <= c.remaining(granted+c.settled)/2
 }
 
-// ApplyVerdict takes the verdict on a reservation. lives tells whether a life of a node
-// may still give back what it has reserved.
-func (c *Credit) ApplyVerdict(verdict Verdict, lives func(IncarnationID) bool) {
-	c.asked = true
+// ApplyVerdict applies the verdict on a reservation. mayReturn reports whether an incarnation
+// may still return what it has reserved.
+func (c *Credit) ApplyVerdict(verdict Verdict, mayReturn func(IncarnationID) bool) {
+	c.verdictKnown = true
 	c.Charged = verdict.Charged
-	c.refused = 0
-	if verdict.Granted == 0 && c.onlyHolder(verdict) {
-		c.refused = c.wanting
+	c.refusedTokens = 0
+	if verdict.Granted == 0 && c.onlyReserver(verdict) {
+		c.refusedTokens = c.pendingTokens
 	}
-	c.blocked = verdict.Granted == 0 && c.heldByOthers(verdict, lives) >= verdict.Shortfall
+	c.blocked = verdict.Granted == 0 && c.reservedByOthers(verdict, mayReturn) >= verdict.Shortfall
 	if verdict.Granted > 0 {
-		c.parts = append(c.parts, part{attempt: verdict.Attempt, granted: uint64(verdict.Granted)})
+		c.reservations = append(c.reservations, reservation{attempt: verdict.Attempt, granted: uint64(verdict.Granted)})
 	}
 }
 
-// onlyHolder tells whether nobody else has a reservation, which might be given back.
-func (c *Credit) onlyHolder(verdict Verdict) bool {
+// onlyReserver reports whether no other incarnation has an open reservation.
+func (c *Credit) onlyReserver(verdict Verdict) bool {
 	for _, one := range verdict.OpenReservations {
-		if one.Incarnation != c.life {
+		if one.Incarnation != c.incarnation {
 			return false
 		}
 	}
 	return true
 }
 
-// heldByOthers is what others than this credit have reserved and may give back.
-func (c *Credit) heldByOthers(verdict Verdict, lives func(IncarnationID) bool) uint64 {
+// reservedByOthers returns what other credits have reserved and may return.
+func (c *Credit) reservedByOthers(verdict Verdict, mayReturn func(IncarnationID) bool) uint64 {
 	held := uint64(0)
 	for _, one := range verdict.OpenReservations {
-		if lives(one.Incarnation) {
+		if mayReturn(one.Incarnation) {
 			held += uint64(one.Tokens)
 		}
 	}
 	return held - min(held, c.granted())
 }
 
-// Blocked tells whether the last reservation was refused for what other nodes have
-// reserved, which they may give back, rather than for what was handed out or is lost with them.
+// Blocked reports whether the last reservation was refused because of tokens that other nodes
+// have reserved and may return, rather than tokens that are used or lost.
 func (c *Credit) Blocked() bool { return c.blocked }
 
-// Idle tells whether no turn is open and none has been for the given time.
+// Idle reports whether no turn is open and none has been for the given time.
 func (c *Credit) Idle(since, now time.Duration) bool {
-	return len(c.open) == 0 && now-c.touched >= since
+	return len(c.open) == 0 && now-c.lastUsed >= since
 }
 
-// Expire counts turns as handed out in full that have been open for longer than
-// life, since their end will not be told any more.
-func (c *Credit) Expire(life, now time.Duration) {
+// Expire finishes turns that have been open for longer than timeout and counts their grants as
+// used in full.
+func (c *Credit) Expire(timeout, now time.Duration) {
 	for grant, one := range c.open {
-		if now-one.since > life {
-			c.Finish(grant, uint32(one.most), now)
+		if now-one.since > timeout {
+			c.Finish(grant, uint32(one.maxTokens), now)
 		}
 	}
 }
 
-// Settle returns the records that close all reservations, by what was handed out.
+// Settle returns the records that settle all reservations with what was used.
 func (c *Credit) Settle() []Record {
-	records := make([]Record, 0, len(c.parts))
-	left := c.spent
-	for _, one := range c.parts {
-		used := min(left, one.granted)
-		left -= used
+	records := make([]Record, 0, len(c.reservations))
+	remaining := c.used
+	for _, one := range c.reservations {
+		used := min(remaining, one.granted)
+		remaining -= used
 		records = append(records, Settlement{Program: c.program, Attempt: one.attempt, Used: uint32(used)})
 	}
 	return records
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,12 +19,12 @@
 	return verdicts
 }
 
-// exactly reserves what one turn hands out at most, for the program p.
-func exactly(attempt AttemptID, budget, most uint32) Reservation {
-	return Reservation{Program: "p", Attempt: attempt, Budget: budget, MaxTurnTokens: most, MinTokens: most, WantedTokens: most, Exclusive: true}
+// exactly reserves one turn of the maximum size for the program p.
+func exactly(attempt AttemptID, budget, maxTokens uint32) Reservation {
+	return Reservation{Program: "p", Attempt: attempt, Budget: budget, MaxTurnTokens: maxTokens, MinTokens: maxTokens, WantedTokens: maxTokens, Exclusive: true}
 }
 
-func TestOrderOfTheLogDecidesWhoGetsTheLastTokens(t *testing.T) {
+func TestLogOrderDecidesReservations(t *testing.T) {
 	is := is.New(t)
 	verdicts := apply(
 		NewPartition(),
@@ -44,10 +44,10 @@
 	apply(p, exactly(1, 100, 60), Settlement{Program: "p", Attempt: 9, Used: 0})
 	is.Equal(p.Charged("p"), uint64(60))
 	apply(p, Settlement{Program: "p", Attempt: 1, Used: 20}, Settlement{Program: "p", Attempt: 1, Used: 0})
-	is.Equal(p.Charged("p"), uint64(20)) // the second settlement counts nothing
+	is.Equal(p.Charged("p"), uint64(20)) // the second settlement has no effect
 }
 
-func TestKeptTurnsExpire(t *testing.T) {
+func TestIndexedTurnsExpire(t *testing.T) {
 	is := is.New(t)
 	p := NewPartition()
 	chain := []Location{{Partition: 3, Offset: 7, Size: 100}, {Partition: 11, Offset: 1 << 40, Size: 5}}
@@ -64,8 +64,8 @@
 	is.True(!known)
 }
 
-// TestKeepOfAnEarlierVersionIsRead: it ends before the replica that the turn ran on.
-func TestKeepOfAnEarlierVersionIsRead(t *testing.T) {
+// TestIndexEntryOfOlderVersionIsRead covers entries without a cache location.
+func TestIndexEntryOfOlderVersionIsRead(t *testing.T) {
 	is := is.New(t)
 	p := NewPartition()
 	chain := []Location{{Partition: 3, Offset: 7, Size: 100}}
@@ -77,7 +77,7 @@
 	is.Equal(found, IndexedTurn{Chain: chain})
 }
 
-func TestUnreadableRecordsArePassedOver(t *testing.T) {
+func TestUnreadableRecordsAreSkipped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPartition()
 		p.Apply(rapid.SliceOf(rapid.Byte()).Draw(t, "record"), 0)
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestRecordsSurviveEncoding(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		program := ProgramID(rapid.String().Draw(t, "program"))
 		attempt := AttemptID(rapid.Uint64().Draw(t, "attempt"))
@@ -104,9 +104,9 @@
 	})
 }
 
-// TestNoOrderOverspends draws interleavings of several nodes' attempts, lost
-// settlements included: what attempts with a granted reservation hand out never
-// exceeds the budget, and two readers of the log agree.
+// TestNoOrderOverspends draws interleavings of reservations of several nodes, with lost
+// settlements. What granted attempts use must never exceed the budget, and two readers of the
+// log must agree.
 func TestNoOrderOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const budget = 1000
@@ -115,8 +115,8 @@
 		handedOut := uint64(0)
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for attempt := AttemptID(1); attempt <= AttemptID(steps); attempt++ {
-			most := rapid.Uint32Range(1, 400).Draw(t, "most")
-			record := Encode(exactly(attempt, budget, most))
+			maxTokens := rapid.Uint32Range(1, 400).Draw(t, "most")
+			record := Encode(exactly(attempt, budget, maxTokens))
 			verdict, _ := first.Apply(record, 0)
 			again, _ := second.Apply(record, 0)
 			if !reflect.DeepEqual(verdict, again) {
@@ -125,8 +125,8 @@
 			if verdict.Granted == 0 {
 				continue
 			}
-			granted[attempt] = most
-			used := rapid.Uint32Range(0, most).Draw(t, "used")
+			granted[attempt] = maxTokens
+			used := rapid.Uint32Range(0, maxTokens).Draw(t, "used")
 			handedOut += uint64(used)
 			if rapid.Bool().Draw(t, "settled") {
 				settled := Encode(Settlement{Program: "p", Attempt: attempt, Used: used})
@@ -140,7 +140,7 @@
 	})
 }
 
-func TestReservationTakesWhatIsLeft(t *testing.T) {
+func TestReservationGetsRemainingBudget(t *testing.T) {
 	is := is.New(t)
 	verdicts := apply(
 		NewPartition(),
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestPartOfTheBudgetStaysClosedWhereTheFirstRecordIsNotSure(t *testing.T) {
+func TestBudgetIsWithheldIfFirstRecordIsNotExclusive(t *testing.T) {
 	is := is.New(t)
 	verdicts := apply(
 		NewPartition(),
@@ -163,18 +163,19 @@
 		Reservation{Program: "p", Attempt: 2, Budget: 1000, MaxTurnTokens: 100, MinTokens: 100, WantedTokens: 1000, Exclusive: true},
 	)
 	is.Equal(verdicts[0].Granted, uint32(750)) // 1000 + 100 - 350
-	is.Equal(verdicts[1].Granted, uint32(0))   // a later sure record opens nothing
+	is.Equal(verdicts[1].Granted, uint32(0))   // a later exclusive record opens nothing
 }
 
-// TestAheadAndOpenAreTheBudgetAndOneTurn is the rule that the two limits keep.
+// TestAheadAndOpenAreTheBudgetAndOneTurn checks that unlogged and logged grants together stay
+// within the budget and one turn.
 func TestAheadAndOpenAreTheBudgetAndOneTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget, most := rapid.Uint32().Draw(t, "budget"), rapid.Uint32().Draw(t, "most")
-		if UnloggedLimit(budget, most) < uint64(most) {
+		budget, maxTokens := rapid.Uint32().Draw(t, "budget"), rapid.Uint32().Draw(t, "most")
+		if UnloggedLimit(budget, maxTokens) < uint64(maxTokens) {
 			t.Fatal("not one turn fits ahead of the log")
 		}
-		if most <= budget && UnloggedLimit(budget, most)+LoggedBudget(budget, most) > uint64(budget)+uint64(most) {
-			t.Fatalf("%d and %d", UnloggedLimit(budget, most), LoggedBudget(budget, most))
+		if maxTokens <= budget && UnloggedLimit(budget, maxTokens)+LoggedBudget(budget, maxTokens) > uint64(budget)+uint64(maxTokens) {
+			t.Fatalf("%d and %d", UnloggedLimit(budget, maxTokens), LoggedBudget(budget, maxTokens))
 		}
 	})
 }
@@ -186,14 +187,14 @@
 	at(0, OwnershipClaim{Incarnation: "a"})
 	is.True(p.MayGrantUnlogged("a", 0, 0))
 	is.True(!p.MayGrantUnlogged("b", 0, 0))
-	is.True(!p.MayGrantUnlogged("a", 0, ConfirmationTTL+1)) // not heard of for too long
+	is.True(!p.MayGrantUnlogged("a", 0, ConfirmationTTL+1)) // the confirmation has expired
 	at(1, OwnershipClaim{Incarnation: "b"})                 // a has not released
 	is.True(!p.MayGrantUnlogged("b", 1, 1))
 	is.True(p.MayGrantUnlogged("b", TakeoverDelay, TakeoverDelay+2))
-	at(2, OwnershipRelease{Incarnation: "a"}) // not the owner any more
+	at(2, OwnershipRelease{Incarnation: "a"}) // a is no longer the owner
 	is.Equal(p.Owner(), IncarnationID("b"))
 	at(3, OwnershipRelease{Incarnation: "b"})
-	at(4, OwnershipClaim{Incarnation: "c"}) // what a handed out may still be ahead of the log
+	at(4, OwnershipClaim{Incarnation: "c"}) // unlogged grants of a may remain
 	is.True(!p.MayGrantUnlogged("c", 4, 4))
 
 	p = NewPartition()
@@ -204,11 +205,11 @@
 
 	p = NewPartition()
 	p.SkipTo(5)
-	at(0, OwnershipClaim{Incarnation: "a"}) // the records before are not known
+	at(0, OwnershipClaim{Incarnation: "a"}) // earlier records are not known
 	is.True(!p.MayGrantUnlogged("a", 0, 0))
 }
 
-func TestCreditHandsOutNoMoreThanItHolds(t *testing.T) {
+func TestCreditGrantsNoMoreThanReserved(t *testing.T) {
 	is := is.New(t)
 	c := NewCredit("p", "a", 1000, 100, 0)
 	is.True(!c.Fits(100, false))
@@ -221,18 +222,18 @@
 		is.True(c.Fits(100, true))
 		c.Open(grant, 100, 0)
 	}
-	is.True(!c.Fits(100, true)) // 350 ahead of the log
+	is.True(!c.Fits(100, true)) // the limit of unlogged grants is 350
 	c.ApplyVerdict(Verdict{Attempt: 1, Granted: 320}, nobody)
 	is.True(!c.Fits(100, true))
 	is.True(c.Finish(0, 70, 0))
 	is.True(!c.Finish(0, 70, 0))
 	is.True(!c.Fits(100, true)) // 270 of 320
 	is.True(c.Fits(50, true))
-	is.True(!c.Low()) // 70, 100 of 200 under way, and 100 more
+	is.True(!c.Low()) // 70 used, 100 of 200 open, and 100 more
 	c.Open(9, 50, 0)
 	is.True(c.Finish(9, 51, 0))
 	is.True(c.Low())
-	c.spent -= 51
+	c.used -= 51
 	next := c.NextReservation(2, 100, true, true)
 	is.Equal(next.MinTokens, uint32(50))
 	is.Equal(next.WantedTokens, uint32(340))
@@ -253,25 +254,25 @@
 	}{
 		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here}, Shortfall: 10}, false},
 		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here, {Incarnation: "b", Tokens: 10}}, Shortfall: 10}, true},
-		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here, {Incarnation: "b", Tokens: 9}}, Shortfall: 10}, false}, // it would not do
+		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here, {Incarnation: "b", Tokens: 9}}, Shortfall: 10}, false}, // it would not be enough
 		{Verdict{Attempt: 2, Charged: 90, OpenReservations: []OpenReservation{here, {Incarnation: "dead", Tokens: 50}}, Shortfall: 10}, false},
 		{Verdict{Attempt: 2, Granted: 10, Charged: 90}, false},
 	} {
 		is := is.New(t)
 		c := NewCredit("p", "a", 100, 20, 0)
-		lives := func(life IncarnationID) bool { return life != "dead" }
-		c.ApplyVerdict(Verdict{Attempt: 1, Granted: 40}, lives)
-		c.ApplyVerdict(one.verdict, lives)
+		incarnations := func(incarnation IncarnationID) bool { return incarnation != "dead" }
+		c.ApplyVerdict(Verdict{Attempt: 1, Granted: 40}, incarnations)
+		c.ApplyVerdict(one.verdict, incarnations)
 		is.Equal(c.Blocked(), one.blocked)
 	}
 }
 
-// TestWhatTheDeadHeldKeepsNoTurnOut reserves for a program of which another life has
-// reserved all that is left, as one that was killed in the middle of its turns.
-func TestWhatTheDeadHeldKeepsNoTurnOut(t *testing.T) {
+// TestReservationsOfDeadNodesBlockNoTurn covers a program whose remaining budget was reserved
+// by an incarnation that died in the middle of its turns.
+func TestReservationsOfDeadNodesBlockNoTurn(t *testing.T) {
 	is := is.New(t)
-	reserve := func(attempt AttemptID, life IncarnationID, wanted uint32) Reservation {
-		return Reservation{Program: "p", Attempt: attempt, Budget: 1178, MaxTurnTokens: 589, MinTokens: 589, WantedTokens: wanted, Exclusive: true, Incarnation: life}
+	reserve := func(attempt AttemptID, incarnation IncarnationID, wanted uint32) Reservation {
+		return Reservation{Program: "p", Attempt: attempt, Budget: 1178, MaxTurnTokens: 589, MinTokens: 589, WantedTokens: wanted, Exclusive: true, Incarnation: incarnation}
 	}
 	p := NewPartition()
 	verdicts := apply(
@@ -292,19 +293,19 @@
 	is.True(p.Charged("p") <= 1178+589)
 }
 
-// TestNoOrderOfLivesOverspends draws reservations of several lives that die with them:
-// what they hand out never exceeds the budget and the most of one turn, and one life alone
-// never exceeds the budget.
-func TestNoOrderOfLivesOverspends(t *testing.T) {
+// TestNoOrderOfIncarnationsOverspends draws reservations of incarnations that die with them.
+// They must never use more than the budget and one turn, and a single incarnation never more
+// than the budget.
+func TestNoOrderOfIncarnationsOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const budget, most = 1000, 300
-		lives := rapid.IntRange(1, 4).Draw(t, "lives")
+		const budget, maxTokens = 1000, 300
+		incarnations := rapid.IntRange(1, 4).Draw(t, "lives")
 		p := NewPartition()
 		handedOut := uint64(0)
 		for attempt := AttemptID(1); attempt <= 40; attempt++ {
-			record := exactly(attempt, budget, rapid.Uint32Range(1, most).Draw(t, "least"))
-			record.MaxTurnTokens, record.WantedTokens = most, rapid.Uint32Range(record.MinTokens, budget).Draw(t, "wanted")
-			record.Incarnation = IncarnationID(rune('a' + rapid.IntRange(0, lives-1).Draw(t, "life")))
+			record := exactly(attempt, budget, rapid.Uint32Range(1, maxTokens).Draw(t, "least"))
+			record.MaxTurnTokens, record.WantedTokens = maxTokens, rapid.Uint32Range(record.MinTokens, budget).Draw(t, "wanted")
+			record.Incarnation = IncarnationID(rune('a' + rapid.IntRange(0, incarnations-1).Draw(t, "life")))
 			verdict, _ := p.Apply(Encode(record), 0)
 			used := rapid.Uint32Range(0, verdict.Granted).Draw(t, "used")
 			handedOut += uint64(used)
@@ -312,8 +313,8 @@
 				p.Apply(Encode(Settlement{Program: "p", Attempt: attempt, Used: used}), 0)
 			}
 			allowed := uint64(budget)
-			if lives > 1 {
-				allowed += most
+			if incarnations > 1 {
+				allowed += maxTokens
 			}
 			if handedOut > allowed {
 				t.Fatalf("%d tokens of %d handed out", handedOut, allowed)
--- a/internal/ledger/partition.go
+++ b/internal/ledger/partition.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// accountLife is how long a program's charges are kept after its last record.
-// A program that was stopped may come back within the retention of its turns.
-const accountLife = 5 * time.Minute
+// accountTTL is how long a program's charges are kept after its last record. A stopped program
+// may return within the retention of its turns.
+const accountTTL = 5 * time.Minute
 
-// keepSlack is how much longer a turn is kept than promised.
-const keepSlack = 15 * time.Second
+// retentionMargin is how much longer than its retention a turn is kept.
+const retentionMargin = 15 * time.Second
 
-// prunePause is the time between two searches for what has expired.
-const prunePause = 5 * time.Second
+// pruneInterval is the time between two searches for expired entries.
+const pruneInterval = 5 * time.Second
 
-// account is a program's charges. Invariant: charged is the sum of what settled
-// attempts used and of what open ones reserved.
+// account has a program's charges. Invariant: charged is the sum of what settled attempts used
+// and what open ones reserved.
 type account struct {
 	charged uint64
-	// sure tells that the first record of the program was; fresh that none has come.
-	sure, fresh bool
-	open        map[AttemptID]OpenReservation
-	touched     time.Duration
+	// exclusive is that of the program's first reservation; fresh is set until there is one.
+	exclusive, fresh bool
+	open             map[AttemptID]OpenReservation
+	lastUsed         time.Duration
 }
 
-// OpenReservation is an open reservation: tokens that a life of a node may hand out, or
-// give back.
+// OpenReservation is a reservation that is not settled: tokens that an incarnation may use or
+// return.
 type OpenReservation struct {
 	Incarnation IncarnationID
 	Tokens      uint32
 }
 
-// holdings returns the open reservations, ordered, since nodes compare verdicts.
-func (a *account) holdings() []OpenReservation {
+// openReservations returns the open reservations in a deterministic order, so that verdicts are
+// equal on all nodes.
+func (a *account) openReservations() []OpenReservation {
 	held := slices.Collect(maps.Values(a.open))
 	slices.SortFunc(held, func(one, other OpenReservation) int {
 		return cmp.Or(cmp.Compare(one.Incarnation, other.Incarnation), cmp.Compare(one.Tokens, other.Tokens))
@@ -43,42 +44,42 @@
 	return held
 }
 
-// heldByOthers is what open reservations of other lives hold.
-func (a *account) heldByOthers(life IncarnationID) uint64 {
+// reservedByOthers returns what other incarnations have reserved.
+func (a *account) reservedByOthers(incarnation IncarnationID) uint64 {
 	held := uint64(0)
 	for _, one := range a.open {
-		if one.Incarnation != life {
+		if one.Incarnation != incarnation {
 			held += uint64(one.Tokens)
 		}
 	}
 	return held
 }
 
-// IndexedTurn is what the index says of a turn.
+// IndexedTurn is the index's information on a turn.
 type IndexedTurn struct {
-	// Chain holds the locations of the turn's predecessors, the oldest first, and of
-	// the turn itself.
+	// Chain holds the locations of the turn's predecessors, oldest first, and of the turn
+	// itself.
 	Chain         []Location
 	CacheLocation CacheLocation
 }
 
-type keptTurn struct {
+type storedTurn struct {
 	IndexedTurn
 	expires time.Duration
 }
 
-// Partition is the state that the records of one log partition add up to. It is
-// not safe for concurrent use. Times are readings of a monotonic clock.
+// Partition is the state that results from the records of one log partition. It is not safe for
+// concurrent use. Times are readings of a monotonic clock.
 type Partition struct {
 	next  uint64
 	owner Ownership
-	// skipped tells that the oldest records were gone when this state began.
-	skipped  bool
-	accounts map[ProgramID]*account
-	turns    map[TurnID]keptTurn
-	// rule bounds the texts of turns in the partition, texts counts them, and demand those
-	// of all kept turns.
-	rule   TextLimits
+	// truncated is set if the log had dropped its oldest records when this state began.
+	truncated bool
+	accounts  map[ProgramID]*account
+	turns     map[TurnID]storedTurn
+	// limits bounds the texts in the partition, texts counts them, and demand counts those of
+	// all indexed turns, wherever they are.
+	limits TextLimits
 	texts  textWindow
 	demand textWindow
 	pruned time.Duration
@@ -86,40 +87,39 @@
 
 // NewPartition returns the state before the first record.
 func NewPartition() *Partition {
-	return &Partition{accounts: map[ProgramID]*account{}, turns: map[TurnID]keptTurn{}}
+	return &Partition{accounts: map[ProgramID]*account{}, turns: map[TurnID]storedTurn{}}
 }
 
 // Next is the offset of the first record that has not been applied.
 func (p *Partition) Next() uint64 { return p.next }
 
-// SkipTo passes over records that the log has dropped; they are older than
-// anything that is kept.
+// SkipTo skips records that the log has dropped. They are older than anything that is retained.
 func (p *Partition) SkipTo(offset uint64) {
-	p.skipped = p.skipped || offset > p.next
+	p.truncated = p.truncated || offset > p.next
 	p.next = max(p.next, offset)
 }
 
-// Verdict is the outcome of a Reserve record.
+// Verdict is the outcome of a Reservation.
 type Verdict struct {
 	Attempt AttemptID
-	// Granted is how many tokens are reserved; 0 if the reservation does not hold.
+	// Granted is how many tokens were reserved, or 0 if the reservation was refused.
 	Granted uint32
-	// Charged is what stood against the program's budget before it, in tokens.
+	// Charged is the amount charged to the program's budget before the reservation, in tokens.
 	Charged uint64
-	// OpenReservations are the parts of Charged that open reservations hold; only where
-	// nothing was granted.
+	// OpenReservations are the open reservations within Charged; set only if nothing was
+	// granted.
 	OpenReservations []OpenReservation
-	// Shortfall is how many tokens were missing where nothing was granted.
+	// Shortfall is how many tokens were missing if nothing was granted.
 	Shortfall uint64
 }
 
-// Apply takes the record at Next. For a Reserve it returns the verdict and true.
+// Apply applies the record at Next. For a Reservation it returns the verdict and true.
 func (p *Partition) Apply(encoded []byte, now time.Duration) (Verdict, bool) {
 	p.next++
 	p.prune(now)
 	record, err := Decode(encoded)
 	if err != nil {
-		return Verdict{}, false // of another version of the program; it counts nothing here
+		return Verdict{}, false // written by another version; it has no effect here
 	}
 	switch record := record.(type) {
 	case Reservation:
@@ -127,44 +127,44 @@
 	case Settlement:
 		p.settle(record, now)
 	case OwnershipClaim:
-		p.own(record, now)
+		p.claimOwnership(record, now)
 	case OwnershipRelease:
-		p.release(record)
+		p.releaseOwnership(record)
 	case Text:
-		p.texts.add(len(record.Bytes), now, p.rule.Retain)
+		p.texts.add(len(record.Bytes), now, p.limits.Retain)
 	case IndexEntry:
-		chain := resolved(record.Chain, p.next-1)
+		chain := resolveChain(record.Chain, p.next-1)
 		p.noteDemand(chain, now)
-		p.turns[record.Turn] = keptTurn{IndexedTurn: IndexedTurn{Chain: chain, CacheLocation: record.CacheLocation}, expires: now + record.Retention + keepSlack}
+		p.turns[record.Turn] = storedTurn{IndexedTurn: IndexedTurn{Chain: chain, CacheLocation: record.CacheLocation}, expires: now + record.Retention + retentionMargin}
 	}
 	return Verdict{}, false
 }
 
-// reserve decides on a reservation. What other lives hold counts as handed out, though
-// much of it never is where they died; so a turn that only this keeps out may use the most
-// of one turn beyond the budget, which is what a program may be handed in all. In a sure
-// account that is not used otherwise, see AheadLimit.
+// reserve decides on a reservation. Open reservations of other incarnations count as used,
+// although dead ones never use much of theirs. Therefore a turn that does not fit only because
+// of them may exceed the budget by up to one turn, which is still within what a program may
+// use. Exclusive accounts have that margin available, see UnloggedLimit.
 func (p *Partition) reserve(record Reservation, now time.Duration) Verdict {
 	charges := p.account(record.Program, now)
 	if charges.fresh {
-		charges.fresh, charges.sure = false, record.Exclusive
+		charges.fresh, charges.exclusive = false, record.Exclusive
 	}
 	verdict := Verdict{Attempt: record.Attempt, Charged: charges.charged}
 	if _, repeated := charges.open[record.Attempt]; repeated {
 		return verdict
 	}
 	open := uint64(record.Budget)
-	if !charges.sure {
+	if !charges.exclusive {
 		open = LoggedBudget(record.Budget, record.MaxTurnTokens)
 	}
 	needed := charges.charged + uint64(record.MinTokens)
 	extended := open
-	if charges.sure {
-		extended += min(uint64(record.MaxTurnTokens), charges.heldByOthers(record.Incarnation))
+	if charges.exclusive {
+		extended += min(uint64(record.MaxTurnTokens), charges.reservedByOthers(record.Incarnation))
 	}
 	switch {
 	case needed > extended:
-		verdict.Shortfall, verdict.OpenReservations = needed-extended, charges.holdings()
+		verdict.Shortfall, verdict.OpenReservations = needed-extended, charges.openReservations()
 		return verdict
 	case needed > open:
 		verdict.Granted = record.MinTokens
@@ -176,8 +176,8 @@
 	return verdict
 }
 
-// settle replaces an open reservation by what was used. An attempt that reserved
-// nothing, or was settled before, changes nothing.
+// settle replaces an open reservation by what was used. It has no effect on attempts that
+// reserved nothing or were settled before.
 func (p *Partition) settle(record Settlement, now time.Duration) {
 	charges := p.account(record.Program, now)
 	reserved, open := charges.open[record.Attempt]
@@ -194,11 +194,11 @@
 		charges = &account{open: map[AttemptID]OpenReservation{}, fresh: true}
 		p.accounts[program] = charges
 	}
-	charges.touched = now
+	charges.lastUsed = now
 	return charges
 }
 
-// Charged returns what stands against a program's budget, in tokens.
+// Charged returns the amount charged to a program's budget, in tokens.
 func (p *Partition) Charged(program ProgramID) uint64 {
 	if charges, known := p.accounts[program]; known {
 		return charges.charged
@@ -206,25 +206,25 @@
 	return 0
 }
 
-// Knows tells whether a reservation of the program has been asked for.
+// Knows reports whether the log had a reservation of the program.
 func (p *Partition) Knows(program ProgramID) bool {
 	_, known := p.accounts[program]
 	return known
 }
 
-// Turn returns what the index says of a turn.
+// Turn returns the index's information on a turn.
 func (p *Partition) Turn(turn TurnID) (IndexedTurn, bool) {
 	kept, found := p.turns[turn]
 	return kept.IndexedTurn, found
 }
 
 func (p *Partition) prune(now time.Duration) {
-	if now-p.pruned < prunePause {
+	if now-p.pruned < pruneInterval {
 		return
 	}
 	p.pruned = now
 	for program, charges := range p.accounts {
-		if now-charges.touched > accountLife {
+		if now-charges.lastUsed > accountTTL {
 			delete(p.accounts, program)
 		}
 	}
--- a/internal/ledger/rebase_test.go
+++ b/internal/ledger/rebase_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// decided returns a credit that holds a first reservation of granted tokens.
-func decided(budget, most, granted uint32) *Credit {
-	c := NewCredit("p", "a", budget, most, 0)
+// decided returns a credit whose first reservation was granted.
+func decided(budget, maxTokens, granted uint32) *Credit {
+	c := NewCredit("p", "a", budget, maxTokens, 0)
 	c.ApplyVerdict(Verdict{Attempt: 1, Granted: granted}, nobody)
 	return c
 }
@@ -20,7 +20,7 @@
 	c := decided(600, 100, 400)
 	c.Open(1, 100, 0)
 	_, _, changed := c.Rebase(2)
-	is.True(!changed) // what the open turn may hand out must stay reserved
+	is.True(!changed) // what the open turn may use must stay reserved
 	c.Finish(1, 30, 0)
 	settled, next, changed := c.Rebase(2)
 	is.True(changed)
@@ -31,12 +31,12 @@
 	c.ApplyVerdict(Verdict{Attempt: 2, Granted: 285}, nobody)
 	is.True(c.Fits(285, true))
 	_, _, changed = c.Rebase(3)
-	is.True(!changed) // just enough is reserved
+	is.True(!changed) // the reservation is already right
 	is.True(!c.Low()) // the next rebase reserves
 }
 
-// TestRebaseLeavesALargeBudgetAsItIs: its turns may run side by side, and little is lost.
-func TestRebaseLeavesALargeBudgetAsItIs(t *testing.T) {
+// TestRebaseKeepsSmallPartOfLargeBudget guards concurrent turns, which need their reservations.
+func TestRebaseKeepsSmallPartOfLargeBudget(t *testing.T) {
 	is := is.New(t)
 	c := decided(4000, 100, 1400)
 	c.Open(1, 100, 0)
@@ -45,8 +45,8 @@
 	is.True(!changed)
 }
 
-// TestRebaseOfAFewTurnsReservesOne: a program of two turns loses one with the node, not both.
-func TestRebaseOfAFewTurnsReservesOne(t *testing.T) {
+// TestRebaseReservesOneOfTwoTurns guards against losing both turns of a program with the node.
+func TestRebaseReservesOneOfTwoTurns(t *testing.T) {
 	is := is.New(t)
 	c := decided(576, 288, 576)
 	c.Open(1, 288, 0)
@@ -62,51 +62,51 @@
 	is.True(!changed) // less than a turn is left
 }
 
-// life is one life of a node: a credit, and records on their way to the log.
-type life struct {
+// incarnation has a credit, and records that are not in the log yet.
+type incarnation struct {
 	credit  *Credit
 	waiting []Record
-	// asking tells that a reservation is on its way.
+	// asking is set while a reservation is waiting.
 	asking bool
 	grants GrantID
 }
 
-// killing is a program's log and the lives that hand out its budget.
-type killing struct {
-	t         *rapid.T
-	partition *Partition
-	lives     []*life
-	attempts  AttemptID
-	handedOut uint64
-	// early is a planted fault: a rebased credit hands out before the verdict.
+// crashRun is a program's log and the incarnations that use its budget.
+type crashRun struct {
+	t            *rapid.T
+	partition    *Partition
+	incarnations []*incarnation
+	attempts     AttemptID
+	handedOut    uint64
+	// early injects a fault: a rebased credit makes grants before the verdict.
 	early bool
-	// spent counts how often a credit took the budget for spent.
+	// spent counts how often a credit reported the budget as exhausted.
 	spent int
 }
 
 const (
-	killedBudget = 1000
-	killedMost   = 150
+	crashBudget    = 1000
+	crashMaxTokens = 150
 )
 
-func (k *killing) newLife(place int) {
+func (k *crashRun) restart(place int) {
 	k.attempts++
 	name := IncarnationID(rune('A' + k.attempts))
-	k.lives[place] = &life{credit: NewCredit("p", name, killedBudget, killedMost, 0)}
+	k.incarnations[place] = &incarnation{credit: NewCredit("p", name, crashBudget, crashMaxTokens, 0)}
 }
 
-// ask sends a reservation on its way.
-func (k *killing) ask(one *life, ample bool) {
+// ask submits a reservation.
+func (k *crashRun) ask(one *incarnation, ample bool) {
 	if one.asking {
 		return
 	}
 	k.attempts++
 	one.asking = true
-	one.waiting = append(one.waiting, one.credit.NextReservation(k.attempts, killedMost, false, ample))
+	one.waiting = append(one.waiting, one.credit.NextReservation(k.attempts, crashMaxTokens, false, ample))
 }
 
-// rebase sends a credit's settlement and new reservation on their way.
-func (k *killing) rebase(one *life) {
+// rebase submits a credit's settlements and new reservation.
+func (k *crashRun) rebase(one *incarnation) {
 	k.attempts++
 	if one.asking {
 		return
@@ -118,12 +118,12 @@
 	one.asking = true
 	one.waiting = append(append(one.waiting, settled...), next)
 	if k.early {
-		one.credit.parts = append(one.credit.parts, part{attempt: k.attempts, granted: uint64(next.WantedTokens)})
+		one.credit.reservations = append(one.credit.reservations, reservation{attempt: k.attempts, granted: uint64(next.WantedTokens)})
 	}
 }
 
-// write lets some of what waits reach the log, in its order, and takes the verdicts.
-func (k *killing) write(one *life, count int) {
+// write applies some of the waiting records in order and passes on the verdicts.
+func (k *crashRun) write(one *incarnation, count int) {
 	for range min(count, len(one.waiting)) {
 		verdict, reserved := k.partition.Apply(Encode(one.waiting[0]), 0)
 		one.waiting = one.waiting[1:]
@@ -134,45 +134,45 @@
 	}
 }
 
-// checkSpent fails if a credit takes the budget for spent and the log does not.
-func (k *killing) checkSpent(one *life) {
-	if one.asking || len(one.waiting) > 0 || !one.credit.Exhausted(killedMost) {
+// checkSpent fails if a credit reports the budget as exhausted and the log does not.
+func (k *crashRun) checkSpent(one *incarnation) {
+	if one.asking || len(one.waiting) > 0 || !one.credit.Exhausted(crashMaxTokens) {
 		return
 	}
 	k.attempts++
 	k.spent++
-	verdict, _ := k.partition.Apply(Encode(one.credit.NextReservation(k.attempts, killedMost, false, false)), 0)
+	verdict, _ := k.partition.Apply(Encode(one.credit.NextReservation(k.attempts, crashMaxTokens, false, false)), 0)
 	if verdict.Granted > 0 {
 		k.t.Fatalf("%d tokens granted of a budget that was taken for spent", verdict.Granted)
 	}
 }
 
-// turn begins a turn if it fits, which hands out at once what it may.
-func (k *killing) turn(one *life, used uint32, ends bool) {
-	if !one.credit.Fits(killedMost, false) {
+// turn begins a turn if it fits, which uses its tokens at once.
+func (k *crashRun) turn(one *incarnation, used uint32, ends bool) {
+	if !one.credit.Fits(crashMaxTokens, false) {
 		k.checkSpent(one)
 		k.ask(one, used%2 == 0)
 		return
 	}
 	one.grants++
-	one.credit.Open(one.grants, killedMost, 0)
+	one.credit.Open(one.grants, crashMaxTokens, 0)
 	k.handedOut += uint64(used)
 	if ends {
 		one.credit.Finish(one.grants, used, 0)
 	}
 }
 
-// play draws kills at any moment and returns what was handed out at last.
-func (k *killing) play() uint64 {
-	for place := range k.lives {
-		k.newLife(place)
+// play draws turns and crashes and returns how many tokens were used.
+func (k *crashRun) play() uint64 {
+	for place := range k.incarnations {
+		k.restart(place)
 	}
 	for range rapid.IntRange(100, 400).Draw(k.t, "steps") {
-		place := rapid.IntRange(0, len(k.lives)-1).Draw(k.t, "life")
-		one := k.lives[place]
+		place := rapid.IntRange(0, len(k.incarnations)-1).Draw(k.t, "life")
+		one := k.incarnations[place]
 		switch draw := rapid.IntRange(0, 59).Draw(k.t, "step"); {
 		case draw == 7:
-			k.newLife(place) // what had not reached the log is lost
+			k.restart(place) // records that are not in the log are lost
 		case draw == 9:
 			one.credit.Expire(time.Minute, 2*time.Minute)
 		case draw%4 == 0:
@@ -180,21 +180,21 @@
 		case draw%4 == 1:
 			k.write(one, rapid.IntRange(1, 3).Draw(k.t, "records"))
 		default:
-			k.turn(one, killedMost-rapid.Uint32Range(0, killedMost).Draw(k.t, "less"), rapid.IntRange(0, 9).Draw(k.t, "ends") > 0)
+			k.turn(one, crashMaxTokens-rapid.Uint32Range(0, crashMaxTokens).Draw(k.t, "less"), rapid.IntRange(0, 9).Draw(k.t, "ends") > 0)
 		}
 	}
 	return k.handedOut
 }
 
-// TestNoKillOverspendsRebasedCredits: lives of nodes end at any moment, with records on their
-// way. Together they never hand out more than the budget and the most of one turn.
-func TestNoKillOverspendsRebasedCredits(t *testing.T) {
+// TestCrashesDoNotOverspendRebasedCredits draws crashes at any time, with records that are not
+// in the log yet. All incarnations together must never use more than the budget and one turn.
+func TestCrashesDoNotOverspendRebasedCredits(t *testing.T) {
 	spent := 0
 	rapid.Check(t, func(t *rapid.T) {
-		lives := rapid.IntRange(1, 3).Draw(t, "lives")
-		run := &killing{t: t, partition: NewPartition(), lives: make([]*life, lives)}
-		if got := run.play(); got > killedBudget+killedMost {
-			t.Fatalf("%d tokens of %d handed out", got, killedBudget)
+		incarnations := rapid.IntRange(1, 3).Draw(t, "lives")
+		run := &crashRun{t: t, partition: NewPartition(), incarnations: make([]*incarnation, incarnations)}
+		if got := run.play(); got > crashBudget+crashMaxTokens {
+			t.Fatalf("%d tokens of %d handed out", got, crashBudget)
 		}
 		spent += run.spent
 	})
@@ -203,20 +203,21 @@
 	}
 }
 
-// TestKillsWouldShowCreditsThatDoNotWait plants the fault that the test above is for.
-func TestKillsWouldShowCreditsThatDoNotWait(t *testing.T) {
-	most := uint64(0)
+// TestCrashRunDetectsEarlyGrants checks that the test above detects an injected fault.
+func TestCrashRunDetectsEarlyGrants(t *testing.T) {
+	maxTokens := uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
-		run := &killing{t: t, partition: NewPartition(), lives: make([]*life, 3), early: true}
-		most = max(most, run.play())
+		run := &crashRun{t: t, partition: NewPartition(), incarnations: make([]*incarnation, 3), early: true}
+		maxTokens = max(maxTokens, run.play())
 	})
-	if most <= killedBudget+killedMost {
-		t.Fatalf("a planted fault shows nothing: %d tokens of %d handed out", most, killedBudget)
+	if maxTokens <= crashBudget+crashMaxTokens {
+		t.Fatalf("a planted fault shows nothing: %d tokens of %d handed out", maxTokens, crashBudget)
 	}
 }
 
-// TestNoMoreThanHalfOfWhatIsLeftIsReservedBeforeItIsNeeded.
-func TestNoMoreThanHalfOfWhatIsLeftIsReservedBeforeItIsNeeded(t *testing.T) {
+// TestAdvanceReservationIsAtMostHalfOfRemainingBudget guards against losing most of a small
+// budget with a node.
+func TestAdvanceReservationIsAtMostHalfOfRemainingBudget(t *testing.T) {
 	is := is.New(t)
 	for budget, low := range map[uint32]bool{576: false, 863: false, 864: true} {
 		c := decided(budget, 288, 288)
--- a/internal/ledger/recorded_test.go
+++ b/internal/ledger/recorded_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestRecordedBytesOfRecords: records that earlier builds have written are read, and what
-// this build writes is what they read.
+// TestRecordedBytesOfRecords guards compatibility with records of other versions, in both
+// directions.
 func TestRecordedBytesOfRecords(t *testing.T) {
 	for name, c := range map[string]struct {
 		record  Record
--- a/internal/ledger/text.go
+++ b/internal/ledger/text.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Text is the text of a turn that stands in the log right before the turn's Keep, where
-// that is small. Builds before it pass such records over.
+// Text is the text of a turn, stored right before the turn's IndexEntry if it is small. Older
+// versions skip such records.
 type Text struct{ Bytes []byte }
 
 func (r Text) encode() []byte { return append([]byte{byte(kindText)}, r.Bytes...) }
 
-// TextOf returns the text that an encoded record holds, within the record; false if it is
-// of another kind.
+// TextOf returns the text in an encoded record, which it aliases, or false if the record is of
+// another kind.
 func TextOf(encoded []byte) ([]byte, bool) {
 	if len(encoded) == 0 || recordKind(encoded[0]) != kindText {
 		return nil, false
@@ -21,31 +21,29 @@
 }
 
 const (
-	// indexFlag in a location's partition tells that the text stands in the index's topic.
-	// Builds before it ask the store for a partition that does not exist, and so answer that
-	// they can't read the turn, and never that there is none.
+	// indexFlag, in a location's partition, marks a text in the index's topic. Older versions
+	// then read a partition that does not exist and report the turn as unreadable, rather than
+	// as absent.
 	indexFlag = 1 << 15
-	// IndexPartitions is how many partitions an index may have for texts to stand there.
+	// IndexPartitions is the maximum number of partitions of an index that may have texts.
 	IndexPartitions = indexFlag
-	// recordBefore is the offset, in a Keep's last location, of the record right before the
-	// Keep: the writer does not know the offsets that the store will give. Apply puts the
-	// offset in its place, so that no chain that is handed on has it.
-	recordBefore = math.MaxUint64
+	// precedingRecord is the offset that stands for the record right before the IndexEntry in
+	// the entry's last location, since the writer does not know the offsets yet. Apply replaces
+	// it by the offset, so that no IndexedTurn has it.
+	precedingRecord = math.MaxUint64
 )
 
-// TextBefore is the location of a text of size bytes that stands right before its Keep in a
+// TextBefore returns the location of a text of size bytes right before its IndexEntry in a
 // partition of the index.
-func TextBefore(partition, size int) Location { return TextAt(partition, recordBefore, size) }
+func TextBefore(partition, size int) Location { return TextAt(partition, precedingRecord, size) }
 
-// TextAt is the location of a text of size bytes that is the record at an offset of a
-// partition of the index.
+// TextAt returns the location of a text of size bytes at an offset of a partition of the index.
 func TextAt(partition int, offset uint64, size int) Location {
 	return Location{Partition: uint16(partition) | indexFlag, Offset: offset, Size: uint32(size)}
 }
 
-// InIndex returns the partition of the index where a text stands, of as many as there are;
-// false where it stands in the texts' own topic. An index of more than IndexPartitions
-// holds no texts.
+// InIndex returns the index partition of a text, given the number of partitions, or false if
+// the text is in the texts' own topic. An index with more than IndexPartitions has no texts.
 func (l Location) InIndex(partitions int) (int, bool) {
 	if partitions > IndexPartitions || l.Partition&indexFlag == 0 {
 		return 0, false
@@ -53,12 +51,13 @@
 	return int(l.Partition &^ indexFlag), true
 }
 
-// Resolved tells whether the location is that of one record. A build before Text hands on
-// what a Keep says of the record before it; such a location may mean any turn's text.
-func (l Location) Resolved() bool { return l.Partition&indexFlag == 0 || l.Offset != recordBefore }
+// Resolved reports whether the location identifies a record. Versions that do not know Text
+// pass on unresolved locations, which could mean any turn's text.
+func (l Location) Resolved() bool { return l.Partition&indexFlag == 0 || l.Offset != precedingRecord }
 
-// resolved returns a chain of a Keep at an offset with the location of its own text.
-func resolved(chain []Location, offset uint64) []Location {
+// resolveChain returns the chain of an IndexEntry at an offset with the location of its own
+// text resolved. It modifies chain.
+func resolveChain(chain []Location, offset uint64) []Location {
 	if len(chain) == 0 || offset == 0 {
 		return chain
 	}
@@ -68,44 +67,44 @@
 	return chain
 }
 
-// TextLimits bounds the texts in one partition of the index. It answers many large turns a
-// second: whoever takes a partition over reads all that it holds before it serves a turn,
-// and after the loss of all machines every partition is taken over at once.
+// TextLimits bounds the texts in one partition of the index. A node that takes a partition over
+// reads all of it before it serves a turn, and after a restart of the whole cluster all
+// partitions are taken over at once.
 type TextLimits struct {
 	// Retain is how long the store keeps records.
 	Retain time.Duration
-	// WindowBytes bounds the texts that the records of the last Retain hold. Where turns
-	// come so fast that theirs would be more, almost none stands in the partition: what
-	// saves calls only until the window is used up is no saving.
+	// WindowBytes bounds the texts in the records of the last Retain. If the rate of turns is
+	// so high that all their texts would exceed it, almost none are added, since those that fit
+	// would save few calls.
 	WindowBytes int
 	// TextBytes bounds one text.
 	TextBytes int
 }
 
-// demandSpan is the span over which the rate of kept turns is observed.
-const demandSpan = 30 * time.Second
+// demandWindow is the time over which the rate of turns is measured.
+const demandWindow = 30 * time.Second
 
-// demandBytes is the most that the texts of all turns of a demandSpan may be.
+// demandBytes bounds the texts of all turns of a demandWindow.
 func (r *TextLimits) demandBytes() int {
-	if r.Retain <= demandSpan {
+	if r.Retain <= demandWindow {
 		return r.WindowBytes
 	}
-	return int(int64(r.WindowBytes) * int64(demandSpan) / int64(r.Retain))
+	return int(int64(r.WindowBytes) * int64(demandWindow) / int64(r.Retain))
 }
 
-// textSlot is the span that texts are counted by.
-const textSlot = 5 * time.Second
+// textSlotDuration is the resolution at which texts are counted.
+const textSlotDuration = 5 * time.Second
 
-// textWindow counts the bytes of the texts in a partition by when their records were
-// applied. Records that a node reads when it takes the partition over count from then on,
-// which is late, so that it puts fewer texts there.
+// textWindow counts the bytes of texts in a partition by the time when their records were
+// applied. Texts that a node reads when it takes a partition over count from that time, which
+// is later than they were written, so the node adds fewer texts.
 type textWindow struct {
 	// slots are ordered by time.
-	slots []countedTexts
+	slots []textSlotBytes
 }
 
-type countedTexts struct {
-	// slot is the time divided by textSlot.
+type textSlotBytes struct {
+	// slot is the time divided by textSlotDuration.
 	slot  time.Duration
 	bytes int
 }
@@ -113,17 +112,17 @@
 // add counts a text and forgets those older than retain.
 func (w *textWindow) add(bytes int, now, retain time.Duration) {
 	w.forget(now, retain)
-	slot := now / textSlot
+	slot := now / textSlotDuration
 	if last := len(w.slots) - 1; last >= 0 && w.slots[last].slot == slot {
 		w.slots[last].bytes += bytes
 		return
 	}
-	w.slots = append(w.slots, countedTexts{slot: slot, bytes: bytes})
+	w.slots = append(w.slots, textSlotBytes{slot: slot, bytes: bytes})
 }
 
-// forget drops what is older than retain, by whole slots.
+// forget drops slots that are older than retain.
 func (w *textWindow) forget(now, retain time.Duration) {
-	for len(w.slots) > 0 && (w.slots[0].slot+1)*textSlot+retain < now {
+	for len(w.slots) > 0 && (w.slots[0].slot+1)*textSlotDuration+retain < now {
 		w.slots = w.slots[1:]
 	}
 }
@@ -136,30 +135,30 @@
 	return sum
 }
 
-// SetTextLimits sets the rule for the partition's texts; without one it takes none.
-func (p *Partition) SetTextLimits(rule TextLimits) { p.rule = rule }
+// SetTextLimits sets the limits for texts. Without limits the partition accepts none.
+func (p *Partition) SetTextLimits(limits TextLimits) { p.limits = limits }
 
-// AcceptsText tells whether one more text may stand in the partition.
+// AcceptsText reports whether one more text may be written to the partition.
 func (p *Partition) AcceptsText(size int, now time.Duration) bool {
-	p.texts.forget(now, p.rule.Retain)
-	p.demand.forget(now, demandSpan)
-	return size <= p.rule.TextBytes && p.texts.sum()+size <= p.rule.WindowBytes && p.demand.sum()+size <= p.rule.demandBytes()
+	p.texts.forget(now, p.limits.Retain)
+	p.demand.forget(now, demandWindow)
+	return size <= p.limits.TextBytes && p.texts.sum()+size <= p.limits.WindowBytes && p.demand.sum()+size <= p.limits.demandBytes()
 }
 
-// noteDemand counts the text of a kept turn, wherever it stands.
+// noteDemand counts the text of an indexed turn, wherever the text is.
 func (p *Partition) noteDemand(chain []Location, now time.Duration) {
 	if len(chain) > 0 {
-		p.demand.add(int(chain[len(chain)-1].Size), now, demandSpan)
+		p.demand.add(int(chain[len(chain)-1].Size), now, demandWindow)
 	}
 }
 
-// NoteText counts a text that this node has written and not read.
-func (p *Partition) NoteText(size int, now time.Duration) { p.texts.add(size, now, p.rule.Retain) }
+// NoteText counts a text that this node has written but not read.
+func (p *Partition) NoteText(size int, now time.Duration) { p.texts.add(size, now, p.limits.Retain) }
 
-// TextBytes returns the bytes of texts that a take-over of the partition reads, and those
-// of all turns kept of late.
+// TextBytes returns the bytes of texts that a takeover of the partition reads, and those of all
+// turns persisted within demandWindow.
 func (p *Partition) TextBytes(now time.Duration) (held, demanded int) {
-	p.texts.forget(now, p.rule.Retain)
-	p.demand.forget(now, demandSpan)
+	p.texts.forget(now, p.limits.Retain)
+	p.demand.forget(now, demandWindow)
 	return p.texts.sum(), p.demand.sum()
 }
--- a/internal/ledger/text_test.go
+++ b/internal/ledger/text_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestTextStandsBeforeItsKeep: a chain names the record right before the Keep by its offset,
-// wherever the log gives it one, and leaves the locations before as they are.
-func TestTextStandsBeforeItsKeep(t *testing.T) {
+// TestTextBeforeIndexEntryIsResolved checks that Apply resolves the last location of a chain,
+// whatever the offset, and leaves the others unchanged.
+func TestTextBeforeIndexEntryIsResolved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPartition()
 		offset := rapid.Uint64Range(0, 1<<40).Draw(t, "offset")
@@ -32,16 +32,16 @@
 	})
 }
 
-func TestKeepWithoutARecordBeforeItHasNoText(t *testing.T) {
+func TestFirstIndexEntryHasNoText(t *testing.T) {
 	is := is.New(t)
 	p := NewPartition()
 	p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, 3)}, Retention: time.Minute}), 0)
 	kept, found := p.Turn("t")
-	is.True(found) // 404 is for turns that are not kept
+	is.True(found) // the turn itself must not be reported as absent
 	is.True(!kept.Chain[0].Resolved())
 }
 
-func TestPlaceOfATextIsToldByItsLocation(t *testing.T) {
+func TestLocationOfIndexText(t *testing.T) {
 	is := is.New(t)
 	number, inIndex := TextAt(5, 9, 3).InIndex(12)
 	is.True(inIndex)
@@ -52,13 +52,13 @@
 	is.True(!inIndex)
 }
 
-// TestTakeOverReadsFewBytesOfTexts: whatever the rate and the sizes, the texts that the
-// store holds at any time are within the window, and a low rate finds room always.
-func TestTakeOverReadsFewBytesOfTexts(t *testing.T) {
-	rule := TextLimits{Retain: time.Minute, WindowBytes: 10_000, TextBytes: 1_000}
+// TestTextsStayWithinLimits checks that the texts within the store's retention never exceed the
+// window, and that old texts make room.
+func TestTextsStayWithinLimits(t *testing.T) {
+	limits := TextLimits{Retain: time.Minute, WindowBytes: 10_000, TextBytes: 1_000}
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPartition()
-		p.SetTextLimits(rule)
+		p.SetTextLimits(limits)
 		type written struct {
 			at    time.Duration
 			bytes int
@@ -71,7 +71,7 @@
 			if !p.AcceptsText(size, now) {
 				continue
 			}
-			if size > rule.TextBytes {
+			if size > limits.TextBytes {
 				t.Fatalf("a text of %d bytes", size)
 			}
 			p.Apply(Encode(Text{Bytes: make([]byte, size)}), now)
@@ -79,15 +79,15 @@
 			held = append(held, written{now, size})
 			sum := 0
 			for _, one := range held {
-				if now-one.at <= rule.Retain {
+				if now-one.at <= limits.Retain {
 					sum += one.bytes
 				}
 			}
-			if sum > rule.WindowBytes || textsIn(p, now) > rule.WindowBytes {
+			if sum > limits.WindowBytes || textsIn(p, now) > limits.WindowBytes {
 				t.Fatalf("%d bytes in the last minute", sum)
 			}
 		}
-		if now += rule.Retain + 2*textSlot; !p.AcceptsText(rule.TextBytes, now) {
+		if now += limits.Retain + 2*textSlotDuration; !p.AcceptsText(limits.TextBytes, now) {
 			t.Fatal("no room though all texts are gone")
 		}
 	})
@@ -98,15 +98,14 @@
 	return held
 }
 
-// TestManyTurnsLeaveTheirTextsOut: where all texts would use up the window within the
-// store's retention, hardly any stands in the partition, not even at first; where they
-// would not, all do.
-func TestManyTurnsLeaveTheirTextsOut(t *testing.T) {
-	rule := TextLimits{Retain: 5 * time.Minute, WindowBytes: 64 << 10, TextBytes: 4 << 10}
+// TestHighRateKeepsTextsOutOfIndex checks that hardly any text is accepted if all of them would
+// exceed the window, and that all are otherwise.
+func TestHighRateKeepsTextsOutOfIndex(t *testing.T) {
+	limits := TextLimits{Retain: 5 * time.Minute, WindowBytes: 64 << 10, TextBytes: 4 << 10}
 	for bytesPerSecond, least := range map[int]float64{50: 1, 150: 1, 20_000: 0} {
 		is := is.New(t)
 		p := NewPartition()
-		p.SetTextLimits(rule)
+		p.SetTextLimits(limits)
 		const size, seconds = 1_000, 900
 		taken, turns := 0, bytesPerSecond*seconds/size
 		for i := range turns {
@@ -118,7 +117,7 @@
 				location = TextBefore(5, size)
 			}
 			p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{location}}), now)
-			is.True(textsIn(p, now) <= rule.WindowBytes)
+			is.True(textsIn(p, now) <= limits.WindowBytes)
 		}
 		share := float64(taken) / float64(turns)
 		is.True(share >= least)
@@ -126,7 +125,7 @@
 	}
 }
 
-func TestTextsThatATakeOverHasReadCount(t *testing.T) {
+func TestWrittenAndReadTextsCount(t *testing.T) {
 	is := is.New(t)
 	p := NewPartition()
 	p.SetTextLimits(TextLimits{Retain: time.Minute, WindowBytes: 100, TextBytes: 50})
@@ -134,7 +133,7 @@
 	p.NoteText(40, 0)
 	is.True(!p.AcceptsText(30, 0))
 	is.True(p.AcceptsText(20, 0))
-	is.True(!NewPartition().AcceptsText(1, 0)) // without a rule
+	is.True(!NewPartition().AcceptsText(1, 0)) // without limits
 }
 
 func TestTextOfARecord(t *testing.T) {
