--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -120,7 +120,7 @@
 			verdict, _ := first.Apply(record, 0)
 			again, _ := second.Apply(record, 0)
 			if !reflect.DeepEqual(verdict, again) {
-				t.Fatalf("%v and %v of the same log", verdict, again)
+				t.Fatalf("verdicts %v and %v differ on the same log", verdict, again)
 			}
 			if verdict.Granted == 0 {
 				continue
@@ -134,7 +134,7 @@
 				second.Apply(settled, 0)
 			}
 			if handedOut > budget {
-				t.Fatalf("%d tokens of %d handed out", handedOut, budget)
+				t.Fatalf("%d tokens used of at most %d", handedOut, budget)
 			}
 		}
 	})
@@ -172,7 +172,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		budget, maxTokens := rapid.Uint32().Draw(t, "budget"), rapid.Uint32().Draw(t, "most")
 		if UnloggedLimit(budget, maxTokens) < uint64(maxTokens) {
-			t.Fatal("not one turn fits ahead of the log")
+			t.Fatal("no turn fits the limit of unlogged grants")
 		}
 		if maxTokens <= budget && UnloggedLimit(budget, maxTokens)+LoggedBudget(budget, maxTokens) > uint64(budget)+uint64(maxTokens) {
 			t.Fatalf("%d and %d", UnloggedLimit(budget, maxTokens), LoggedBudget(budget, maxTokens))
@@ -299,13 +299,13 @@
 func TestNoOrderOfIncarnationsOverspends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const budget, maxTokens = 1000, 300
-		incarnations := rapid.IntRange(1, 4).Draw(t, "lives")
+		incarnations := rapid.IntRange(1, 4).Draw(t, "incarnations")
 		p := NewPartition()
 		handedOut := uint64(0)
 		for attempt := AttemptID(1); attempt <= 40; attempt++ {
 			record := exactly(attempt, budget, rapid.Uint32Range(1, maxTokens).Draw(t, "least"))
 			record.MaxTurnTokens, record.WantedTokens = maxTokens, rapid.Uint32Range(record.MinTokens, budget).Draw(t, "wanted")
-			record.Incarnation = IncarnationID(rune('a' + rapid.IntRange(0, incarnations-1).Draw(t, "life")))
+			record.Incarnation = IncarnationID(rune('a' + rapid.IntRange(0, incarnations-1).Draw(t, "incarnation")))
 			verdict, _ := p.Apply(Encode(record), 0)
 			used := rapid.Uint32Range(0, verdict.Granted).Draw(t, "used")
 			handedOut += uint64(used)
@@ -317,7 +317,7 @@
 				allowed += maxTokens
 			}
 			if handedOut > allowed {
-				t.Fatalf("%d tokens of %d handed out", handedOut, allowed)
+				t.Fatalf("%d tokens used of at most %d", handedOut, allowed)
 			}
 		}
 	})
--- a/internal/ledger/rebase_test.go
+++ b/internal/ledger/rebase_test.go
@@ -143,7 +143,7 @@
 	k.spent++
 	verdict, _ := k.partition.Apply(Encode(one.credit.NextReservation(k.attempts, crashMaxTokens, false, false)), 0)
 	if verdict.Granted > 0 {
-		k.t.Fatalf("%d tokens granted of a budget that was taken for spent", verdict.Granted)
+		k.t.Fatalf("%d tokens granted of a budget that was reported as exhausted", verdict.Granted)
 	}
 }
 
@@ -168,7 +168,7 @@
 		k.restart(place)
 	}
 	for range rapid.IntRange(100, 400).Draw(k.t, "steps") {
-		place := rapid.IntRange(0, len(k.incarnations)-1).Draw(k.t, "life")
+		place := rapid.IntRange(0, len(k.incarnations)-1).Draw(k.t, "incarnation")
 		one := k.incarnations[place]
 		switch draw := rapid.IntRange(0, 59).Draw(k.t, "step"); {
 		case draw == 7:
@@ -191,15 +191,15 @@
 func TestCrashesDoNotOverspendRebasedCredits(t *testing.T) {
 	spent := 0
 	rapid.Check(t, func(t *rapid.T) {
-		incarnations := rapid.IntRange(1, 3).Draw(t, "lives")
+		incarnations := rapid.IntRange(1, 3).Draw(t, "incarnations")
 		run := &crashRun{t: t, partition: NewPartition(), incarnations: make([]*incarnation, incarnations)}
 		if got := run.play(); got > crashBudget+crashMaxTokens {
-			t.Fatalf("%d tokens of %d handed out", got, crashBudget)
+			t.Fatalf("%d tokens used of a budget of %d", got, crashBudget)
 		}
 		spent += run.spent
 	})
 	if spent == 0 {
-		t.Fatal("no credit took the budget for spent")
+		t.Fatal("no credit reported the budget as exhausted")
 	}
 }
 
@@ -211,7 +211,7 @@
 		maxTokens = max(maxTokens, run.play())
 	})
 	if maxTokens <= crashBudget+crashMaxTokens {
-		t.Fatalf("a planted fault shows nothing: %d tokens of %d handed out", maxTokens, crashBudget)
+		t.Fatalf("injected fault not detected: %d tokens used of a budget of %d", maxTokens, crashBudget)
 	}
 }
 
--- a/internal/ledger/text_test.go
+++ b/internal/ledger/text_test.go
@@ -72,7 +72,7 @@
 				continue
 			}
 			if size > limits.TextBytes {
-				t.Fatalf("a text of %d bytes", size)
+				t.Fatalf("accepted a text of %d bytes", size)
 			}
 			p.Apply(Encode(Text{Bytes: make([]byte, size)}), now)
 			p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, size)}}), now)
@@ -84,11 +84,11 @@
 				}
 			}
 			if sum > limits.WindowBytes || textsIn(p, now) > limits.WindowBytes {
-				t.Fatalf("%d bytes in the last minute", sum)
+				t.Fatalf("%d bytes of texts in the last minute", sum)
 			}
 		}
 		if now += limits.Retain + 2*textSlotDuration; !p.AcceptsText(limits.TextBytes, now) {
-			t.Fatal("no room though all texts are gone")
+			t.Fatal("no room although all texts have expired")
 		}
 	})
 }
