--- a/internal/guardedstore/metrics.go
+++ b/internal/guardedstore/metrics.go
@@ -2,25 +2,25 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics show the breakers at work.
+// metrics shows the effect of the circuit breakers.
 type metrics struct {
-	probes, held prometheus.Counter
+	probes, blocked prometheus.Counter
 }
 
-func newMetrics(gated *Store, registerer prometheus.Registerer) *metrics {
+func newMetrics(guarded *Store, registerer prometheus.Registerer) *metrics {
 	made := &metrics{
 		probes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "stepseam_store_probes_total", Help: "Calls that went out while the store did not answer.",
 		}),
-		held: prometheus.NewCounter(prometheus.CounterOpts{
+		blocked: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "stepseam_store_calls_held_total", Help: "Calls that were refused or told to wait since the store did not answer.",
 		}),
 	}
 	open := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "stepseam_store_breakers_open", Help: "Open breakers: of partitions that the store does not answer, and of the node.",
-	}, gated.open)
+	}, guarded.open)
 	if registerer != nil {
-		registerer.MustRegister(made.probes, made.held, open)
+		registerer.MustRegister(made.probes, made.blocked, open)
 	}
 	return made
 }
--- a/internal/storebreaker/breaker.go
+++ b/internal/storebreaker/breaker.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// awayFailures is how many calls in a row must fail, and nodeAwayAfter or
-	// partitionAwayAfter for how long, before a breaker opens. Single refusals, as of a
-	// store that has too many calls, don't open it. A partition's opens later than the
-	// node's: a store that answers nothing is away as a whole.
-	awayFailures       = 3
-	nodeAwayAfter      = 300 * time.Millisecond
-	partitionAwayAfter = 500 * time.Millisecond
+	// A breaker opens after minFailures calls in a row have failed over at least nodeOpenAfter
+	// or partitionOpenAfter. Single refusals, as of an overloaded store, do not open it. A
+	// partition's breaker opens later than the node's, since a store that answers no call is
+	// unavailable as a whole.
+	minFailures        = 3
+	nodeOpenAfter      = 300 * time.Millisecond
+	partitionOpenAfter = 500 * time.Millisecond
 )
 
-// breaker is a circuit breaker: open while calls have failed in a row for some time.
+// breaker is a circuit breaker. It is open after calls have failed in a row for some time.
 type breaker struct {
-	// after is for how long calls must have failed.
-	after time.Duration
-	// failures counts the calls that failed since the last one that did not; the first of
-	// them ended at since.
+	// openAfter is how long calls must have failed.
+	openAfter time.Duration
+	// failures counts the calls that failed since the last success; the first of them ended at
+	// since.
 	failures int
 	since    time.Duration
 }
 
-// isOpen tells whether only probes may go out.
+// isOpen reports whether only probes may go out.
 func (b *breaker) isOpen(now time.Duration) bool {
-	return b.failures >= awayFailures && now-b.since >= b.after
+	return b.failures >= minFailures && now-b.since >= b.openAfter
 }
 
 func (b *breaker) failed(now time.Duration) {
@@ -36,5 +36,5 @@
 
 func (b *breaker) answered() { b.failures = 0 }
 
-// doubt closes the breaker until the next failure.
-func (b *breaker) doubt() { b.failures = min(b.failures, awayFailures-1) }
+// halfOpen lets calls out until the next failure.
+func (b *breaker) halfOpen() { b.failures = min(b.failures, minFailures-1) }
