--- a/internal/asynclog/writer.go
+++ b/internal/asynclog/writer.go
@@ -1,6 +1,5 @@
-// Package asynclog writes log lines to a file or pipe in the background, so that
-// a slow reader never holds up whoever logs. What does not fit into the buffer
-// is dropped and counted.
+// Package asynclog writes log lines to a file or pipe in the background, so that a slow reader
+// never blocks the caller. Lines that exceed the buffer are dropped and counted.
 package asynclog
 
 import (
@@ -11,21 +10,21 @@
 )
 
 const (
-	// bufferBytes bounds what waits to be written.
+	// bufferBytes bounds the buffered lines.
 	bufferBytes = 512 << 10
-	// flushPause is how long lines gather before they are written together.
-	flushPause = 50 * time.Millisecond
-	// closeWait bounds how long Close waits for a reader that does not read.
-	closeWait = 500 * time.Millisecond
+	// flushDelay is how long lines are collected before they are written together.
+	flushDelay = 50 * time.Millisecond
+	// closeTimeout bounds how long Close waits for a blocked output.
+	closeTimeout = 500 * time.Millisecond
 )
 
-// Writer takes whole lines. It is safe for concurrent use.
+// Writer buffers whole lines. It is safe for concurrent use.
 type Writer struct {
 	output io.Writer
 	wake   chan struct{}
-	ended  chan struct{}
+	done   chan struct{}
 
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex   sync.Mutex
 	waiting []byte
 	dropped uint64
@@ -33,14 +32,14 @@
 	closed  bool
 }
 
-// NewWriter returns a writer that passes lines on to output until Close.
+// NewWriter returns a writer that writes lines to output until Close.
 func NewWriter(output io.Writer) *Writer {
-	w := &Writer{output: output, wake: make(chan struct{}, 1), ended: make(chan struct{})}
+	w := &Writer{output: output, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write buffers one line. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	first := len(w.waiting) == 0
@@ -57,45 +56,46 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped in all.
+// Dropped returns the total number of dropped lines.
 func (w *Writer) Dropped() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.total
 }
 
-// Close writes what waits and ends the writer.
+// Close writes the buffered lines and stops the writer. It returns after closeTimeout if the
+// output is blocked.
 func (w *Writer) Close() {
 	w.mutex.Lock()
 	w.closed = true
 	w.mutex.Unlock()
 	w.signal()
 	select {
-	case <-w.ended:
-	case <-time.After(closeWait):
+	case <-w.done:
+	case <-time.After(closeTimeout):
 	}
 }
 
 func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
-	default: // a signal waits already
+	default: // a signal is pending
 	}
 }
 
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.done)
 	for range w.wake {
-		batch, closed := w.take()
+		batch, closed := w.drain()
 		if !closed && len(batch) == 0 {
 			continue
 		}
 		if !closed {
-			time.Sleep(flushPause)
-			more, nowClosed := w.take()
+			time.Sleep(flushDelay)
+			more, nowClosed := w.drain()
 			batch, closed = append(batch, more...), nowClosed
 		}
-		// There is nobody to tell of a failed write to the log.
+		// A failed write to the log can't be reported anywhere.
 		_, _ = w.output.Write(batch)
 		if closed {
 			return
@@ -103,8 +103,9 @@
 	}
 }
 
-// take returns the waiting lines, with a line on those that were dropped.
-func (w *Writer) take() ([]byte, bool) {
+// drain returns the buffered lines, with a line that reports dropped ones, and whether the
+// writer is closed.
+func (w *Writer) drain() ([]byte, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	batch := w.waiting
--- a/internal/asynclog/writer_test.go
+++ b/internal/asynclog/writer_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// stuckWriter takes nothing until it is released.
+// stuckWriter blocks until it is released.
 type stuckWriter struct {
 	release chan struct{}
 	mutex   sync.Mutex
@@ -31,7 +31,7 @@
 	return s.written.String()
 }
 
-func TestReaderThatDoesNotReadHoldsNobodyUp(t *testing.T) {
+func TestBlockedOutputDoesNotBlockWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &stuckWriter{release: make(chan struct{})}
@@ -44,15 +44,15 @@
 		}
 		is.Equal(time.Since(began), time.Duration(0))
 		is.True(w.Dropped() > 0)
-		w.Close() // gives up waiting
-		is.True(time.Since(began) >= closeWait)
+		w.Close() // times out
+		is.True(time.Since(began) >= closeTimeout)
 		close(output.release)
 		synctest.Wait()
 		is.True(strings.Contains(output.text(), "log lines dropped"))
 	})
 }
 
-func TestAllLinesAreWrittenAtClose(t *testing.T) {
+func TestCloseWritesBufferedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		output := &stuckWriter{release: make(chan struct{})}
--- a/internal/logstore/logstore.go
+++ b/internal/logstore/logstore.go
@@ -1,7 +1,7 @@
-// Package logstore describes the durable log that a routed node builds on: topics
-// with numbered partitions of records, and keyed topics whose newest record for
-// each key is kept for good. The platform's adapter implements Store; the
-// stand-in in internal/emulator/logstore does so for tests.
+// Package logstore defines the interface of the durable log that a routed node uses: topics
+// with numbered partitions of records, and keyed topics that retain the newest record of each
+// key. The platform's adapter implements Store; internal/emulator/logstore implements it for
+// tests.
 package logstore
 
 import (
@@ -12,35 +12,38 @@
 )
 
 var (
-	// ErrUnavailable tells that the call had no effect, for certain.
+	// ErrUnavailable reports that the call certainly had no effect. Its text may be sent to
+	// other nodes.
 	ErrUnavailable = errors.New("logstore: unavailable, nothing was done")
-	// ErrOutcomeUnknown tells that the call may have had its effect, or may have it later.
+	// ErrOutcomeUnknown reports that the call may have taken effect, or may still do so. Its
+	// text may be sent to other nodes.
 	ErrOutcomeUnknown = errors.New("logstore: answer lost, the effect is unknown")
-	// ErrFenced tells that a higher epoch of the producer has been seen.
+	// ErrFenced reports that the store has seen a higher epoch of the producer.
 	ErrFenced = errors.New("logstore: producer is fenced")
-	// ErrSequence tells that the producer's sequence number is not the next one.
+	// ErrSequence reports that the producer's sequence number is not the next one.
 	ErrSequence = errors.New("logstore: producer sequence out of order")
 )
 
-// TrimmedError tells that the asked records are gone; First is the oldest kept.
+// TrimmedError reports that the requested records were dropped. First is the oldest offset that
+// is left.
 type TrimmedError struct{ First Offset }
 
-// Error names the oldest offset that is left.
+// Error implements error.
 func (e *TrimmedError) Error() string {
 	return fmt.Sprintf("logstore: records are gone, the oldest kept is %d", e.First)
 }
 
-// Offset counts the records of a partition from 0 without gaps.
+// Offset is the position of a record in its partition, counted from 0 without gaps.
 type Offset uint64
 
-// Partition names one partition of a topic.
+// Partition identifies one partition of a topic.
 type Partition struct {
 	Topic  string
 	Number int
 }
 
-// AppendRequest adds all its records, or none. Producer, Epoch and Sequence make a
-// repeat of the same call harmless: it gets the first call's answer.
+// AppendRequest adds all its records, or none. Producer, Epoch and Sequence make repeated calls
+// idempotent: a repeat gets the first call's result.
 type AppendRequest struct {
 	Partition Partition
 	Records   [][]byte
@@ -49,66 +52,66 @@
 	Sequence  uint64
 }
 
-// AppendResult tells where the records stand.
+// AppendResult has the offsets of the added records.
 type AppendResult struct {
 	// First is the offset of the first record added.
 	First Offset
-	// End is the offset that the next record will get.
+	// End is the offset of the next record.
 	End Offset
 }
 
-// ReadRequest asks for records from an offset on.
+// ReadRequest reads records from an offset on.
 type ReadRequest struct {
 	Partition Partition
 	From      Offset
-	// MaxBytes bounds the answer; 0 takes the store's default.
+	// MaxBytes bounds the result; 0 is the store's default.
 	MaxBytes int
-	// Wait is how long the store may hold the call until a record is there.
+	// Wait is how long the store may delay its response until there is a record.
 	Wait time.Duration
 }
 
-// ReadResult holds the records from ReadRequest.From on.
+// ReadResult has the records from ReadRequest.From on.
 type ReadResult struct {
 	Records [][]byte
-	// End is the offset that the next record will get.
+	// End is the offset of the next record.
 	End Offset
 }
 
-// Item is the newest record of a key. A nil Value means that the key was dropped.
+// Item is the newest record of a key. A nil Value means that the key was deleted.
 type Item struct {
 	Key   string
 	Value []byte
 }
 
-// NewestRequest asks for the newest records of a keyed partition by key, from the first
-// key after After on.
+// NewestRequest reads the newest records of a keyed partition, ordered by key, starting with
+// the first key after After.
 type NewestRequest struct {
 	Partition Partition
 	After     string
 }
 
-// NewestResult is one page of the newest records. Pages are not a snapshot: each holds
-// what was newest when it was read.
+// NewestResult is one page of the newest records. Pages are not a snapshot: each has the
+// records that were the newest when it was read.
 type NewestResult struct {
 	Items []Item
-	// End is the offset from which Changes goes on without a gap for the keys of this page
+	// End is the offset from which Changes continues without a gap for the keys of this page
 	// and of all pages read after it.
 	End Offset
-	// More tells that there are keys behind the last item.
+	// More is set if there are keys after the last item.
 	More bool
 }
 
-// ChangesResult holds the records of a keyed partition from ReadRequest.From on.
+// ChangesResult has the records of a keyed partition from ReadRequest.From on.
 type ChangesResult struct {
 	Items []Item
-	// Next is the offset to go on from; before ReadRequest.From where the partition
-	// holds less than that.
+	// Next is the offset to continue from. It is lower than ReadRequest.From if the partition
+	// ends before that.
 	Next Offset
-	// End is the offset that the next record will get.
+	// End is the offset of the next record.
 	End Offset
 }
 
-// Store is the durable log. Errors wrap the sentinels above or are a TrimmedError.
+// Store is the durable log. Its errors wrap those above or are a *TrimmedError.
 type Store interface {
 	// Append adds records to a partition.
 	Append(ctx context.Context, request AppendRequest) (AppendResult, error)
