--- a/internal/guardedstore/store.go
+++ b/internal/guardedstore/store.go
@@ -128,7 +128,7 @@
 		}
 		timer.Stop()
 	}
-	return fmt.Errorf("gatedstore: partition %d of %s: %w", place.Number, place.Topic, ctx.Err())
+	return fmt.Errorf("guardedstore: partition %d of %s: %w", place.Number, place.Topic, ctx.Err())
 }
 
 func (s *Store) admit(place logstore.Partition, waits bool) (storebreaker.Decision, <-chan struct{}) {
@@ -214,7 +214,7 @@
 		s.config.Logger.Info("store answers again", "away_ms", time.Since(s.unavailableSince).Milliseconds())
 		return
 	}
-	s.config.Logger.Warn("store is away, only probes go out", "whole", nodeUnavailable, "partitions", openPartitions,
+	s.config.Logger.Warn("store unavailable; circuit breaker open, sending only probes", "whole", nodeUnavailable, "partitions", openPartitions,
 		"probe_pause_ms", s.breaker.ProbePause(conditions.Nodes).Milliseconds())
 }
 
--- a/internal/guardedstore/store_test.go
+++ b/internal/guardedstore/store_test.go
@@ -119,7 +119,7 @@
 		is.True(time.Since(began) <= 300*time.Millisecond)
 		is.Equal(guarded.open(), 0.0)
 		is.Equal(strings.Count(lines.String(), "store answers again"), 1)
-		is.True(strings.Contains(lines.String(), "store is away, only probes go out"))
+		is.True(strings.Contains(lines.String(), "store unavailable; circuit breaker open, sending only probes"))
 	})
 }
 
--- a/internal/storebreaker/storebreaker_test.go
+++ b/internal/storebreaker/storebreaker_test.go
@@ -169,7 +169,7 @@
 		p.probed, p.hinted = -time.Hour, false
 	}
 	if answered && !p.breaker.Answered(where, s) {
-		p.t.Fatal("not answered after an answer")
+		p.t.Fatal("partition not answered after a success")
 	}
 }
 
@@ -180,7 +180,7 @@
 	case answered && !waits && !decision.Allow, answered && decision.Probe, !answered && decision.Allow != decision.Probe:
 		p.t.Fatalf("answered %v, waits %v: %+v", answered, waits, decision)
 	case !decision.Allow && (decision.RetryAfter <= 0 || decision.RetryAfter > max(recoverySpread, 2*p.breaker.ProbePause(p.nodes))):
-		p.t.Fatalf("to ask again after %v", decision.RetryAfter)
+		p.t.Fatalf("retry after %v", decision.RetryAfter)
 	case decision.Probe:
 		p.probe(s.Now)
 	}
