--- a/internal/coordinator/begin.go
+++ b/internal/coordinator/begin.go
@@ -26,11 +26,11 @@
 	}
 	coordinator, _ := s.coordinator(s.config.Ledger.Partition(request.Program))
 	helped, helpErr := callHelpers(s, coordinator.Name, residency.AllowedRegions{}, func(helper identity.Node) (*Turn, error) {
-		turnsBegun, err := s.beginRemotely(ctx, request, helper, make(chan struct{}, 1))
+		begun, err := s.beginRemotely(ctx, request, helper, make(chan struct{}, 1))
 		if errors.Is(err, ledgerlog.ErrStoreUnavailable) {
 			s.storeUnavailable.add(helper.Name)
 		}
-		return turnsBegun, err
+		return begun, err
 	})
 	if helpErr != nil {
 		return nil, err
@@ -43,13 +43,13 @@
 // nodes agree on the order of the candidates.
 func (s *Service) beginAtCoordinator(ctx context.Context, request Request) (turn *Turn, err error) {
 	partition := s.config.Ledger.Partition(request.Program)
-	tried := map[identity.NodeName]bool{}
+	called := map[identity.NodeName]bool{}
 	for {
 		coordinator, self := s.coordinator(partition)
-		if self || !s.mayCall(coordinator) || tried[coordinator.Name] {
+		if self || !s.mayCall(coordinator) || called[coordinator.Name] {
 			return s.beginLocally(ctx, request, self)
 		}
-		tried[coordinator.Name] = true
+		called[coordinator.Name] = true
 		turn, err = s.hedge(ctx, request, coordinator)
 		if !errors.Is(err, errNextCandidate) {
 			return turn, err
@@ -73,8 +73,8 @@
 // after its substitute was refused. The rest of the budget is reserved elsewhere, most likely
 // by that node. It returns the substitute's error if this fails too.
 func (s *Service) beginAtDisplaced(ctx context.Context, request Request, refused error) (*Turn, error) {
-	first, passed := s.displacedCandidate(s.config.Ledger.Partition(request.Program))
-	if !passed || first.Name != s.config.Self && !s.mayCall(first) {
+	first, displaced := s.displacedCandidate(s.config.Ledger.Partition(request.Program))
+	if !displaced || first.Name != s.config.Self && !s.mayCall(first) {
 		return nil, refused
 	}
 	var turn *Turn
@@ -92,9 +92,9 @@
 
 // result is the outcome of a remote or a local attempt to begin a turn.
 type result struct {
-	turn        *Turn
-	err         error
-	coordinator bool
+	turn   *Turn
+	err    error
+	remote bool
 }
 
 // hedge begins a turn at the coordinator, and locally as well if that fails or reports no
@@ -110,12 +110,12 @@
 	}()
 	timer := time.NewTimer(hedgeDelay + s.roundTrip(coordinator))
 	defer timer.Stop()
-	here := false
+	startedLocally := false
 	start := func() {
-		if here {
+		if startedLocally {
 			return
 		}
-		here = true
+		startedLocally = true
 		pending++
 		go func() {
 			turn, err := s.beginLocally(ctx, request, false)
@@ -140,14 +140,14 @@
 			if errors.Is(one.err, ledgerlog.ErrBudgetReserved) {
 				continue // the other attempt may hold the reservation
 			}
-			if one.coordinator && !here && errors.Is(one.err, ledgerlog.ErrStoreUnavailable) && s.failOver(partition, coordinator.Name) {
+			if one.remote && !startedLocally && errors.Is(one.err, ledgerlog.ErrStoreUnavailable) && s.failOver(partition, coordinator.Name) {
 				return nil, errNextCandidate
 			}
 			if !errors.Is(one.err, ledgerlog.ErrUnavailable) {
 				go discard(results, pending) // the error is definitive
 				return nil, one.err
 			}
-			if one.coordinator && ctx.Err() == nil {
+			if one.remote && ctx.Err() == nil {
 				start()
 			}
 		}
@@ -156,7 +156,7 @@
 }
 
 // preferredError returns the error to report if both attempts failed. A budget that is reserved
-// elsewhere tells the caller more than an unreachable node.
+// elsewhere is more informative than an unreachable node.
 func preferredError(first, second error) error {
 	if errors.Is(first, ledgerlog.ErrBudgetReserved) {
 		return first
@@ -176,9 +176,9 @@
 // reserveTurn reserves a turn's tokens in this node's ledger. coordinator reports whether this
 // node coordinates the partition.
 func (s *Service) reserveTurn(ctx context.Context, request *Request, grant ledger.GrantID, coordinator bool) (ledgerlog.Grant, error) {
-	_, standIn := s.displacedCandidate(s.config.Ledger.Partition(request.Program))
+	_, substitute := s.displacedCandidate(s.config.Ledger.Partition(request.Program))
 	return s.config.Ledger.BeginTurn(ctx, ledgerlog.TurnRequest{
-		Program: request.Program, ID: grant, Budget: request.Budget, MaxTurnTokens: request.MaxTurnTokens, Coordinator: coordinator, Substitute: coordinator && standIn,
+		Program: request.Program, ID: grant, Budget: request.Budget, MaxTurnTokens: request.MaxTurnTokens, Coordinator: coordinator, Substitute: coordinator && substitute,
 	})
 }
 
@@ -211,7 +211,7 @@
 // signalled when the coordinator reports progress.
 func (s *Service) beginRemotely(ctx context.Context, request Request, coordinator identity.Node, progressed chan<- struct{}) (*Turn, error) {
 	message := &beginRequest{Request: request, Grant: ledgerlog.NewGrantID()}
-	answer, err := s.call(ctx, coordinator, message, func(peer.Message) error {
+	response, err := s.call(ctx, coordinator, message, func(peer.Message) error {
 		select {
 		case progressed <- struct{}{}:
 		default: // a signal is pending
@@ -226,16 +226,16 @@
 		s.count("home", err)
 		return nil, err
 	}
-	got, ok := answer.(*beginResponse)
+	begun, ok := response.(*beginResponse)
 	if !ok {
-		return nil, fmt.Errorf("%w: coordinator %s sent an unexpected response %T", ledgerlog.ErrUnavailable, coordinator.Name, answer)
+		return nil, fmt.Errorf("%w: coordinator %s sent an unexpected response %T", ledgerlog.ErrUnavailable, coordinator.Name, response)
 	}
-	err = got.err(coordinator.Name)
+	err = begun.err(coordinator.Name)
 	s.count("home", err)
 	if err != nil {
 		return nil, err
 	}
-	turn := &Turn{Charged: got.Charged, Unlogged: got.Ahead, First: got.First, Chain: got.Chain, CacheLocation: got.Resident, Coordinator: coordinator.Name}
+	turn := &Turn{Charged: begun.Charged, Unlogged: begun.Unlogged, First: begun.First, Chain: begun.Chain, CacheLocation: begun.CacheLocation, Coordinator: coordinator.Name}
 	if request.Budgeted {
 		turn.finish = func(used uint32) { go s.finishRemotely(coordinator, request.Program, message.Grant, used) }
 	}
--- a/internal/coordinator/candidates_test.go
+++ b/internal/coordinator/candidates_test.go
@@ -32,7 +32,7 @@
 			t.Fatalf("%d candidates of %d members", len(candidates), count)
 		}
 		storeUnavailable := storeUnavailableAt(view.Members)
-		kept := selectCoordinator(candidates, func(name identity.NodeName) bool { return storeUnavailable[name] })
+		selected := selectCoordinator(candidates, func(name identity.NodeName) bool { return storeUnavailable[name] })
 		want := candidates[0]
 		for _, candidate := range candidates {
 			if !storeUnavailable[candidate.Name] {
@@ -40,8 +40,8 @@
 				break
 			}
 		}
-		if kept != want {
-			t.Fatalf("%s coordinates, want %s", kept.Name, want.Name)
+		if selected != want {
+			t.Fatalf("%s coordinates, want %s", selected.Name, want.Name)
 		}
 	})
 }
@@ -180,8 +180,8 @@
 func TestBudgetHoldsWhileCoordinatorsMove(t *testing.T) {
 	is := is.New(t)
 	nodes := startClusterWith(t, 5, true)
-	const budget, most = 4000, 100
-	handedOut := 0
+	const budget, maxTokens = 4000, 100
+	usedTokens := 0
 	for round := range 120 {
 		for i, one := range nodes {
 			one.store.closed.Store((i+round/7)%3 == 0)
@@ -190,16 +190,16 @@
 			setStoreStatus(nodes)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-		turn, err := nodes[round%len(nodes)].service.Begin(ctx, turnOf("p", budget, most))
+		turn, err := nodes[round%len(nodes)].service.Begin(ctx, turnOf("p", budget, maxTokens))
 		cancel()
 		if err != nil {
 			continue
 		}
-		handedOut += most
-		turn.Finish(most)
+		usedTokens += maxTokens
+		turn.Finish(maxTokens)
 	}
-	is.True(handedOut <= budget+most)
-	is.True(handedOut >= budget/2)
+	is.True(usedTokens <= budget+maxTokens)
+	is.True(usedTokens >= budget/2)
 }
 
 // TestTurnIsFoundThroughSubstitute covers a substitute that has not read the partition before.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -132,7 +132,7 @@
 // New returns a service without a membership view and registers it as the ledger's source of
 // members.
 func New(config Config) *Service {
-	made := &Service{
+	service := &Service{
 		config: config, began: time.Now(), avoidUntil: map[identity.NodeName]time.Duration{},
 		storeUnavailable:    expiringSet{until: map[identity.NodeName]time.Time{}},
 		reportedUnavailable: expiringSet{until: map[identity.NodeName]time.Time{}},
@@ -144,10 +144,10 @@
 		}, []string{"where", "outcome"}),
 	}
 	if config.Registerer != nil {
-		config.Registerer.MustRegister(made.turnsBegun, made.statusChanges)
+		config.Registerer.MustRegister(service.turnsBegun, service.statusChanges)
 	}
-	config.Ledger.SetMembers(made)
-	return made
+	config.Ledger.SetMembers(service)
+	return service
 }
 
 func (s *Service) call(ctx context.Context, coordinator identity.Node, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -105,26 +105,26 @@
 		t.Fatal(err)
 	}
 	registry := peer.NewRegistry()
-	made := &node{transport: peer.NewTransport(registry, peer.Options{Logger: slog.New(slog.DiscardHandler)}), store: &nodeStore{Store: log}}
-	made.identity = identity.Node{Name: identity.NodeName(name), Incarnation: 1, PeerAddress: netip.MustParseAddrPort(listener.Addr().String())}
+	started := &node{transport: peer.NewTransport(registry, peer.Options{Logger: slog.New(slog.DiscardHandler)}), store: &nodeStore{Store: log}}
+	started.identity = identity.Node{Name: identity.NodeName(name), Incarnation: 1, PeerAddress: netip.MustParseAddrPort(listener.Addr().String())}
 	var knowing ledgerlog.Availability
 	if knowsStore {
-		knowing = fakeAvailability{made.store}
+		knowing = fakeAvailability{started.store}
 	}
-	made.service = New(Config{
-		StoreAvailable: made.store.answers,
-		Self:           made.identity.Name, Peers: made.transport, Logger: slog.New(slog.DiscardHandler),
+	started.service = New(Config{
+		StoreAvailable: started.store.answers,
+		Self:           started.identity.Name, Peers: started.transport, Logger: slog.New(slog.DiscardHandler),
 		Ledger: ledgerlog.New(ledgerlog.Config{
-			Store: made.store, Topic: "ledger", TextTopic: "texts", Partitions: partitions,
+			Store: started.store, Topic: "ledger", TextTopic: "texts", Partitions: partitions,
 			Availability: knowing,
-			Producer:     string(IncarnationOf(made.identity.Reference())), RecordBytes: 1 << 16, CallBytes: 1 << 20, CacheBytes: 1, IndexTextBytes: 1 << 16,
+			Producer:     string(IncarnationOf(started.identity.Reference())), RecordBytes: 1 << 16, CallBytes: 1 << 20, CacheBytes: 1, IndexTextBytes: 1 << 16,
 			Logger: slog.New(slog.DiscardHandler),
 		}),
 	})
-	made.service.Register(registry)
-	go func() { _ = made.transport.Serve(listener) }()
-	t.Cleanup(made.transport.Close)
-	return made
+	started.service.Register(registry)
+	go func() { _ = started.transport.Serve(listener) }()
+	t.Cleanup(started.transport.Close)
+	return started
 }
 
 // setViews gives nodes a view with all members.
@@ -138,8 +138,8 @@
 	}
 }
 
-func turnOf(program ledger.ProgramID, budget, most uint32) Request {
-	return Request{Program: program, Budgeted: true, Budget: budget, MaxTurnTokens: most}
+func turnOf(program ledger.ProgramID, budget, maxTokens uint32) Request {
+	return Request{Program: program, Budgeted: true, Budget: budget, MaxTurnTokens: maxTokens}
 }
 
 func mustBegin(t *testing.T, at *node, request Request) *Turn {
@@ -295,11 +295,11 @@
 }
 
 func TestTurnIsPersistedAndFoundThroughCoordinator(t *testing.T) {
-	for _, cut := range []bool{false, true} {
+	for _, unavailable := range []bool{false, true} {
 		is := is.New(t)
 		nodes := startCluster(t, 3)
 		_, other := coordinatorOf(nodes, "p")
-		other.store.closed.Store(cut)
+		other.store.closed.Store(unavailable)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		is.NoErr(other.service.PersistTurn(ctx, ledger.IndexEntry{Program: "p", Turn: "t1", Retention: time.Minute}, []byte("one"), residency.AllowedRegions{}))
@@ -334,23 +334,23 @@
 			return true
 		})
 	}
-	cut, _ := coordinatorOf(nodes, "p")
-	var kept []int
+	unavailable, _ := coordinatorOf(nodes, "p")
+	var coordinated []int
 	for partition := range partitions {
-		if cut.service.isCoordinator(partition) {
-			kept = append(kept, partition)
+		if unavailable.service.isCoordinator(partition) {
+			coordinated = append(coordinated, partition)
 		}
 	}
 	for _, one := range nodes {
 		one.store.read.Clear()
 	}
-	cut.store.closed.Store(true)
+	unavailable.store.closed.Store(true)
 	_, err := nodes[0].service.Begin(ctx, Request{Program: "q", Previous: "never too"})
 	if errors.Is(err, ledgerlog.ErrNoSuchTurn) { // the proof needs the coordinator's partitions, so other nodes must have read them
-		for _, partition := range kept {
+		for _, partition := range coordinated {
 			is.True(slices.ContainsFunc(nodes, func(one *node) bool {
 				_, read := one.store.read.Load(partition)
-				return one != cut && read
+				return one != unavailable && read
 			}))
 		}
 	} else {
@@ -448,18 +448,18 @@
 func TestMessagesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	chain := []ledger.Location{{Partition: 1, Offset: 2, Size: 3}}
-	resident := ledger.CacheLocation{Instance: "i", Tokens: 6}
+	cacheLocation := ledger.CacheLocation{Instance: "i", Tokens: 6}
 	registry := peer.NewRegistry()
 	(&Service{}).Register(registry)
 	for _, message := range []peer.Message{
 		&beginRequest{Request: Request{Program: "p", Budgeted: true, Budget: 1, MaxTurnTokens: 2, Previous: "t"}, Grant: 4},
-		&beginResponse{Status: statusBudgetExhausted, Charged: 5, Ahead: true, First: true, Chain: chain, Resident: resident, Reason: "r"},
+		&beginResponse{Status: statusBudgetExhausted, Charged: 5, Unlogged: true, First: true, Chain: chain, CacheLocation: cacheLocation, Reason: "r"},
 		&finishRequest{Program: "p", Grant: 7, Used: 8},
-		&persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")},
-		&persistAnywhereRequest{persistRequest: persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")}, later: []byte("y")},
+		&persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: cacheLocation}, Text: []byte("x")},
+		&persistAnywhereRequest{persistRequest: persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: cacheLocation}, Text: []byte("x")}, later: []byte("y")},
 		&persistResponse{Status: statusDone, Location: chain[0], Reason: "r"},
 		&finishResponse{Status: statusDone, Reason: "r"}, &progress{}, &readRequest{Chain: chain},
-		&findRequest{Turn: "t", Partitions: []int{0, 300}}, &findResponse{Status: statusDone, Chain: chain, Resident: resident, Reason: "r"}, &readResponse{Status: statusDone, Texts: [][]byte{[]byte("x")}},
+		&findRequest{Turn: "t", Partitions: []int{0, 300}}, &findResponse{Status: statusDone, Chain: chain, CacheLocation: cacheLocation, Reason: "r"}, &readResponse{Status: statusDone, Texts: [][]byte{[]byte("x")}},
 	} {
 		encoder := wire.NewEncoder(nil)
 		message.Encode(encoder)
--- a/internal/coordinator/find.go
+++ b/internal/coordinator/find.go
@@ -17,13 +17,13 @@
 // since they have read them to the end, so that this node does not have to read the whole log.
 // Errors wrap ledgerlog.ErrNoSuchTurn or ledgerlog.ErrUnavailable.
 func (s *Service) findTurn(ctx context.Context, program ledger.ProgramID, turn ledger.TurnID) (ledger.IndexedTurn, error) {
-	if kept, found := s.config.Ledger.CachedTurn(turn); found {
-		return kept, nil
+	if entry, found := s.config.Ledger.CachedTurn(turn); found {
+		return entry, nil
 	}
 	own := s.config.Ledger.Partition(program)
-	kept, unread := s.config.Ledger.Find(ctx, turn, own)
+	entry, unread := s.config.Ledger.Find(ctx, turn, own)
 	if unread == nil {
-		return kept, nil
+		return entry, nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -35,7 +35,7 @@
 	for range groups {
 		answer := <-answers
 		if answer.err == nil {
-			return answer.kept, nil
+			return answer.entry, nil
 		}
 		if !errors.Is(answer.err, ledgerlog.ErrNoSuchTurn) {
 			unread = answer.err
@@ -46,8 +46,8 @@
 
 // findResult is the outcome of a search in some partitions.
 type findResult struct {
-	kept ledger.IndexedTurn
-	err  error
+	entry ledger.IndexedTurn
+	err   error
 }
 
 // partitionsByCoordinator groups all partitions but one by their coordinators. Partitions that
@@ -76,8 +76,8 @@
 			return findResultOf(coordinator.Name, answer)
 		}
 	}
-	kept, err := s.config.Ledger.Find(ctx, turn, partitions...)
-	return findResult{kept, err}
+	entry, err := s.config.Ledger.Find(ctx, turn, partitions...)
+	return findResult{entry, err}
 }
 
 // findResultOf converts a coordinator's response.
@@ -86,7 +86,7 @@
 	if !ok {
 		return findResult{err: fmt.Errorf("%w: home %s answered %T", ledgerlog.ErrUnavailable, coordinator, answer)}
 	}
-	return findResult{ledger.IndexedTurn{Chain: got.Chain, CacheLocation: got.Resident}, got.Status.err(coordinator, got.Reason)}
+	return findResult{ledger.IndexedTurn{Chain: got.Chain, CacheLocation: got.CacheLocation}, got.Status.err(coordinator, got.Reason)}
 }
 
 func (s *Service) handleFind(ctx context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
@@ -94,9 +94,9 @@
 	if !ok {
 		return nil, fmt.Errorf("homes: unexpected %T", request)
 	}
-	kept, err := s.config.Ledger.Find(ctx, query.Turn, query.Partitions...)
+	entry, err := s.config.Ledger.Find(ctx, query.Turn, query.Partitions...)
 	if err != nil {
 		return &findResponse{Status: statusOf(err), Reason: err.Error()}, nil
 	}
-	return &findResponse{Status: statusDone, Chain: kept.Chain, Resident: kept.CacheLocation}, nil
+	return &findResponse{Status: statusDone, Chain: entry.Chain, CacheLocation: entry.CacheLocation}, nil
 }
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return s.refusal(err), nil
 		}
-		answer.Charged, answer.Ahead, answer.First = grant.Charged, grant.Unlogged, grant.First
+		answer.Charged, answer.Unlogged, answer.First = grant.Charged, grant.Unlogged, grant.First
 	}
 	if received.Request.Previous != "" {
 		previous, err := s.findTurn(ctx, received.Request.Program, received.Request.Previous)
@@ -48,7 +48,7 @@
 			s.config.Ledger.FinishTurn(received.Request.Program, received.Grant, 0)
 			return s.refusal(err), nil
 		}
-		answer.Chain, answer.Resident = previous.Chain, previous.CacheLocation
+		answer.Chain, answer.CacheLocation = previous.Chain, previous.CacheLocation
 	}
 	return answer, nil
 }
--- a/internal/coordinator/helpers_test.go
+++ b/internal/coordinator/helpers_test.go
@@ -110,22 +110,22 @@
 	is := is.New(t)
 	nodes := startClusterWith(t, 4, true)
 	coordinator, other := coordinatorOf(nodes, "p")
-	const budget, most = 1000, 100
-	handedOut := 0
+	const budget, maxTokens = 1000, 100
+	usedTokens := 0
 	for round := range 60 {
 		coordinator.store.closed.Store(round%3 == 1)
 		from := coordinator
 		if round%2 == 1 {
 			from = other
 		}
-		turn, err := from.service.Begin(t.Context(), turnOf("p", budget, most))
+		turn, err := from.service.Begin(t.Context(), turnOf("p", budget, maxTokens))
 		if err != nil {
 			continue
 		}
-		handedOut += most
-		turn.Finish(most)
+		usedTokens += maxTokens
+		turn.Finish(maxTokens)
 		time.Sleep(5 * time.Millisecond)
 	}
-	is.True(handedOut <= budget+most)
-	is.True(handedOut >= budget/2)
+	is.True(usedTokens <= budget+maxTokens)
+	is.True(usedTokens >= budget/2)
 }
--- a/internal/coordinator/message.go
+++ b/internal/coordinator/message.go
@@ -123,13 +123,13 @@
 
 // beginResponse responds to beginRequest.
 type beginResponse struct {
-	Status  status
-	Charged uint64
-	Ahead   bool
-	First   bool
-	Chain   []ledger.Location
-	// Resident is where the previous turn ran.
-	Resident ledger.CacheLocation
+	Status   status
+	Charged  uint64
+	Unlogged bool
+	First    bool
+	Chain    []ledger.Location
+	// CacheLocation is where the previous turn ran.
+	CacheLocation ledger.CacheLocation
 	// Reason is the text of the error, if any.
 	Reason string
 }
@@ -141,18 +141,18 @@
 func (m *beginResponse) Encode(e *wire.Encoder) {
 	e.Uint8(uint8(m.Status))
 	e.Uint64(m.Charged)
-	e.Bool(m.Ahead)
+	e.Bool(m.Unlogged)
 	e.Bool(m.First)
 	encodeChain(e, m.Chain)
-	encodeResident(e, m.Resident)
+	encodeCacheLocation(e, m.CacheLocation)
 	e.String(m.Reason)
 }
 
 // Decode implements peer.Message.
 func (m *beginResponse) Decode(d *wire.Decoder) {
 	m.Status, m.Charged = status(d.Uint8()), d.Uint64()
-	m.Ahead, m.First, m.Chain = d.Bool(), d.Bool(), decodeChain(d)
-	m.Resident, m.Reason = decodeResident(d), d.String()
+	m.Unlogged, m.First, m.Chain = d.Bool(), d.Bool(), decodeChain(d)
+	m.CacheLocation, m.Reason = decodeCacheLocation(d), d.String()
 }
 
 // progress is sent before the final response while the sender waits for the log.
@@ -205,7 +205,7 @@
 	e.String(string(m.Turn.Turn))
 	encodeChain(e, m.Turn.Chain)
 	e.Duration(m.Turn.Retention)
-	encodeResident(e, m.Turn.CacheLocation)
+	encodeCacheLocation(e, m.Turn.CacheLocation)
 	e.Blob(m.Text)
 }
 
@@ -213,7 +213,7 @@
 func (m *persistRequest) Decode(d *wire.Decoder) {
 	m.Turn = ledger.IndexEntry{
 		Program: ledger.ProgramID(d.String()), Turn: ledger.TurnID(d.String()), Chain: decodeChain(d), Retention: d.Duration(),
-		CacheLocation: decodeResident(d),
+		CacheLocation: decodeCacheLocation(d),
 	}
 	m.Text = d.Blob()
 	if m.Turn.Retention < 0 || m.Turn.Retention > maxRetention {
@@ -332,9 +332,9 @@
 
 // findResponse responds to findRequest.
 type findResponse struct {
-	Status   status
-	Chain    []ledger.Location
-	Resident ledger.CacheLocation
+	Status        status
+	Chain         []ledger.Location
+	CacheLocation ledger.CacheLocation
 	// Reason is the text of the error, if any.
 	Reason string
 }
@@ -346,14 +346,14 @@
 func (m *findResponse) Encode(e *wire.Encoder) {
 	e.Uint8(uint8(m.Status))
 	encodeChain(e, m.Chain)
-	encodeResident(e, m.Resident)
+	encodeCacheLocation(e, m.CacheLocation)
 	e.String(m.Reason)
 }
 
 // Decode implements peer.Message.
 func (m *findResponse) Decode(d *wire.Decoder) {
 	m.Status, m.Chain = status(d.Uint8()), decodeChain(d)
-	m.Resident, m.Reason = decodeResident(d), d.String()
+	m.CacheLocation, m.Reason = decodeCacheLocation(d), d.String()
 }
 
 func encodeChain(e *wire.Encoder, chain []ledger.Location) {
@@ -385,11 +385,11 @@
 	return chain
 }
 
-func encodeResident(e *wire.Encoder, resident ledger.CacheLocation) {
-	e.String(resident.Instance)
-	e.Uint32(resident.Tokens)
+func encodeCacheLocation(e *wire.Encoder, cacheLocation ledger.CacheLocation) {
+	e.String(cacheLocation.Instance)
+	e.Uint32(cacheLocation.Tokens)
 }
 
-func decodeResident(d *wire.Decoder) ledger.CacheLocation {
+func decodeCacheLocation(d *wire.Decoder) ledger.CacheLocation {
 	return ledger.CacheLocation{Instance: d.String(), Tokens: d.Uint32()}
 }
--- a/internal/coordinator/persist_test.go
+++ b/internal/coordinator/persist_test.go
@@ -85,9 +85,9 @@
 		is.NoErr(at.service.PersistTurn(ctx, indexEntryOf(turn), []byte("one"), residency.AllowedRegions{}))
 		is.Equal(textsInIndex(coordinator), i+1)
 		is.Equal(coordinator.store.appended.Load(), before+1)
-		turnsBegun, err := other.service.Begin(ctx, Request{Program: "p", Previous: turn})
+		begun, err := other.service.Begin(ctx, Request{Program: "p", Previous: turn})
 		is.NoErr(err)
-		found, err := other.service.Texts(ctx, "p", turnsBegun.Chain, residency.AllowedRegions{})
+		found, err := other.service.Texts(ctx, "p", begun.Chain, residency.AllowedRegions{})
 		is.NoErr(err)
 		is.Equal(string(found[0]), "one")
 	}
--- a/internal/coordinator/recorded_test.go
+++ b/internal/coordinator/recorded_test.go
@@ -15,21 +15,21 @@
 // TestRecordedBytesOfMessages guards compatibility with nodes of other versions.
 func TestRecordedBytesOfMessages(t *testing.T) {
 	chain := []ledger.Location{{Partition: 3, Offset: 9, Size: 20}}
-	resident := ledger.CacheLocation{Instance: "i", Tokens: 80}
+	cacheLocation := ledger.CacheLocation{Instance: "i", Tokens: 80}
 	for name, c := range map[string]struct {
 		message, empty peer.Message
 		written        string
 	}{
 		"begin":      {&beginRequest{Request: Request{Program: "p", Budgeted: true, Budget: 900, MaxTurnTokens: 60, Previous: "t"}, Grant: 7}, &beginRequest{}, "000000017001000003840000003c00000001740000000000000007"},
-		"begun":      {&beginResponse{Status: statusDone, Charged: 40, Ahead: true, First: true, Chain: chain, Resident: resident}, &beginResponse{}, "010000000000000028010100000001000300000000000000090000001400000001690000005000000000"},
+		"begun":      {&beginResponse{Status: statusDone, Charged: 40, Unlogged: true, First: true, Chain: chain, CacheLocation: cacheLocation}, &beginResponse{}, "010000000000000028010100000001000300000000000000090000001400000001690000005000000000"},
 		"find":       {&findRequest{Turn: "t", Partitions: []int{1, 2}}, &findRequest{}, "00000001740000000200010002"},
-		"found turn": {&findResponse{Status: statusNoSuchTurn, Reason: "r", Chain: chain, Resident: resident}, &findResponse{}, "030000000100030000000000000009000000140000000169000000500000000172"},
+		"found turn": {&findResponse{Status: statusNoSuchTurn, Reason: "r", Chain: chain, CacheLocation: cacheLocation}, &findResponse{}, "030000000100030000000000000009000000140000000169000000500000000172"},
 		"keep": {
-			&persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")},
+			&persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: cacheLocation}, Text: []byte("x")},
 			&persistRequest{}, "000000017000000001740000000100030000000000000009000000140000000df84758000000000169000000500000000178",
 		},
 		"keep anywhere": {
-			&persistAnywhereRequest{persistRequest: persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}, Text: []byte("x")}},
+			&persistAnywhereRequest{persistRequest: persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: cacheLocation}, Text: []byte("x")}},
 			&persistAnywhereRequest{}, "000000017000000001740000000100030000000000000009000000140000000df8475800000000016900000050000000017800000000",
 		},
 		"kept": {&persistResponse{Status: statusDone, Location: ledger.TextAt(5, 9, 20), Reason: "r"}, &persistResponse{}, "0180050000000000000009000000140000000172"},
--- a/internal/coordinator/regions_test.go
+++ b/internal/coordinator/regions_test.go
@@ -25,7 +25,7 @@
 	time.Sleep(singleNodeDelay) // each node coordinates its partitions
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	keptThere := 0
+	persistedAtTarget := 0
 	for number := range 12 {
 		program := ledger.ProgramID(fmt.Sprint("p", number))
 		from := nodes[number%len(nodes)]
@@ -33,26 +33,26 @@
 		if self {
 			continue
 		}
-		there := nodeNamed(nodes, coordinator.Name)
+		target := nodeNamed(nodes, coordinator.Name)
 		within := residency.OnlyIn([]string{string(from.identity.Region)})
-		appended, texts := there.store.appended.Load(), there.store.textReads.Load()
+		appended, texts := target.store.appended.Load(), target.store.textReads.Load()
 		turn := ledger.TurnID("t" + program)
 		is.NoErr(from.service.PersistTurn(ctx, ledger.IndexEntry{Program: program, Turn: turn, Retention: time.Minute}, []byte("text"), within))
-		turnsBegun, err := from.service.Begin(ctx, Request{Program: program, Previous: turn})
+		begun, err := from.service.Begin(ctx, Request{Program: program, Previous: turn})
 		is.NoErr(err)
-		read, err := from.service.Texts(ctx, program, turnsBegun.Chain, within)
+		read, err := from.service.Texts(ctx, program, begun.Chain, within)
 		is.NoErr(err)
 		is.Equal(string(read[0]), "text")
-		is.Equal(there.store.appended.Load(), appended) // the coordinator has written nothing
-		is.Equal(there.store.textReads.Load(), texts)   // and read no text
+		is.Equal(target.store.appended.Load(), appended) // the coordinator has written nothing
+		is.Equal(target.store.textReads.Load(), texts)   // and read no text
 
 		both := residency.OnlyIn([]string{string(from.identity.Region), string(coordinator.Region)})
 		is.NoErr(from.service.PersistTurn(ctx, ledger.IndexEntry{Program: program, Turn: turn + "2", Retention: time.Minute}, []byte("text"), both))
-		if there.store.appended.Load() > appended {
-			keptThere++ // the coordinator is in an allowed region
+		if target.store.appended.Load() > appended {
+			persistedAtTarget++ // the coordinator is in an allowed region
 		}
 	}
-	is.True(keptThere > 0)
+	is.True(persistedAtTarget > 0)
 }
 
 func nodeNamed(nodes []*node, name identity.NodeName) *node {
--- a/internal/coordinator/view.go
+++ b/internal/coordinator/view.go
@@ -124,11 +124,11 @@
 
 // Coordinated returns the partitions that this node coordinates.
 func (s *Service) Coordinated() []int {
-	var kept []int
+	var coordinated []int
 	for partition := range s.config.Ledger.Partitions() {
 		if s.isCoordinator(partition) {
-			kept = append(kept, partition)
+			coordinated = append(coordinated, partition)
 		}
 	}
-	return kept
+	return coordinated
 }
--- a/internal/guardedstore/metrics.go
+++ b/internal/guardedstore/metrics.go
@@ -8,7 +8,7 @@
 }
 
 func newMetrics(guarded *Store, registerer prometheus.Registerer) *metrics {
-	made := &metrics{
+	created := &metrics{
 		probes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "stepseam_store_probes_total", Help: "Calls that went out while the store did not answer.",
 		}),
@@ -20,7 +20,7 @@
 		Name: "stepseam_store_breakers_open", Help: "Open breakers: of partitions that the store does not answer, and of the node.",
 	}, guarded.open)
 	if registerer != nil {
-		registerer.MustRegister(made.probes, made.blocked, open)
+		registerer.MustRegister(created.probes, created.blocked, open)
 	}
-	return made
+	return created
 }
--- a/internal/guardedstore/store.go
+++ b/internal/guardedstore/store.go
@@ -57,12 +57,12 @@
 
 // New returns a store with closed breakers.
 func New(config Config) *Store {
-	made := &Store{
+	created := &Store{
 		config: config, began: time.Now(), breaker: storebreaker.New(config.CallsPerSecond),
 		members: func() int { return 1 }, recovered: make(chan struct{}), changed: make(chan struct{}),
 	}
-	made.metrics = newMetrics(made, config.Registerer)
-	return made
+	created.metrics = newMetrics(created, config.Registerer)
+	return created
 }
 
 // SetMembers sets the source of the number of known nodes.
--- a/internal/ledger/credit.go
+++ b/internal/ledger/credit.go
@@ -148,8 +148,8 @@
 func (c *Credit) Rebase(attempt AttemptID) (settled []Record, next Reservation, changed bool) {
 	remaining := c.remaining(c.settled + c.used)
 	half := max(remaining/2, uint64(c.maxTokens))
-	held := c.granted() - min(c.granted(), c.used)
-	if !c.verdictKnown || len(c.open) > 0 || uint64(c.maxTokens) > remaining || held >= uint64(c.maxTokens) && held <= half {
+	reserved := c.granted() - min(c.granted(), c.used)
+	if !c.verdictKnown || len(c.open) > 0 || uint64(c.maxTokens) > remaining || reserved >= uint64(c.maxTokens) && reserved <= half {
 		return nil, Reservation{}, false
 	}
 	settled = c.Settle()
@@ -201,13 +201,13 @@
 
 // reservedByOthers returns what other credits have reserved and may return.
 func (c *Credit) reservedByOthers(verdict Verdict, mayReturn func(IncarnationID) bool) uint64 {
-	held := uint64(0)
+	reserved := uint64(0)
 	for _, one := range verdict.OpenReservations {
 		if mayReturn(one.Incarnation) {
-			held += uint64(one.Tokens)
+			reserved += uint64(one.Tokens)
 		}
 	}
-	return held - min(held, c.granted())
+	return reserved - min(reserved, c.granted())
 }
 
 // Blocked reports whether the last reservation was refused because of tokens that other nodes
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -51,11 +51,11 @@
 	is := is.New(t)
 	p := NewPartition()
 	chain := []Location{{Partition: 3, Offset: 7, Size: 100}, {Partition: 11, Offset: 1 << 40, Size: 5}}
-	resident := CacheLocation{Instance: "r", Tokens: 900}
-	p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: resident}), 0)
+	cacheLocation := CacheLocation{Instance: "r", Tokens: 900}
+	p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: cacheLocation}), 0)
 	found, known := p.Turn("t")
 	is.True(known)
-	is.Equal(found, IndexedTurn{Chain: chain, CacheLocation: resident})
+	is.Equal(found, IndexedTurn{Chain: chain, CacheLocation: cacheLocation})
 	p.Apply(Encode(Settlement{}), time.Minute)
 	_, known = p.Turn("t")
 	is.True(known)
@@ -112,7 +112,7 @@
 		const budget = 1000
 		first, second := NewPartition(), NewPartition()
 		granted := map[AttemptID]uint32{}
-		handedOut := uint64(0)
+		usedTokens := uint64(0)
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for attempt := AttemptID(1); attempt <= AttemptID(steps); attempt++ {
 			maxTokens := rapid.Uint32Range(1, 400).Draw(t, "most")
@@ -127,14 +127,14 @@
 			}
 			granted[attempt] = maxTokens
 			used := rapid.Uint32Range(0, maxTokens).Draw(t, "used")
-			handedOut += uint64(used)
+			usedTokens += uint64(used)
 			if rapid.Bool().Draw(t, "settled") {
 				settled := Encode(Settlement{Program: "p", Attempt: attempt, Used: used})
 				first.Apply(settled, 0)
 				second.Apply(settled, 0)
 			}
-			if handedOut > budget {
-				t.Fatalf("%d tokens used of at most %d", handedOut, budget)
+			if usedTokens > budget {
+				t.Fatalf("%d tokens used of at most %d", usedTokens, budget)
 			}
 		}
 	})
@@ -223,7 +223,7 @@
 		c.Open(grant, 100, 0)
 	}
 	is.True(!c.Fits(100, true)) // the limit of unlogged grants is 350
-	c.ApplyVerdict(Verdict{Attempt: 1, Granted: 320}, nobody)
+	c.ApplyVerdict(Verdict{Attempt: 1, Granted: 320}, noneAlive)
 	is.True(!c.Fits(100, true))
 	is.True(c.Finish(0, 70, 0))
 	is.True(!c.Finish(0, 70, 0))
@@ -238,13 +238,13 @@
 	is.Equal(next.MinTokens, uint32(50))
 	is.Equal(next.WantedTokens, uint32(340))
 	is.True(!next.Exclusive)
-	c.ApplyVerdict(Verdict{Attempt: 2, Granted: 340}, nobody)
+	c.ApplyVerdict(Verdict{Attempt: 2, Granted: 340}, noneAlive)
 	c.Expire(time.Minute, 2*time.Minute)
 	is.True(c.Idle(0, 2*time.Minute))
 	is.Equal(c.Settle(), []Record{Settlement{Program: "p", Attempt: 1, Used: 270}, Settlement{Program: "p", Attempt: 2}})
 }
 
-func nobody(IncarnationID) bool { return false }
+func noneAlive(IncarnationID) bool { return false }
 
 func TestBudgetIsSpentOnlyByWhatCanNotComeBack(t *testing.T) {
 	here := OpenReservation{Incarnation: "a", Tokens: 40}
@@ -301,14 +301,14 @@
 		const budget, maxTokens = 1000, 300
 		incarnations := rapid.IntRange(1, 4).Draw(t, "incarnations")
 		p := NewPartition()
-		handedOut := uint64(0)
+		usedTokens := uint64(0)
 		for attempt := AttemptID(1); attempt <= 40; attempt++ {
 			record := exactly(attempt, budget, rapid.Uint32Range(1, maxTokens).Draw(t, "least"))
 			record.MaxTurnTokens, record.WantedTokens = maxTokens, rapid.Uint32Range(record.MinTokens, budget).Draw(t, "wanted")
 			record.Incarnation = IncarnationID(rune('a' + rapid.IntRange(0, incarnations-1).Draw(t, "incarnation")))
 			verdict, _ := p.Apply(Encode(record), 0)
 			used := rapid.Uint32Range(0, verdict.Granted).Draw(t, "used")
-			handedOut += uint64(used)
+			usedTokens += uint64(used)
 			if rapid.Bool().Draw(t, "settled") {
 				p.Apply(Encode(Settlement{Program: "p", Attempt: attempt, Used: used}), 0)
 			}
@@ -316,8 +316,8 @@
 			if incarnations > 1 {
 				allowed += maxTokens
 			}
-			if handedOut > allowed {
-				t.Fatalf("%d tokens used of at most %d", handedOut, allowed)
+			if usedTokens > allowed {
+				t.Fatalf("%d tokens used of at most %d", usedTokens, allowed)
 			}
 		}
 	})
--- a/internal/ledger/partition.go
+++ b/internal/ledger/partition.go
@@ -37,22 +37,22 @@
 // openReservations returns the open reservations in a deterministic order, so that verdicts are
 // equal on all nodes.
 func (a *account) openReservations() []OpenReservation {
-	held := slices.Collect(maps.Values(a.open))
-	slices.SortFunc(held, func(one, other OpenReservation) int {
+	reserved := slices.Collect(maps.Values(a.open))
+	slices.SortFunc(reserved, func(one, other OpenReservation) int {
 		return cmp.Or(cmp.Compare(one.Incarnation, other.Incarnation), cmp.Compare(one.Tokens, other.Tokens))
 	})
-	return held
+	return reserved
 }
 
 // reservedByOthers returns what other incarnations have reserved.
 func (a *account) reservedByOthers(incarnation IncarnationID) uint64 {
-	held := uint64(0)
+	reserved := uint64(0)
 	for _, one := range a.open {
 		if one.Incarnation != incarnation {
-			held += uint64(one.Tokens)
+			reserved += uint64(one.Tokens)
 		}
 	}
-	return held
+	return reserved
 }
 
 // IndexedTurn is the index's information on a turn.
@@ -214,8 +214,8 @@
 
 // Turn returns the index's information on a turn.
 func (p *Partition) Turn(turn TurnID) (IndexedTurn, bool) {
-	kept, found := p.turns[turn]
-	return kept.IndexedTurn, found
+	entry, found := p.turns[turn]
+	return entry.IndexedTurn, found
 }
 
 func (p *Partition) prune(now time.Duration) {
@@ -228,8 +228,8 @@
 			delete(p.accounts, program)
 		}
 	}
-	for turn, kept := range p.turns {
-		if now > kept.expires {
+	for turn, entry := range p.turns {
+		if now > entry.expires {
 			delete(p.turns, turn)
 		}
 	}
--- a/internal/ledger/rebase_test.go
+++ b/internal/ledger/rebase_test.go
@@ -11,7 +11,7 @@
 // decided returns a credit whose first reservation was granted.
 func decided(budget, maxTokens, granted uint32) *Credit {
 	c := NewCredit("p", "a", budget, maxTokens, 0)
-	c.ApplyVerdict(Verdict{Attempt: 1, Granted: granted}, nobody)
+	c.ApplyVerdict(Verdict{Attempt: 1, Granted: granted}, noneAlive)
 	return c
 }
 
@@ -28,7 +28,7 @@
 	is.Equal(next, Reservation{Program: "p", Attempt: 2, Budget: 600, MaxTurnTokens: 100, MinTokens: 100, WantedTokens: 285, Incarnation: "a"})
 	is.True(!c.Fits(1, true)) // not before the verdict
 	is.True(!c.Fresh())
-	c.ApplyVerdict(Verdict{Attempt: 2, Granted: 285}, nobody)
+	c.ApplyVerdict(Verdict{Attempt: 2, Granted: 285}, noneAlive)
 	is.True(c.Fits(285, true))
 	_, _, changed = c.Rebase(3)
 	is.True(!changed) // the reservation is already right
@@ -77,7 +77,7 @@
 	partition    *Partition
 	incarnations []*incarnation
 	attempts     AttemptID
-	handedOut    uint64
+	usedTokens   uint64
 	// early injects a fault: a rebased credit makes grants before the verdict.
 	early bool
 	// spent counts how often a credit reported the budget as exhausted.
@@ -129,7 +129,7 @@
 		one.waiting = one.waiting[1:]
 		if reserved {
 			one.asking = false
-			one.credit.ApplyVerdict(verdict, nobody)
+			one.credit.ApplyVerdict(verdict, noneAlive)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	}
 	one.grants++
 	one.credit.Open(one.grants, crashMaxTokens, 0)
-	k.handedOut += uint64(used)
+	k.usedTokens += uint64(used)
 	if ends {
 		one.credit.Finish(one.grants, used, 0)
 	}
@@ -183,7 +183,7 @@
 			k.turn(one, crashMaxTokens-rapid.Uint32Range(0, crashMaxTokens).Draw(k.t, "less"), rapid.IntRange(0, 9).Draw(k.t, "ends") > 0)
 		}
 	}
-	return k.handedOut
+	return k.usedTokens
 }
 
 // TestCrashesDoNotOverspendRebasedCredits draws crashes at any time, with records that are not
--- a/internal/ledger/text.go
+++ b/internal/ledger/text.go
@@ -157,7 +157,7 @@
 
 // TextBytes returns the bytes of texts that a takeover of the partition reads, and those of all
 // turns persisted within demandWindow.
-func (p *Partition) TextBytes(now time.Duration) (held, demanded int) {
+func (p *Partition) TextBytes(now time.Duration) (total, demanded int) {
 	p.texts.forget(now, p.limits.Retain)
 	p.demand.forget(now, demandWindow)
 	return p.texts.sum(), p.demand.sum()
--- a/internal/ledger/text_test.go
+++ b/internal/ledger/text_test.go
@@ -22,12 +22,12 @@
 		before := Location{Partition: 3, Offset: 9, Size: 20}
 		p.Apply(Encode(Text{Bytes: []byte("abc")}), 0)
 		p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{before, TextBefore(5, 3)}, Retention: time.Minute}), 0)
-		kept, found := p.Turn("t")
-		if !found || len(kept.Chain) != 2 || kept.Chain[0] != before {
-			t.Fatalf("turn %+v", kept)
+		entry, found := p.Turn("t")
+		if !found || len(entry.Chain) != 2 || entry.Chain[0] != before {
+			t.Fatalf("turn %+v", entry)
 		}
-		if want := TextAt(5, offset+uint64(others), 3); kept.Chain[1] != want || !want.Resolved() {
-			t.Fatalf("text at %+v, not %+v", kept.Chain[1], want)
+		if want := TextAt(5, offset+uint64(others), 3); entry.Chain[1] != want || !want.Resolved() {
+			t.Fatalf("text at %+v, not %+v", entry.Chain[1], want)
 		}
 	})
 }
@@ -36,9 +36,9 @@
 	is := is.New(t)
 	p := NewPartition()
 	p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, 3)}, Retention: time.Minute}), 0)
-	kept, found := p.Turn("t")
+	entry, found := p.Turn("t")
 	is.True(found) // the turn itself must not be reported as absent
-	is.True(!kept.Chain[0].Resolved())
+	is.True(!entry.Chain[0].Resolved())
 }
 
 func TestLocationOfIndexText(t *testing.T) {
@@ -63,7 +63,7 @@
 			at    time.Duration
 			bytes int
 		}
-		var held []written
+		var accepted []written
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 400).Draw(t, "texts") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
@@ -76,9 +76,9 @@
 			}
 			p.Apply(Encode(Text{Bytes: make([]byte, size)}), now)
 			p.Apply(Encode(IndexEntry{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, size)}}), now)
-			held = append(held, written{now, size})
+			accepted = append(accepted, written{now, size})
 			sum := 0
-			for _, one := range held {
+			for _, one := range accepted {
 				if now-one.at <= limits.Retain {
 					sum += one.bytes
 				}
@@ -94,15 +94,15 @@
 }
 
 func textsIn(p *Partition, now time.Duration) int {
-	held, _ := p.TextBytes(now)
-	return held
+	accepted, _ := p.TextBytes(now)
+	return accepted
 }
 
 // TestHighRateKeepsTextsOutOfIndex checks that hardly any text is accepted if all of them would
 // exceed the window, and that all are otherwise.
 func TestHighRateKeepsTextsOutOfIndex(t *testing.T) {
 	limits := TextLimits{Retain: 5 * time.Minute, WindowBytes: 64 << 10, TextBytes: 4 << 10}
-	for bytesPerSecond, least := range map[int]float64{50: 1, 150: 1, 20_000: 0} {
+	for bytesPerSecond, minShare := range map[int]float64{50: 1, 150: 1, 20_000: 0} {
 		is := is.New(t)
 		p := NewPartition()
 		p.SetTextLimits(limits)
@@ -120,8 +120,8 @@
 			is.True(textsIn(p, now) <= limits.WindowBytes)
 		}
 		share := float64(taken) / float64(turns)
-		is.True(share >= least)
-		is.True(least > 0 || share < 0.001)
+		is.True(share >= minShare)
+		is.True(minShare > 0 || share < 0.001)
 	}
 }
 
--- a/internal/ledgerlog/batchdelay_test.go
+++ b/internal/ledgerlog/batchdelay_test.go
@@ -94,13 +94,13 @@
 // TestManyTurnsShareCalls checks that calls per turn fall with the rate while the median
 // latency stays within maxMedianWait plus the duration of one call.
 func TestManyTurnsShareCalls(t *testing.T) {
-	for perSecond, most := range map[int]float64{1: 1, 10: 1, 30: 0.95, 100: 0.8, 1000: 0.2} {
+	for perSecond, maxCalls := range map[int]float64{1: 1, 10: 1, 30: 0.95, 100: 0.8, 1000: 0.2} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				calls, median := persistTurns(t, 2000, perSecond)
 				t.Logf("%d turns per second: %.2f calls per turn, median %s", perSecond, calls, median)
-				is.True(calls <= most)
+				is.True(calls <= maxCalls)
 				is.True(median <= 3*time.Millisecond+maxMedianWait)
 			})
 		})
--- a/internal/ledgerlog/ledgerlog.go
+++ b/internal/ledgerlog/ledgerlog.go
@@ -120,25 +120,25 @@
 	if config.Availability == nil {
 		config.Availability = alwaysAvailable{}
 	}
-	counted := newMetrics(config.Registerer)
+	counters := newMetrics(config.Registerer)
 	began := time.Now()
 	clock := func() time.Duration { return time.Since(began) }
-	pace, window, resend := &pacer{}, &readWindow{}, &retransmission{}
-	built := &Ledger{config: config, texts: newTextStore(config, counted, pace, resend)}
+	callPacer, window, retransmits := &pacer{}, &readWindow{}, &retransmission{}
+	created := &Ledger{config: config, texts: newTextStore(config, counters, callPacer, retransmits)}
 	limits := config.textLimits()
 	for number := range config.Partitions {
 		place := logstore.Partition{Topic: config.Topic, Number: number}
 		reads := &reader{
-			store: config.Store, partition: place, metrics: counted, window: window,
+			store: config.Store, partition: place, metrics: counters, window: window,
 			clock: clock, state: ledger.NewPartition(), verdicts: map[ledger.AttemptID]*ledger.Verdict{},
-			logger: config.Logger, onText: built.texts.cacheText, largestText: limits.TextBytes,
+			logger: config.Logger, onText: created.texts.cacheText, largestText: limits.TextBytes,
 		}
 		reads.state.SetTextLimits(limits)
 		added := &partition{
 			reader: reads,
 			appender: &appender{
 				store: config.Store, availability: config.Availability, partition: place, producer: config.Producer, callBytes: config.CallBytes,
-				logger: config.Logger, metrics: counted, pacer: pace, retransmission: resend,
+				logger: config.Logger, metrics: counters, pacer: callPacer, retransmission: retransmits,
 				onWritten: reads.applyWritten, epoch: 1,
 			},
 		}
@@ -146,9 +146,9 @@
 			partition: added, availability: config.Availability, incarnation: ledger.IncarnationID(config.Producer), members: unknownMembers{}, clock: clock,
 			credits: map[ledger.ProgramID]*creditEntry{}, abandoned: map[ledger.GrantID]time.Duration{},
 		}
-		built.partitions = append(built.partitions, added)
+		created.partitions = append(created.partitions, added)
 	}
-	return built
+	return created
 }
 
 // Members reports which incarnations of nodes are alive.
--- a/internal/ledgerlog/ledgerlog_test.go
+++ b/internal/ledgerlog/ledgerlog_test.go
@@ -53,8 +53,8 @@
 }
 
 // beginTurn begins a turn under a new id.
-func beginTurn(ctx context.Context, l *Ledger, program ledger.ProgramID, budget, most uint32, coordinator bool) (Grant, error) {
-	return l.BeginTurn(ctx, TurnRequest{Program: program, ID: NewGrantID(), Budget: budget, MaxTurnTokens: most, Coordinator: coordinator})
+func beginTurn(ctx context.Context, l *Ledger, program ledger.ProgramID, budget, maxTokens uint32, coordinator bool) (Grant, error) {
+	return l.BeginTurn(ctx, TurnRequest{Program: program, ID: NewGrantID(), Budget: budget, MaxTurnTokens: maxTokens, Coordinator: coordinator})
 }
 
 func TestBudgetIsSharedByAllNodes(t *testing.T) {
@@ -236,12 +236,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		cut := &unresponsiveStore{Store: log}
-		l, other := newLedger(log, "a"), newLedger(cut, "b")
+		unresponsive := &unresponsiveStore{Store: log}
+		l, other := newLedger(log, "a"), newLedger(unresponsive, "b")
 		own(t, l)
 		log.Fail(store.Fault{Silent: true})
 		program := samePartition(l, 1)[0]
-		handedOut := uint32(0)
+		usedTokens := uint32(0)
 		for {
 			grant, err := beginTurn(within(t, 100*time.Millisecond), l, program, 1000, 100, true)
 			if err != nil {
@@ -250,18 +250,18 @@
 			}
 			is.True(grant.Unlogged)
 			l.FinishTurn(grant.Program, grant.ID, 80)
-			handedOut += 80
+			usedTokens += 80
 		}
-		is.Equal(handedOut, uint32(320)) // the limit of unlogged grants is 350
+		is.Equal(usedTokens, uint32(320)) // the limit of unlogged grants is 350
 		_, err := beginTurn(within(t, 100*time.Millisecond), other, program, 1000, 100, true)
 		is.True(errors.Is(err, ErrUnavailable))
 
 		// The owner reaches the store before the other node does. In the other order the
 		// program could use only LoggedBudget.
-		cut.silent.Store(true)
+		unresponsive.silent.Store(true)
 		log.Fail(store.Fault{})
 		time.Sleep(5 * time.Second)
-		cut.silent.Store(false)
+		unresponsive.silent.Store(false)
 		time.Sleep(2 * time.Second) // the pending call ends
 		grant, err := beginTurn(within(t, time.Second), l, program, 1000, 100, true)
 		is.NoErr(err)
@@ -330,7 +330,7 @@
 		log := store.New()
 		first := newLedger(log, "a")
 		text := strings.Repeat("x", 150) // three records
-		keep := func(turn ledger.TurnID, chain []ledger.Location, text string) {
+		persist := func(turn ledger.TurnID, chain []ledger.Location, text string) {
 			location, err := first.WriteText(within(t, time.Second), []byte(text))
 			is.NoErr(err)
 			is.NoErr(first.PersistTurn(within(t, time.Second), ledger.IndexEntry{
@@ -338,17 +338,17 @@
 				CacheLocation: ledger.CacheLocation{Instance: "replica", Tokens: 150},
 			}))
 		}
-		keep("t1", nil, text)
-		kept, err := findTurn(within(t, time.Second), first, "p", "t1")
+		persist("t1", nil, text)
+		entry, err := findTurn(within(t, time.Second), first, "p", "t1")
 		is.NoErr(err)
-		keep("t2", kept.Chain, "y")
+		persist("t2", entry.Chain, "y")
 
 		restarted := newLedger(log, "b")
 		for _, program := range []ledger.ProgramID{"p", "other", "third"} {
-			kept, err = findTurn(within(t, time.Second), restarted, program, "t2")
+			entry, err = findTurn(within(t, time.Second), restarted, program, "t2")
 			is.NoErr(err)
-			is.Equal(kept.CacheLocation, ledger.CacheLocation{Instance: "replica", Tokens: 150})
-			texts, err := restarted.Texts(within(t, time.Second), kept.Chain)
+			is.Equal(entry.CacheLocation, ledger.CacheLocation{Instance: "replica", Tokens: 150})
+			texts, err := restarted.Texts(within(t, time.Second), entry.Chain)
 			is.NoErr(err)
 			is.Equal(string(texts[0])+string(texts[1]), text+"y")
 		}
@@ -370,9 +370,9 @@
 			// A node without any state finds the turn too, but can't prove the absence of
 			// another.
 			other := newLedger(log, "b")
-			kept, err := findTurn(within(t, 30*time.Second), other, "p", "t")
+			entry, err := findTurn(within(t, 30*time.Second), other, "p", "t")
 			is.NoErr(err)
-			texts, err := other.Texts(within(t, 2*time.Second), kept.Chain)
+			texts, err := other.Texts(within(t, 2*time.Second), entry.Chain)
 			is.NoErr(err)
 			is.Equal(string(texts[0]), "text")
 			_, err = findTurn(within(t, 30*time.Second), other, "p", "never")
@@ -418,12 +418,12 @@
 
 // schedule is one run of TestNodesNeverOverspendTogether.
 type schedule struct {
-	t         *testing.T
-	log       *store.Store
-	nodes     []*Ledger
-	program   ledger.ProgramID
-	handedOut uint32
-	step      int
+	t          *testing.T
+	log        *store.Store
+	nodes      []*Ledger
+	program    ledger.ProgramID
+	usedTokens uint32
+	step       int
 	// start returns a node's ledger.
 	start func(log logstore.Store, name string) *Ledger
 }
@@ -493,17 +493,17 @@
 	if draw%6 == 0 {
 		used = uint32(draw / 7 % (sharedMost + 1))
 	}
-	s.handedOut += used
+	s.usedTokens += used
 	if draw%13 != 0 {
 		node.FinishTurn(grant.Program, grant.ID, used)
 	}
 	if draw%4 != 0 {
-		s.keep(node, draw)
+		s.persist(node, draw)
 	}
 }
 
-// keep attempts to persist a turn, which rebases the program's credit.
-func (s *schedule) keep(node *Ledger, draw int) {
+// persist attempts to persist a turn, which rebases the program's credit.
+func (s *schedule) persist(node *Ledger, draw int) {
 	turn := ledger.IndexEntry{Program: s.program, Turn: ledger.TurnID(fmt.Sprint("t", draw)), Retention: time.Minute}
 	_ = node.PersistTurn(within(s.t, 300*time.Millisecond), turn)
 }
@@ -527,8 +527,8 @@
 				run.step = step
 				run.disturb(draw)
 				run.turn(draw)
-				if run.handedOut > sharedBudget+sharedMost {
-					rt.Fatalf("%d tokens used of a budget of %d", run.handedOut, sharedBudget)
+				if run.usedTokens > sharedBudget+sharedMost {
+					rt.Fatalf("%d tokens used of a budget of %d", run.usedTokens, sharedBudget)
 				}
 			}
 			log.Fail(store.Fault{})
--- a/internal/ledgerlog/persisttext.go
+++ b/internal/ledgerlog/persisttext.go
@@ -110,8 +110,8 @@
 		return
 	}
 	r.textsRefused = !room
-	held, demanded := r.state.TextBytes(now)
-	r.logger.Info("changed whether the index accepts texts", "partition", r.partition.Number, "taken", room, "text_bytes", held, "demanded_bytes", demanded)
+	total, demanded := r.state.TextBytes(now)
+	r.logger.Info("changed whether the index accepts texts", "partition", r.partition.Number, "taken", room, "text_bytes", total, "demanded_bytes", demanded)
 }
 
 // countUnread counts a text that this node wrote at an offset but has not applied yet, which
--- a/internal/ledgerlog/persisttext_test.go
+++ b/internal/ledgerlog/persisttext_test.go
@@ -28,16 +28,16 @@
 
 // readTurn returns the texts and the locations of a turn's chain.
 func readTurn(ctx context.Context, l *Ledger, turn ledger.TurnID) ([]string, []ledger.Location, error) {
-	kept, err := findTurn(ctx, l, "p", turn)
+	entry, err := findTurn(ctx, l, "p", turn)
 	if err != nil {
 		return nil, nil, err
 	}
-	found, err := l.Texts(ctx, kept.Chain)
+	found, err := l.Texts(ctx, entry.Chain)
 	var texts []string
 	for _, text := range found {
 		texts = append(texts, string(text))
 	}
-	return texts, kept.Chain, err
+	return texts, entry.Chain, err
 }
 
 // TestTurnWithTextIsPersistedInOneCall checks that a small text shares a call with its index
@@ -48,9 +48,9 @@
 		is := is.New(t)
 		log := store.New()
 		l := newLedger(log, "a")
-		calls := func(turn ledger.TurnID, text string, apart bool) int {
+		calls := func(turn ledger.TurnID, text string, separate bool) int {
 			before := log.Calls("append")
-			_, err := l.PersistTurnWithText(within(t, time.Second), ledger.IndexEntry{Program: "p", Turn: turn, Retention: 10 * time.Minute}, []byte(text), apart)
+			_, err := l.PersistTurnWithText(within(t, time.Second), ledger.IndexEntry{Program: "p", Turn: turn, Retention: 10 * time.Minute}, []byte(text), separate)
 			is.NoErr(err)
 			return log.Calls("append") - before
 		}
@@ -88,9 +88,9 @@
 			is.NoErr(keepText(within(t, time.Second), l, ledger.TurnID(fmt.Sprint("t", i)), nil, fmt.Sprint("text of the turn ", i)))
 		}
 		other := newLedger(log, "b")
-		kept, err := findTurn(within(t, time.Second), other, "p", ledger.TurnID(fmt.Sprint("t", turns-1)))
+		entry, err := findTurn(within(t, time.Second), other, "p", ledger.TurnID(fmt.Sprint("t", turns-1)))
 		is.NoErr(err)
-		texts, all := other.CachedTexts(kept.Chain)
+		texts, all := other.CachedTexts(entry.Chain)
 		is.True(all)
 		is.Equal(string(texts[0]), fmt.Sprint("text of the turn ", turns-1))
 		is.True(other.texts.cached <= other.config.CacheBytes)
@@ -108,9 +108,9 @@
 		l := newLedger(store.New(), "a")
 		own(t, l)
 		is.NoErr(keepText(within(t, time.Second), l, "t1", nil, smallText))
-		kept, err := findTurn(within(t, time.Second), l, "p", "t1")
+		entry, err := findTurn(within(t, time.Second), l, "p", "t1")
 		is.NoErr(err)
-		right := kept.Chain[0]
+		right := entry.Chain[0]
 		number := l.Partition("p")
 		for _, wrong := range []ledger.Location{
 			ledger.TextBefore(number, len(smallText)),
@@ -151,14 +151,14 @@
 	t     *testing.T
 	log   *store.Store
 	nodes []*Ledger
-	// kept holds the texts of the chains of acknowledged turns.
-	kept map[ledger.TurnID][]string
-	last ledger.TurnID
-	step int
+	// persisted holds the texts of the chains of acknowledged turns.
+	persisted map[ledger.TurnID][]string
+	last      ledger.TurnID
+	step      int
 }
 
-// keep persists a turn that continues the last one, or none.
-func (k *persistRun) keep(draw int) {
+// persist writes a turn that continues the last one, or none.
+func (k *persistRun) persist(draw int) {
 	node := k.nodes[draw%len(k.nodes)]
 	var chain []ledger.Location
 	var texts []string
@@ -172,7 +172,7 @@
 	text := strings.Repeat(fmt.Sprint(k.step, "."), draw/7%20)
 	_, err := node.PersistTurnWithText(within(k.t, 900*time.Millisecond), ledger.IndexEntry{Program: "p", Turn: turn, Chain: chain, Retention: time.Hour}, []byte(text), draw%17 == 0)
 	if err == nil {
-		k.kept[turn], k.last = append(texts, text), turn
+		k.persisted[turn], k.last = append(texts, text), turn
 	}
 }
 
@@ -201,17 +201,17 @@
 		draws := rapid.SliceOfN(rapid.IntRange(0, 1<<20), 5, 60).Draw(rt, "draws")
 		synctest.Test(t, func(t *testing.T) {
 			log := store.New()
-			run := &persistRun{t: t, log: log, kept: map[ledger.TurnID][]string{}, nodes: []*Ledger{newLedger(log, "n0"), newLedger(log, "n1"), newLedger(log, "n2")}}
+			run := &persistRun{t: t, log: log, persisted: map[ledger.TurnID][]string{}, nodes: []*Ledger{newLedger(log, "n0"), newLedger(log, "n1"), newLedger(log, "n2")}}
 			own(t, run.nodes[0])
 			for step, draw := range draws {
 				run.step = step
 				run.disturb(draw)
-				run.keep(draw)
+				run.persist(draw)
 			}
 			log.Fail(store.Fault{})
 			time.Sleep(10 * time.Second)
 			reader := newLedger(log, "reader")
-			for turn, want := range run.kept {
+			for turn, want := range run.persisted {
 				texts, _, err := readTurn(within(t, 10*time.Second), reader, turn)
 				if err != nil || fmt.Sprint(texts) != fmt.Sprint(want) {
 					rt.Fatalf("turn %s: error %v, texts %q, want %q", turn, err, texts, want)
--- a/internal/ledgerlog/reader.go
+++ b/internal/ledgerlog/reader.go
@@ -141,10 +141,10 @@
 // readToEnd reads all records that were written before the call.
 func (r *reader) readToEnd(ctx context.Context) error {
 	r.mutex.Lock()
-	wanted := r.started + 1
+	readNumber := r.started + 1
 	r.mutex.Unlock()
 	return r.readUntil(ctx, func() bool {
-		return r.answered >= wanted && logstore.Offset(r.state.Next()) >= r.end
+		return r.answered >= readNumber && logstore.Offset(r.state.Next()) >= r.end
 	})
 }
 
@@ -229,13 +229,13 @@
 
 // find returns the index entry of a turn. Unless the turn is known, it reads the partition to
 // its end first.
-func (r *reader) find(ctx context.Context, turn ledger.TurnID) (kept ledger.IndexedTurn, found bool, err error) {
-	if kept, found = r.turn(turn); found {
-		return kept, true, nil
+func (r *reader) find(ctx context.Context, turn ledger.TurnID) (entry ledger.IndexedTurn, found bool, err error) {
+	if entry, found = r.turn(turn); found {
+		return entry, true, nil
 	}
 	if err = r.readToEnd(ctx); err != nil {
 		return ledger.IndexedTurn{}, false, err
 	}
-	kept, found = r.turn(turn)
-	return kept, found, nil
+	entry, found = r.turn(turn)
+	return entry, found, nil
 }
--- a/internal/ledgerlog/rebase_test.go
+++ b/internal/ledgerlog/rebase_test.go
@@ -13,8 +13,8 @@
 )
 
 // runAndPersistTurn runs a turn that uses tokens, and persists it.
-func runAndPersistTurn(t *testing.T, l *Ledger, program ledger.ProgramID, number int, budget, most, used uint32) error {
-	grant, err := beginTurn(within(t, time.Second), l, program, budget, most, true)
+func runAndPersistTurn(t *testing.T, l *Ledger, program ledger.ProgramID, number int, budget, maxTokens, used uint32) error {
+	grant, err := beginTurn(within(t, time.Second), l, program, budget, maxTokens, true)
 	if err != nil {
 		return err
 	}
@@ -54,24 +54,24 @@
 func TestProgramOfFewTurnsSurvivesItsCoordinator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const budget, most, used = 576, 288, 36
+		const budget, maxTokens, used = 576, 288, 36
 		log := store.New()
 		first, second := newLedger(log, "a"), newLedger(log, "b")
 		own(t, first)
 		program := samePartition(first, 1)[0]
 		const before = 3
 		for number := range before {
-			is.NoErr(runAndPersistTurn(t, first, program, number, budget, most, used))
+			is.NoErr(runAndPersistTurn(t, first, program, number, budget, maxTokens, used))
 		}
 		time.Sleep(time.Second)
-		is.Equal(first.partitionOf(program).reader.state.Charged(program), uint64(before*used+most)) // one turn is reserved in advance
+		is.Equal(first.partitionOf(program).reader.state.Charged(program), uint64(before*used+maxTokens)) // one turn is reserved in advance
 		served := before
 		for ; ; served++ {
-			if err := runAndPersistTurn(t, second, program, served, budget, most, used); err != nil {
+			if err := runAndPersistTurn(t, second, program, served, budget, maxTokens, used); err != nil {
 				break
 			}
 		}
 		is.True(served >= 7) // 36 tokens each, less the 288 that the dead node had reserved
-		is.True(served*used <= budget+most)
+		is.True(served*used <= budget+maxTokens)
 	})
 }
--- a/internal/ledgerlog/release_test.go
+++ b/internal/ledgerlog/release_test.go
@@ -54,10 +54,10 @@
 				time.Sleep(after)
 				helper.FinishTurn(begun.Program, begun.ID, 0)
 			}()
-			asked := time.Now()
+			requested := time.Now()
 			_, err := beginTurn(within(t, time.Second), coordinator, "p", 100, 60, true)
 			is.Equal(errors.Is(err, ErrBudgetReserved), after == time.Second)
-			is.True(time.Since(asked) < maxReserveAttempts*reserveRetryInterval)
+			is.True(time.Since(requested) < maxReserveAttempts*reserveRetryInterval)
 			time.Sleep(2 * time.Second)
 		})
 	}
--- a/internal/ledgerlog/texts.go
+++ b/internal/ledgerlog/texts.go
@@ -34,9 +34,9 @@
 	cached int
 }
 
-func newTextStore(config Config, counted *metrics, pace *pacer, resend *retransmission) *textStore {
+func newTextStore(config Config, counters *metrics, callPacer *pacer, retransmits *retransmission) *textStore {
 	return &textStore{
-		config: config, metrics: counted, pacer: pace, retransmission: resend,
+		config: config, metrics: counters, pacer: callPacer, retransmission: retransmits,
 		cache: map[ledger.Location][]byte{}, appenders: map[int]*appender{},
 		partition: int(xxhash.Sum64String(config.Producer) % uint64(max(config.Partitions, 1))),
 	}
@@ -59,16 +59,16 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.partition = t.firstAvailable(t.partition)
-	used, known := t.appenders[t.partition]
+	target, known := t.appenders[t.partition]
 	if !known {
-		used = &appender{
+		target = &appender{
 			store: t.config.Store, availability: t.config.Availability, partition: logstore.Partition{Topic: t.config.TextTopic, Number: t.partition},
 			producer: t.config.Producer, callBytes: t.config.CallBytes, logger: t.config.Logger, metrics: t.metrics,
 			pacer: t.pacer, retransmission: t.retransmission, epoch: 1,
 		}
-		t.appenders[t.partition] = used
+		t.appenders[t.partition] = target
 	}
-	return t.partition, used
+	return t.partition, target
 }
 
 // avoidPartition switches to another partition unless that has already happened.
@@ -87,9 +87,9 @@
 		records = [][]byte{{}}
 	}
 	for {
-		partition, used := t.writer()
+		partition, target := t.writer()
 		within, cancel := context.WithTimeout(ctx, partitionTimeout)
-		offset, err := used.append(within, records)
+		offset, err := target.append(within, records)
 		cancel()
 		if err == nil {
 			location := ledger.Location{Partition: uint16(partition), Offset: uint64(offset), Size: uint32(len(text))}
--- a/internal/ledgerlog/turns.go
+++ b/internal/ledgerlog/turns.go
@@ -79,8 +79,8 @@
 // CachedTurn returns the index entry of a turn that this node has read, from any partition.
 func (l *Ledger) CachedTurn(turn ledger.TurnID) (ledger.IndexedTurn, bool) {
 	for _, p := range l.partitions {
-		if kept, found := p.reader.turn(turn); found {
-			return kept, true
+		if entry, found := p.reader.turn(turn); found {
+			return entry, true
 		}
 	}
 	return ledger.IndexedTurn{}, false
@@ -96,9 +96,9 @@
 		if number < 0 || number >= len(l.partitions) {
 			continue
 		}
-		kept, found, err := l.partitions[number].reader.find(ctx, turn)
+		entry, found, err := l.partitions[number].reader.find(ctx, turn)
 		if found {
-			return kept, nil
+			return entry, nil
 		}
 		if err != nil {
 			absent = fmt.Errorf("%w: look for turn %s: %w", ErrUnavailable, turn, err)
--- a/internal/storebreaker/simulation_test.go
+++ b/internal/storebreaker/simulation_test.go
@@ -59,16 +59,16 @@
 }
 
 func newSite(seed uint64, answers func(s *site, node, partition int) (bool, time.Duration)) *site {
-	made := &site{random: rand.New(rand.NewPCG(seed, 1)), answers: answers}
+	created := &site{random: rand.New(rand.NewPCG(seed, 1)), answers: answers}
 	for range siteNodes {
 		node := &siteNode{breaker: New(siteReads)}
 		for range sitePartitions {
-			due := time.Duration(made.random.Int64N(int64(longestThinkTime)))
+			due := time.Duration(created.random.Int64N(int64(longestThinkTime)))
 			node.writers = append(node.writers, &writer{due: due, next: due, pause: minRetryPause})
 		}
-		made.nodes = append(made.nodes, node)
+		created.nodes = append(created.nodes, node)
 	}
-	return made
+	return created
 }
 
 func (s *site) inOutage() bool { return s.now >= outageStart && s.now < outageEnd }
@@ -145,18 +145,18 @@
 	w.next = s.now + pause/2 + time.Duration(s.random.Int64N(int64(pause)))
 }
 
-// late returns how many nodes have an unwritten record that was created before a time.
-func (s *site) late(before time.Duration) int {
-	late := 0
+// unwritten returns how many nodes have an unwritten record that was created before a time.
+func (s *site) unwritten(before time.Duration) int {
+	unwritten := 0
 	for _, node := range s.nodes {
 		for _, w := range node.writers {
 			if w.due < before && w.written < w.due {
-				late++
+				unwritten++
 				break
 			}
 		}
 	}
-	return late
+	return unwritten
 }
 
 func busy(s *site, _, _ int) (bool, time.Duration) { return !s.inOutage(), callTime }
@@ -180,13 +180,13 @@
 	for name, answers := range map[string]func(*site, int, int) (bool, time.Duration){"busy": busy, "silent": silent, "partly": partialOutage} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			played := newSite(1, answers)
-			played.run(outageEnd)
+			simulated := newSite(1, answers)
+			simulated.run(outageEnd)
 			allowed := (siteReads + siteWrites) * probeFraction * (outageEnd - outageStart - detectedAfter).Seconds()
-			t.Logf("%d refused of %d calls, %.0f allowed", played.refused, played.calls, allowed)
-			is.True(float64(played.refused) <= allowed)
-			played.run(outageEnd + recoveredWithin)
-			is.Equal(played.late(outageEnd), 0)
+			t.Logf("%d refused of %d calls, %.0f allowed", simulated.refused, simulated.calls, allowed)
+			is.True(float64(simulated.refused) <= allowed)
+			simulated.run(outageEnd + recoveredWithin)
+			is.Equal(simulated.unwritten(outageEnd), 0)
 		})
 	}
 }
@@ -195,10 +195,10 @@
 // store.
 func TestAvailablePartitionsAreUsed(t *testing.T) {
 	is := is.New(t)
-	played := newSite(2, partialOutage)
-	played.run(outageEnd)
+	simulated := newSite(2, partialOutage)
+	simulated.run(outageEnd)
 	steps := 0
-	for _, node := range played.nodes {
+	for _, node := range simulated.nodes {
 		steps += node.unavailableSteps
 		is.True(node.unavailableSteps <= int(2*time.Second/siteStep)) // until another partition is probed
 		for partition, w := range node.writers {
@@ -214,18 +214,18 @@
 func TestRefusedNodesDoNotAffectOthers(t *testing.T) {
 	is := is.New(t)
 	turned := func(s *site, node, _ int) (bool, time.Duration) { return !s.inOutage() || node%3 > 0, callTime }
-	played := newSite(3, turned)
-	played.run(outageEnd)
-	for number, node := range played.nodes {
-		is.Equal(node.breaker.NodeAnswered(played.conditions()), number%3 > 0)
+	simulated := newSite(3, turned)
+	simulated.run(outageEnd)
+	for number, node := range simulated.nodes {
+		is.Equal(node.breaker.NodeAnswered(simulated.conditions()), number%3 > 0)
 		is.True(number%3 == 0 || node.unavailableSteps == 0)
 	}
 	// Refused nodes probe, and once more for each report of a peer.
 	alone := float64(siteNodes/3 + 1)
-	allowed := alone * (outageEnd - outageStart).Seconds() * (1/played.nodes[0].breaker.ProbePause(siteNodes).Seconds() + 1/hintPause.Seconds())
-	is.True(float64(played.refused) <= allowed)
-	played.run(outageEnd + recoveredWithin)
-	is.Equal(played.late(outageEnd), 0)
+	allowed := alone * (outageEnd - outageStart).Seconds() * (1/simulated.nodes[0].breaker.ProbePause(siteNodes).Seconds() + 1/hintPause.Seconds())
+	is.True(float64(simulated.refused) <= allowed)
+	simulated.run(outageEnd + recoveredWithin)
+	is.Equal(simulated.unwritten(outageEnd), 0)
 }
 
 // TestLostResponsesDoNotOpenBreakers loses a third of the responses.
@@ -237,12 +237,12 @@
 		}
 		return true, callTime
 	}
-	played := newSite(4, lossy)
-	played.run(outageEnd)
+	simulated := newSite(4, lossy)
+	simulated.run(outageEnd)
 	steps := 0
-	for _, node := range played.nodes {
+	for _, node := range simulated.nodes {
 		steps += node.unavailableSteps
 	}
 	is.True(steps <= siteNodes*int((outageEnd-outageStart)/siteStep)/100)
-	is.True(played.late(outageEnd-longestThinkTime) == 0)
+	is.True(simulated.unwritten(outageEnd-longestThinkTime) == 0)
 }
--- a/internal/storebreaker/storebreaker_test.go
+++ b/internal/storebreaker/storebreaker_test.go
@@ -187,11 +187,11 @@
 }
 
 func (p *invariants) probe(now time.Duration) {
-	least := time.Duration(float64(p.breaker.ProbePause(p.nodes)) * (1 - probeJitter))
+	minInterval := time.Duration(float64(p.breaker.ProbePause(p.nodes)) * (1 - probeJitter))
 	if p.hinted {
-		least = min(least, minProbeInterval)
+		minInterval = min(minInterval, minProbeInterval)
 	}
-	if pause := now - p.probed; pause < least {
+	if pause := now - p.probed; pause < minInterval {
 		p.t.Fatalf("%v between two probes", pause)
 	}
 	p.probed, p.hinted = now, false
