--- a/internal/coordinator/recorded_test.go
+++ b/internal/coordinator/recorded_test.go
@@ -24,16 +24,16 @@
 		"begun":      {&beginResponse{Status: statusDone, Charged: 40, Unlogged: true, First: true, Chain: chain, CacheLocation: cacheLocation}, &beginResponse{}, "010000000000000028010100000001000300000000000000090000001400000001690000005000000000"},
 		"find":       {&findRequest{Turn: "t", Partitions: []int{1, 2}}, &findRequest{}, "00000001740000000200010002"},
 		"found turn": {&findResponse{Status: statusNoSuchTurn, Reason: "r", Chain: chain, CacheLocation: cacheLocation}, &findResponse{}, "030000000100030000000000000009000000140000000169000000500000000172"},
-		"keep": {
+		"persist": {
 			&persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: cacheLocation}, Text: []byte("x")},
 			&persistRequest{}, "000000017000000001740000000100030000000000000009000000140000000df84758000000000169000000500000000178",
 		},
-		"keep anywhere": {
+		"persist anywhere": {
 			&persistAnywhereRequest{persistRequest: persistRequest{Turn: ledger.IndexEntry{Program: "p", Turn: "t", Chain: chain, Retention: time.Minute, CacheLocation: cacheLocation}, Text: []byte("x")}},
 			&persistAnywhereRequest{}, "000000017000000001740000000100030000000000000009000000140000000df8475800000000016900000050000000017800000000",
 		},
-		"kept": {&persistResponse{Status: statusDone, Location: ledger.TextAt(5, 9, 20), Reason: "r"}, &persistResponse{}, "0180050000000000000009000000140000000172"},
-		"read": {&readRequest{Chain: chain}, &readRequest{}, "000000010003000000000000000900000014"},
+		"persisted": {&persistResponse{Status: statusDone, Location: ledger.TextAt(5, 9, 20), Reason: "r"}, &persistResponse{}, "0180050000000000000009000000140000000172"},
+		"read":      {&readRequest{Chain: chain}, &readRequest{}, "000000010003000000000000000900000014"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/ledger/recorded_test.go
+++ b/internal/ledger/recorded_test.go
@@ -15,15 +15,15 @@
 		record  Record
 		written string
 	}{
-		"settle": {Settlement{Program: "p", Attempt: 7, Used: 40}, "02000170000000000000000700000028"},
-		"keep":   {IndexEntry{Program: "p", Turn: "t", Chain: []Location{{Partition: 3, Offset: 9, Size: 20}}, Retention: time.Minute, CacheLocation: CacheLocation{Instance: "i", Tokens: 80}}, "030001700001740000ea600001000300000000000000090000001400016900000050"},
-		"own":    {OwnershipClaim{Incarnation: "n.1"}, "0400036e2e31"},
-		"text":   {Text{Bytes: []byte("abc")}, "06616263"},
-		"keep of the text before it": {
+		"settlement":      {Settlement{Program: "p", Attempt: 7, Used: 40}, "02000170000000000000000700000028"},
+		"index entry":     {IndexEntry{Program: "p", Turn: "t", Chain: []Location{{Partition: 3, Offset: 9, Size: 20}}, Retention: time.Minute, CacheLocation: CacheLocation{Instance: "i", Tokens: 80}}, "030001700001740000ea600001000300000000000000090000001400016900000050"},
+		"ownership claim": {OwnershipClaim{Incarnation: "n.1"}, "0400036e2e31"},
+		"text":            {Text{Bytes: []byte("abc")}, "06616263"},
+		"index entry of the preceding text": {
 			IndexEntry{Program: "p", Turn: "t", Chain: []Location{TextBefore(5, 3)}, Retention: time.Minute, CacheLocation: CacheLocation{Instance: "i", Tokens: 80}},
 			"030001700001740000ea6000018005ffffffffffffffff0000000300016900000050",
 		},
-		"release": {OwnershipRelease{Incarnation: "n.1"}, "0500036e2e31"},
+		"ownership release": {OwnershipRelease{Incarnation: "n.1"}, "0500036e2e31"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
