--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -70,7 +70,7 @@
 	Unlogged bool
 	// First is set if no tokens were granted to the program before.
 	First bool
-	// Chain holds the locations of the previous turns, oldest first.
+	// Chain contains the locations of the previous turns, oldest first.
 	Chain []ledger.Location
 	// CacheLocation is where the previous turn ran.
 	CacheLocation ledger.CacheLocation
@@ -121,10 +121,10 @@
 	// mutex guards avoidUntil, the time since began until which a node is not called.
 	mutex      sync.Mutex
 	avoidUntil map[identity.NodeName]time.Duration
-	// storeUnavailable holds nodes that recently reported the store to be unavailable, or made
+	// storeUnavailable contains nodes that recently reported the store to be unavailable, or made
 	// no progress on a request that needs the store.
 	storeUnavailable expiringSet
-	// reportedUnavailable holds nodes that reported it in response to a request to begin a
+	// reportedUnavailable contains nodes that reported it in response to a request to begin a
 	// turn, before membership announced it.
 	reportedUnavailable expiringSet
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -46,7 +46,7 @@
 	hang atomic.Bool
 	// appended and reads count the attempted appends and reads.
 	appended, reads atomic.Int32
-	// read holds the ledger partitions that were read; textReads counts reads of texts.
+	// read contains the ledger partitions that were read; textReads counts reads of texts.
 	read      sync.Map
 	textReads atomic.Int32
 }
--- a/internal/coordinator/message.go
+++ b/internal/coordinator/message.go
@@ -189,7 +189,7 @@
 	m.Program, m.Grant, m.Used = ledger.ProgramID(d.String()), ledger.GrantID(d.Uint64()), d.Uint32()
 }
 
-// persistRequest asks a node to write a turn's text and its index entry. Turn.Chain holds the
+// persistRequest asks a node to write a turn's text and its index entry. Turn.Chain contains the
 // locations of the previous turns.
 type persistRequest struct {
 	Turn ledger.IndexEntry
--- a/internal/coordinator/persist.go
+++ b/internal/coordinator/persist.go
@@ -17,7 +17,7 @@
 // sent persistRequest.
 type persistAnywhereRequest struct {
 	persistRequest
-	// later holds fields that newer versions add.
+	// later contains fields that newer versions add.
 	later []byte
 }
 
--- a/internal/coordinator/texts.go
+++ b/internal/coordinator/texts.go
@@ -12,7 +12,7 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// PersistTurn writes the text and the index entry of a finished turn. Chain holds the previous
+// PersistTurn writes the text and the index entry of a finished turn. Chain contains the previous
 // turns. It retries until ctx ends, since giving up would break off a response whose end is
 // delayed until the turn is persisted. Errors wrap ledgerlog.ErrUnavailable. The text is sent
 // to no node outside the allowed regions.
--- a/internal/ledger/partition.go
+++ b/internal/ledger/partition.go
@@ -57,7 +57,7 @@
 
 // IndexedTurn is the index's information on a turn.
 type IndexedTurn struct {
-	// Chain holds the locations of the turn's predecessors, oldest first, and of the turn
+	// Chain contains the locations of the turn's predecessors, oldest first, and of the turn
 	// itself.
 	Chain         []Location
 	CacheLocation CacheLocation
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -59,7 +59,7 @@
 type IndexEntry struct {
 	Program ProgramID
 	Turn    TurnID
-	// Chain holds the locations of the turn's predecessors, oldest first, and of the turn
+	// Chain contains the locations of the turn's predecessors, oldest first, and of the turn
 	// itself.
 	Chain []Location
 	// Retention is how long the turn is kept.
--- a/internal/ledgerlog/creditmanager.go
+++ b/internal/ledgerlog/creditmanager.go
@@ -55,7 +55,7 @@
 	// mutex guards the fields below.
 	mutex   sync.Mutex
 	credits map[ledger.ProgramID]*creditEntry
-	// abandoned holds the turns that were finished before they began, with the time of that.
+	// abandoned contains the turns that were finished before they began, with the time of that.
 	abandoned map[ledger.GrantID]time.Duration
 	// claimedAt is when the ownership was last claimed. claiming is set while an ownership
 	// record is being written.
--- a/internal/ledgerlog/persisttext.go
+++ b/internal/ledgerlog/persisttext.go
@@ -28,7 +28,7 @@
 }
 
 // PersistTurnWithText writes a turn's text and index entry and returns the location of the
-// text. turn.Chain holds the locations of the previous turns. A small text is written right
+// text. turn.Chain contains the locations of the previous turns. A small text is written right
 // before its index entry, in one call, unless separate is set: nodes that may not read the text
 // read the index. Other texts are written to their own topic first. It retries until ctx ends.
 // Errors wrap ErrUnavailable.
--- a/internal/ledgerlog/persisttext_test.go
+++ b/internal/ledgerlog/persisttext_test.go
@@ -151,7 +151,7 @@
 	t     *testing.T
 	log   *store.Store
 	nodes []*Ledger
-	// persisted holds the texts of the chains of acknowledged turns.
+	// persisted contains the texts of the chains of acknowledged turns.
 	persisted map[ledger.TurnID][]string
 	last      ledger.TurnID
 	step      int
--- a/internal/ledgerlog/reader.go
+++ b/internal/ledgerlog/reader.go
@@ -38,7 +38,7 @@
 	state *ledger.Partition
 	// end is the end of the partition as last reported by the store.
 	end logstore.Offset
-	// verdicts holds the verdicts on this node's reservations until they are fetched.
+	// verdicts contains the verdicts on this node's reservations until they are fetched.
 	verdicts map[ledger.AttemptID]*ledger.Verdict
 	// reading is the read in progress, or nil.
 	reading *sharedRead
