--- a/internal/routednode/adapter.go
+++ b/internal/routednode/adapter.go
@@ -1,6 +1,6 @@
-// Package routednode runs a node that serves routed requests: it wires the parts,
-// follows configuration and replicas in the store, answers whether it is ready,
-// reloads its settings and stops as planned.
+// Package routednode assembles and runs a node that routes requests to replicas. It watches
+// the configuration and the replicas in the store, serves clients, readiness checks and
+// metrics, reloads its settings and shuts down gracefully.
 package routednode
 
 import (
@@ -12,28 +12,29 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-// Adapter is how a platform speaks: names, formats and calls.
+// Adapter defines the platform's header names, paths, topics and record formats.
 type Adapter struct {
 	Names router.HeaderNames
 	// ReadinessPath and MetricsPath are paths of GET requests.
 	ReadinessPath, MetricsPath string
 	NewStore                   func(settings.Store) logstore.Store
 
-	// Configuration is the keyed partition of the operators. It holds their configuration
-	// under ConfigurationKey.
+	// Configuration is the keyed partition that operators write. It contains their
+	// configuration under ConfigurationKey, and one record for each evacuated zone.
 	Configuration       logstore.Partition
 	ConfigurationKey    string
 	DecodeConfiguration func(encoded []byte) (*routing.Configuration, error)
 
-	// DecodeEvacuation reads a record of the same partition that evacuates a zone or
-	// takes it back; false where the record is of another kind. With an error the
-	// change names the zone if that is known.
+	// DecodeEvacuation decodes a record of the Configuration partition that starts or ends
+	// the evacuation of a zone. The bool is false for records of another kind. If an error
+	// is returned, the change names the zone where the key contains it.
 	DecodeEvacuation func(item logstore.Item) (evacuation.Change, bool, error)
 
-	// Replicas is the keyed partition of the replicas' entries, by instance.
+	// Replicas is the keyed partition of replica entries; the key is the replica's
+	// instance.
 	Replicas      logstore.Partition
 	DecodeReplica func(instance string, encoded []byte) (fleet.Replica, error)
 
-	// LedgerTopic and TextTopic are the system's own topics.
+	// LedgerTopic and TextTopic are the topics that the nodes themselves write.
 	LedgerTopic, TextTopic string
 }
--- a/internal/routednode/keepers.go
+++ b/internal/routednode/aggregators.go
@@ -14,7 +14,7 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-// clock returns a monotonic reading, the same to all parts of the node.
+// clock returns a monotonic reading that all components of the node share.
 type clock func() time.Duration
 
 func newClock() clock {
@@ -22,42 +22,42 @@
 	return func() time.Duration { return time.Since(began) }
 }
 
-// provideKeepers binds the node's address for keepers; it returns nil where there is
-// none, or no other nodes.
-func provideKeepers(injector do.Injector) (*aggregator.Service, error) {
-	chosen := do.MustInvoke[settings.Routed](injector)
+// provideAggregator binds the node's address for aggregators; it returns nil if no address
+// is configured or the node runs without others.
+func provideAggregator(injector do.Injector) (*aggregator.Service, error) {
+	cfg := do.MustInvoke[settings.Routed](injector)
 	others, err := do.Invoke[*peers](injector)
-	if err != nil || others == nil || !chosen.Addresses.Keepers.IsValid() {
+	if err != nil || others == nil || !cfg.Addresses.Keepers.IsValid() {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(chosen.Addresses.Keepers))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.Addresses.Keepers))
 	if err != nil {
 		return nil, fmt.Errorf("routednode: addresses.keepers: %w", err)
 	}
-	placement := aggregator.NewPlacement(chosen.Node.Name)
+	placement := aggregator.NewPlacement(cfg.Node.Name)
 	others.onView = append(others.onView, placement.SetView)
 	logger, registry, now := do.MustInvoke[*slog.Logger](injector), do.MustInvoke[*prometheus.Registry](injector), do.MustInvoke[clock](injector)
-	measured := newKeeperMetrics(registry)
+	metrics := newAggregatorMetrics(registry)
 	made := aggregator.New(aggregator.Config{
-		Conn: conn, Placement: placement, Now: now, Observer: measured,
+		Conn: conn, Placement: placement, Now: now, Observer: metrics,
 		OnEjectionChange: func(changed aggregator.EjectionChange) { router.LogTransition(logger, changed) },
 	})
-	measured.registerKept(registry, made.Aggregates())
-	registry.MustRegister(&ejectedCollector{book: made.Aggregates(), now: now})
+	metrics.registerTracked(registry, made.Aggregates())
+	registry.MustRegister(&ejectedCollector{aggregates: made.Aggregates(), now: now})
 	return made, nil
 }
 
-// keeperMetrics count the questions to keepers.
-type keeperMetrics struct {
+// aggregatorMetrics counts queries to aggregators.
+type aggregatorMetrics struct {
 	seconds prometheus.Histogram
 	asked   *prometheus.CounterVec
 	bytes   *prometheus.CounterVec
-	// unreadable counts datagrams that were refused.
+	// unreadable counts invalid datagrams.
 	unreadable prometheus.Counter
 }
 
-func newKeeperMetrics(registerer prometheus.Registerer) *keeperMetrics {
-	made := &keeperMetrics{
+func newAggregatorMetrics(registerer prometheus.Registerer) *aggregatorMetrics {
+	made := &aggregatorMetrics{
 		seconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "stepseam_keeper_question_seconds", Help: "Time until the keepers of replicas had answered, or were given up.",
 			Buckets: []float64{.0005, .001, .002, .004, .008, .016},
@@ -76,27 +76,27 @@
 	return made
 }
 
-// QueryDone implements keeper.Observer.
-func (m *keeperMetrics) QueryDone(took time.Duration, asked, answered int) {
+// QueryDone implements aggregator.Observer.
+func (m *aggregatorMetrics) QueryDone(took time.Duration, asked, answered int) {
 	m.seconds.Observe(took.Seconds())
 	m.asked.WithLabelValues("answered").Add(float64(answered))
 	m.asked.WithLabelValues("silent").Add(float64(asked - answered))
 }
 
-// Sent implements keeper.Observer.
-func (m *keeperMetrics) Sent(bytes int) { m.bytes.WithLabelValues("sent").Add(float64(bytes)) }
+// Sent implements aggregator.Observer.
+func (m *aggregatorMetrics) Sent(bytes int) { m.bytes.WithLabelValues("sent").Add(float64(bytes)) }
 
-// Received implements keeper.Observer.
-func (m *keeperMetrics) Received(bytes int) {
+// Received implements aggregator.Observer.
+func (m *aggregatorMetrics) Received(bytes int) {
 	m.bytes.WithLabelValues("received").Add(float64(bytes))
 }
 
-// InvalidDatagram implements keeper.Observer.
-func (m *keeperMetrics) InvalidDatagram() { m.unreadable.Inc() }
+// InvalidDatagram implements aggregator.Observer.
+func (m *aggregatorMetrics) InvalidDatagram() { m.unreadable.Inc() }
 
-// registerKept adds a gauge of what book holds.
-func (m *keeperMetrics) registerKept(registerer prometheus.Registerer, book *aggregator.Aggregates) {
+// registerTracked registers a gauge of the replicas that this node aggregates.
+func (m *aggregatorMetrics) registerTracked(registerer prometheus.Registerer, aggregates *aggregator.Aggregates) {
 	registerer.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "stepseam_replicas_kept", Help: "Replicas on which other nodes report to this node.",
-	}, func() float64 { return float64(book.Len()) }))
+	}, func() float64 { return float64(aggregates.Len()) }))
 }
--- a/internal/routednode/coldreplicas.go
+++ b/internal/routednode/coldreplicas.go
@@ -9,14 +9,14 @@
 	"stepseam.example/stepseam/internal/router"
 )
 
-// coldReplicas joins the gate before cold replicas with the configuration in force.
+// coldReplicas applies the rate limits in the current configuration to cold replicas.
 type coldReplicas struct {
-	gate   *coldstart.Limiter
-	router *router.Router
+	limiter *coldstart.Limiter
+	router  *router.Router
 }
 
-// bound returns what the cold replicas of a service bear by the configuration in force.
-func (c *coldReplicas) bound(service string) coldstart.RateLimit {
+// rateLimit returns the configured limit on requests to each cold replica of a service.
+func (c *coldReplicas) rateLimit(service string) coldstart.RateLimit {
 	configuration := c.router.Configuration()
 	if configuration == nil {
 		return coldstart.RateLimit{}
@@ -25,20 +25,21 @@
 	return coldstart.RateLimit{PerSecond: found.ColdPerSecond, ColdDuration: found.ColdFor}
 }
 
-// returned takes the replicas of a zone that was taken back for cold.
-func (c *coldReplicas) returned(zone string) {
-	lasts := func(service string) time.Duration { return c.bound(service).ColdDuration }
-	c.gate.PresumeZoneCold(zone, lasts, c.router.Now())
+// zoneReturned treats the replicas of a zone as cold when its evacuation ends.
+func (c *coldReplicas) zoneReturned(zone string) {
+	coldDuration := func(service string) time.Duration { return c.rateLimit(service).ColdDuration }
+	c.limiter.PresumeZoneCold(zone, coldDuration, c.router.Now())
 }
 
-// status tells operators of the replicas that are cold at a time.
+// status returns the replicas that are cold at the given time.
 func (c *coldReplicas) status(now time.Duration) []coldstart.Status {
-	return c.gate.Status(c.bound, now)
+	return c.limiter.Status(c.rateLimit, now)
 }
 
-// counts returns how many replicas are cold, and how often a request was withheld.
+// counts returns the number of cold replicas, and how many requests their rate limits have
+// withheld.
 func (c *coldReplicas) counts() (cold int, withheld uint64) {
-	return c.gate.Counts(c.bound, c.router.Now())
+	return c.limiter.Counts(c.rateLimit, c.router.Now())
 }
 
 func (c *coldReplicas) register(registerer prometheus.Registerer) {
--- a/internal/routednode/configurationview.go
+++ b/internal/routednode/configurationview.go
@@ -8,17 +8,16 @@
 	"stepseam.example/stepseam/internal/routing"
 )
 
-// operatorsFeed joins what operators write with what other nodes tell of it: the
-// configuration and the zones that they evacuate.
-func (v *views) operatorsFeed() distribution.Subscription {
+// operatorSubscription applies the configuration and the evacuated zones that peers send.
+func (v *views) operatorSubscription() distribution.Subscription {
 	return distribution.Subscription{
 		Topic: v.operators.Topic,
 		Replace: func(items []logstore.Item, next logstore.Offset) {
-			v.operators.replaceTold(next, func() { v.takeOperators(items, next, "peer") })
+			v.operators.replaceFromPeer(next, func() { v.setOperatorRecords(items, next, "peer") })
 		},
 		Apply: func(items []logstore.Item, next logstore.Offset) {
 			position, _ := v.operators.Position()
-			v.changeOperators(position, items, next, "peer")
+			v.applyOperatorRecords(position, items, next, "peer")
 		},
 		Confirm: v.confirmOperators,
 	}
@@ -29,33 +28,33 @@
 	v.freshness.confirm(at)
 }
 
-// replaceOperators takes all records of the operators as the store holds them.
-func (v *views) replaceOperators(items []logstore.Item, next logstore.Offset) {
-	v.operators.replace(func() { v.takeOperators(items, next, "store") })
+// replaceOperatorRecords applies a snapshot of the operator topic read from the store.
+func (v *views) replaceOperatorRecords(items []logstore.Item, next logstore.Offset) {
+	v.operators.replace(func() { v.setOperatorRecords(items, next, "store") })
 }
 
-// takeOperators takes all records of the operators; from tells in the log who has told
-// them. The zones come first, so that no configuration is in force without them. It needs
-// the topic's mutex.
-func (v *views) takeOperators(items []logstore.Item, next logstore.Offset, from string) {
-	items = v.ofUse(items)
+// setOperatorRecords applies a snapshot of the operator topic; source is logged. Evacuated
+// zones are applied before the configuration, so that a configuration never takes effect
+// without them. The caller must hold the topic's mutex.
+func (v *views) setOperatorRecords(items []logstore.Item, next logstore.Offset, source string) {
+	items = v.relevantRecords(items)
 	v.evacuations.replace(items, next)
-	v.takeConfiguration(items, from)
+	v.applyConfigurationRecords(items, source)
 	v.operators.Replace(items, next)
 }
 
-// changeOperators takes records between two positions.
-func (v *views) changeOperators(position logstore.Offset, items []logstore.Item, next logstore.Offset, from string) {
-	v.operators.change(position, next, func() {
-		items = v.ofUse(items)
-		v.evacuations.change(items, next)
-		v.takeConfiguration(items, from)
+// applyOperatorRecords applies the records between two positions; source is logged.
+func (v *views) applyOperatorRecords(position logstore.Offset, items []logstore.Item, next logstore.Offset, source string) {
+	v.operators.apply(position, next, func() {
+		items = v.relevantRecords(items)
+		v.evacuations.apply(items, next)
+		v.applyConfigurationRecords(items, source)
 		v.operators.Apply(items, next)
 	})
 }
 
-// ofUse returns the records that some part of this node reads.
-func (v *views) ofUse(items []logstore.Item) []logstore.Item {
+// relevantRecords returns the records that this node uses.
+func (v *views) relevantRecords(items []logstore.Item) []logstore.Item {
 	used := make([]logstore.Item, 0, len(items))
 	for _, item := range items {
 		_, evacuates, _ := v.adapter.DecodeEvacuation(item)
@@ -66,50 +65,50 @@
 	return used
 }
 
-func (v *views) takeConfiguration(items []logstore.Item, from string) {
+func (v *views) applyConfigurationRecords(items []logstore.Item, source string) {
 	for _, item := range items {
 		if item.Key != v.adapter.ConfigurationKey || item.Value == nil {
 			continue
 		}
-		v.takeEncoded(item.Value, from)
+		v.applyEncodedConfiguration(item.Value, source)
 	}
 }
 
-// takeEncoded puts a configuration in force if it is newer. from tells in the log
-// who has told it.
-func (v *views) takeEncoded(encoded []byte, from string) {
+// applyEncodedConfiguration makes a configuration current if it is newer; source is logged.
+func (v *views) applyEncodedConfiguration(encoded []byte, source string) {
 	configuration, err := v.adapter.DecodeConfiguration(encoded)
-	v.freshness.readable(err == nil)
+	v.freshness.setUsable(err == nil)
 	if err != nil {
-		v.logger.Error("configuration can't be used", "from", from, "error", err, "bytes", len(encoded))
+		v.logger.Error("configuration can't be used", "from", source, "error", err, "bytes", len(encoded))
 		return
 	}
-	inForce := v.router.SetConfiguration(configuration)
-	if inForce {
-		v.keepConfiguration(configuration.Version, encoded)
-		v.logHomes(configuration)
+	applied := v.router.SetConfiguration(configuration)
+	if applied {
+		v.storeConfiguration(configuration.Version, encoded)
+		v.logAllowedRegions(configuration)
 	}
-	v.logger.Info("configuration heard", "from", from, "version", configuration.Version, "in_force", inForce,
+	v.logger.Info("configuration heard", "from", source, "version", configuration.Version, "in_force", applied,
 		"routes", len(configuration.Routes), "services", len(configuration.Services))
 }
 
-// mostFindings bounds how many findings of one configuration are logged.
-const mostFindings = 20
+// maxLoggedFindings limits the log lines about one configuration.
+const maxLoggedFindings = 20
 
-// logHomes tells what is wrong with the homes of data; what has no home is refused.
-func (v *views) logHomes(configuration *routing.Configuration) {
+// logAllowedRegions logs allowed regions that no zone satisfies. Requests bound to them are
+// rejected.
+func (v *views) logAllowedRegions(configuration *routing.Configuration) {
 	findings := configuration.CheckAllowedRegions(v.regions)
-	for _, finding := range findings[:min(len(findings), mostFindings)] {
+	for _, finding := range findings[:min(len(findings), maxLoggedFindings)] {
 		v.logger.Error("homes of data can't be kept, such requests are refused", "version", configuration.Version, "error", finding)
 	}
-	if more := len(findings) - mostFindings; more > 0 {
+	if more := len(findings) - maxLoggedFindings; more > 0 {
 		v.logger.Error("more homes of data can't be kept", "version", configuration.Version, "findings", more)
 	}
 }
 
-// keepConfiguration keeps the newest configuration for peers. Store and peers may
-// put two in force at about the same time, in either order here.
-func (v *views) keepConfiguration(version uint64, encoded []byte) {
+// storeConfiguration retains the newest encoded configuration for peers. Updates from the
+// store and from peers may arrive here in either order, so an older version is ignored.
+func (v *views) storeConfiguration(version uint64, encoded []byte) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	if version > v.version {
@@ -117,7 +116,7 @@
 	}
 }
 
-// encodedConfiguration returns the configuration in force as the store holds it.
+// encodedConfiguration returns the version and the encoding of the current configuration.
 func (v *views) encodedConfiguration() (uint64, []byte) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/routednode/distances.go
+++ b/internal/routednode/distances.go
@@ -14,24 +14,24 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// measurePause is the time between two looks which ways are to be measured: a datagram
-// to each other zone every few seconds, whatever the number of nodes.
-const measurePause = 500 * time.Millisecond
+// measureInterval is the time between two checks for outdated measurements. The traffic
+// depends on the number of zones, not on the number of nodes.
+const measureInterval = 500 * time.Millisecond
 
-// distances measures the ways to other zones.
+// distances measures round-trip times to other zones.
 type distances struct {
-	known *distance.Map
+	paths *distance.Map
 	now   clock
-	// measure asks a node, see keeper.Exchange.Measure.
+	// measure returns the round-trip time to a node, and false if it did not respond.
 	measure func(ctx context.Context, node netip.Addr) (time.Duration, bool)
 	logger  *slog.Logger
 
-	// mutex guards members: the nodes that live, by zone.
+	// mutex guards members, which maps each zone to the addresses of its live nodes.
 	mutex   sync.Mutex
 	members map[string][]netip.Addr
 }
 
-// setView takes the members.
+// setView updates the live members.
 func (d *distances) setView(view membership.View) {
 	members := map[string][]netip.Addr{}
 	for _, member := range view.Members {
@@ -45,9 +45,9 @@
 	d.members = members
 }
 
-// run measures until ctx ends.
+// run measures until ctx is canceled.
 func (d *distances) run(ctx context.Context) {
-	ticker := time.NewTicker(measurePause)
+	ticker := time.NewTicker(measureInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -59,16 +59,16 @@
 	}
 }
 
-// measureStale asks one node of each zone whose way was not measured lately.
+// measureStale measures the round trip to one node of each zone whose path needs it.
 func (d *distances) measureStale(ctx context.Context) {
-	for zone, node := range d.drawn() {
+	for zone, node := range d.measurementTargets() {
 		go func() {
-			before := d.known.PathTo(zone)
-			roundTrip, answered := d.measure(ctx, node)
-			if !answered {
+			before := d.paths.PathTo(zone)
+			roundTrip, ok := d.measure(ctx, node)
+			if !ok {
 				return
 			}
-			d.known.Observe(zone, roundTrip, d.now())
+			d.paths.Observe(zone, roundTrip, d.now())
 			if !before.Measured {
 				d.logger.Info("distance learned", "zone_name", zone, "round_trip_ms", float64(roundTrip.Microseconds())/1000)
 			}
@@ -76,20 +76,20 @@
 	}
 }
 
-// drawn returns a node of each zone to be measured.
-func (d *distances) drawn() map[string]netip.Addr {
+// measurementTargets returns a random node of each zone that needs a measurement.
+func (d *distances) measurementTargets() map[string]netip.Addr {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	drawn := map[string]netip.Addr{}
+	targets := map[string]netip.Addr{}
 	for zone, nodes := range d.members {
-		if d.known.NeedsMeasurement(zone, d.now()) {
-			drawn[zone] = nodes[rand.IntN(len(nodes))]
+		if d.paths.NeedsMeasurement(zone, d.now()) {
+			targets[zone] = nodes[rand.IntN(len(nodes))]
 		}
 	}
-	return drawn
+	return targets
 }
 
-// zones returns the zones that have members.
+// zones returns the zones that have live members.
 func (d *distances) zones() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -107,8 +107,8 @@
 
 // Collect implements prometheus.Collector.
 func (d *distances) Collect(metrics chan<- prometheus.Metric) {
-	for _, way := range d.known.Paths(d.zones()) {
-		metrics <- prometheus.MustNewConstMetric(roundTripDesc, prometheus.GaugeValue, way.RoundTrip.Seconds(), way.Zone)
+	for _, path := range d.paths.Paths(d.zones()) {
+		metrics <- prometheus.MustNewConstMetric(roundTripDesc, prometheus.GaugeValue, path.RoundTrip.Seconds(), path.Zone)
 	}
 }
 
--- a/internal/routednode/distances_test.go
+++ b/internal/routednode/distances_test.go
@@ -16,15 +16,15 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// TestEachOtherZoneIsMeasuredNowAndThen whatever the number of its nodes, and a zone that
-// does not answer keeps its prior.
-func TestEachOtherZoneIsMeasuredNowAndThen(t *testing.T) {
+// TestEachRemoteZoneIsMeasuredPeriodically checks that the number of measurements does not
+// depend on the number of nodes, and that a zone that does not respond keeps its default.
+func TestEachRemoteZoneIsMeasuredPeriodically(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var mutex sync.Mutex // zones are measured side by side
+		var mutex sync.Mutex // zones are measured concurrently
 		asked := map[netip.Addr]int{}
 		measured := &distances{
-			known: distance.NewMap("a", map[string]string{"a": "r1", "b": "r2", "dead": "r2"}), now: newClock(),
+			paths: distance.NewMap("a", map[string]string{"a": "r1", "b": "r2", "dead": "r2"}), now: newClock(),
 			logger: slog.New(slog.DiscardHandler),
 			measure: func(_ context.Context, node netip.Addr) (time.Duration, bool) {
 				mutex.Lock()
@@ -48,11 +48,11 @@
 		defer cancel()
 		measured.run(ctx)
 		synctest.Wait()
-		is.Equal(measured.known.PathTo("b"), distance.Path{Zone: "b", RoundTrip: 60 * time.Millisecond, OtherRegion: true, Measured: true})
-		is.True(!measured.known.PathTo("dead").Measured)
+		is.Equal(measured.paths.PathTo("b"), distance.Path{Zone: "b", RoundTrip: 60 * time.Millisecond, OtherRegion: true, Measured: true})
+		is.True(!measured.paths.PathTo("dead").Measured)
 		total := 0
 		for node, count := range asked {
-			is.True(node.As4()[2] != 0) // nobody of its own zone
+			is.True(node.As4()[2] != 0) // no node of its own zone
 			if node.As4()[2] == 1 {
 				total += count
 			}
--- a/internal/routednode/ejected_test.go
+++ b/internal/routednode/ejected_test.go
@@ -14,15 +14,14 @@
 	"stepseam.example/stepseam/internal/outlier"
 )
 
-// TestEjectedReplicasShow by the kind of their failures.
-func TestEjectedReplicasShow(t *testing.T) {
+func TestEjectedReplicasAreExportedByReason(t *testing.T) {
 	is := is.New(t)
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
 	now := func() time.Duration { return time.Second }
-	exchange := aggregator.New(aggregator.Config{Conn: conn, Placement: aggregator.NewPlacement("n"), Now: now, Observer: newKeeperMetrics(prometheus.NewRegistry())})
-	shown := &ejectedCollector{book: exchange.Aggregates(), now: now}
+	exchange := aggregator.New(aggregator.Config{Conn: conn, Placement: aggregator.NewPlacement("n"), Now: now, Observer: newAggregatorMetrics(prometheus.NewRegistry())})
+	shown := &ejectedCollector{aggregates: exchange.Aggregates(), now: now}
 	is.Equal(testutil.CollectAndCount(shown), 0)
 	for _, replica := range []string{"a", "b"} {
 		for range 3 {
--- a/internal/routednode/evacuations_test.go
+++ b/internal/routednode/evacuations_test.go
@@ -18,14 +18,14 @@
 
 var errGarbage = errors.New("garbage")
 
-// testEvacuations reads records under "zone/NAME"; the value "garbage" can't be read.
+// testEvacuations decodes records with keys "zone/NAME"; the value "garbage" is invalid.
 func testEvacuations(logger *slog.Logger) *evacuations {
 	if logger == nil {
 		logger = slog.New(slog.DiscardHandler)
 	}
 	return newEvacuations(evacuations{
 		zones: evacuation.NewZones(), fleet: fleet.NewDirectory(), now: newClock(), logger: logger,
-		returned: func(string) {},
+		onReturned: func(string) {},
 		decode: func(item logstore.Item) (evacuation.Change, bool, error) {
 			zone, matches := strings.CutPrefix(item.Key, "zone/")
 			if string(item.Value) == "garbage" {
@@ -38,16 +38,16 @@
 
 func item(key, value string) logstore.Item { return logstore.Item{Key: key, Value: []byte(value)} }
 
-func TestUnreadableRecordTakesNothingElseDown(t *testing.T) {
+func TestUnreadableRecordDoesNotAffectOtherZones(t *testing.T) {
 	is := is.New(t)
 	var log strings.Builder
 	e := testEvacuations(slog.New(slog.NewTextHandler(&log, nil)))
-	e.change([]logstore.Item{item("zone/a", "{}"), item("config", "{}")}, 2)
-	e.change([]logstore.Item{item("zone/a", "garbage"), item("zone/b", "{}"), item("zone/c", "garbage")}, 5)
+	e.apply([]logstore.Item{item("zone/a", "{}"), item("config", "{}")}, 2)
+	e.apply([]logstore.Item{item("zone/a", "garbage"), item("zone/b", "{}"), item("zone/c", "garbage")}, 5)
 	is.True(e.zones.Evacuated("a"))
 	is.True(e.zones.Evacuated("b"))
 	is.True(!e.zones.Evacuated("c"))
-	e.replace([]logstore.Item{item("zone/a", "garbage"), item("config", "{}")}, 9) // b was taken back
+	e.replace([]logstore.Item{item("zone/a", "garbage"), item("config", "{}")}, 9) // the evacuation of b has ended
 	is.True(e.zones.Evacuated("a"))
 	is.True(!e.zones.Evacuated("b"))
 	is.Equal(testutil.ToFloat64(e.unreadable), 3.0)
@@ -56,15 +56,15 @@
 	}
 }
 
-// TestPeersWordEndsWithTheZonesReturn: what a peer tells late of a zone that was taken back
-// since does not evacuate it again.
-func TestPeersWordEndsWithTheZonesReturn(t *testing.T) {
+// TestLatePeerSnapshotDoesNotEvacuateReturnedZone guards against a delayed snapshot from a
+// peer that evacuates a zone again after its evacuation has ended.
+func TestLatePeerSnapshotDoesNotEvacuateReturnedZone(t *testing.T) {
 	is := is.New(t)
 	e := testEvacuations(nil)
 	late := evacuation.Snapshot{Position: 2, Zones: map[string]time.Duration{"a": time.Second}}
-	e.adopt(late, time.Now(), "peer")
+	e.merge(late, time.Now(), "peer")
 	is.True(e.zones.Evacuated("a"))
-	e.change([]logstore.Item{{Key: "zone/a"}}, 3)
-	e.adopt(late, time.Now(), "peer")
+	e.apply([]logstore.Item{{Key: "zone/a"}}, 3)
+	e.merge(late, time.Now(), "peer")
 	is.True(!e.zones.Evacuated("a"))
 }
--- a/internal/routednode/freshness.go
+++ b/internal/routednode/freshness.go
@@ -5,39 +5,38 @@
 	"time"
 )
 
-// freshness is a lease on the configuration: it tells since when nobody has confirmed
-// that the configuration in force is the newest. A confirmation counts from the sending
-// of the read, or of the question to a peer, that it answers, less the age of what the
-// peer knew; so whatever was acknowledged before that time is in force here. It is safe
-// for concurrent use.
+// freshness tracks when the current configuration was last confirmed to be the newest. A
+// confirmation counts from the time at which the store read or the peer request was sent,
+// minus the age that a peer reports; any configuration acknowledged before that time is
+// therefore in effect here. It is safe for concurrent use.
 type freshness struct {
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// confirmed is on the monotonic clock; zero if nobody has confirmed yet.
+	// confirmed is the time of the newest confirmation; zero if there is none.
 	confirmed time.Time
-	// unusable tells that the newest configuration could not be read, so that the one
-	// in force is not the newest.
+	// unusable is set if the newest configuration could not be decoded, so that an older
+	// one is in effect.
 	unusable bool
-	// awayForAll tells that the store answers neither this node nor the peers that were
-	// asked last.
-	awayForAll bool
+	// unavailableForAll is set if the store is unavailable to this node and to the peers
+	// queried last.
+	unavailableForAll bool
 }
 
-// askedPeers notes whether the store answers any of the peers that were asked.
-func (f *freshness) askedPeers(answered bool) {
+// setPeersServed records whether the store is available to any of the peers queried last.
+func (f *freshness) setPeersServed(served bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.awayForAll = !answered
+	f.unavailableForAll = !served
 }
 
-// UnavailableForAll tells whether the store answers no other node either, as far as is known.
+// UnavailableForAll reports whether the store appears to be unavailable to all nodes.
 func (f *freshness) UnavailableForAll() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.awayForAll
+	return f.unavailableForAll
 }
 
-// confirm notes that the configuration in force was the newest at the given time.
+// confirm records that the current configuration was the newest at the given time.
 func (f *freshness) confirm(at time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -46,14 +45,15 @@
 	}
 }
 
-// readable notes whether the newest configuration that was heard can be used.
-func (f *freshness) readable(usable bool) {
+// setUsable records whether the newest configuration received could be decoded.
+func (f *freshness) setUsable(usable bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.unusable = !usable
 }
 
-// Age returns how old the last confirmation is; false if there is none.
+// Age returns the time since the last confirmation; false if there is none, or if the
+// newest configuration is unusable.
 func (f *freshness) Age() (time.Duration, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/routednode/freshness_test.go
+++ b/internal/routednode/freshness_test.go
@@ -27,71 +27,72 @@
 		began := time.Now()
 		time.Sleep(time.Second)
 		fresh.confirm(began.Add(800 * time.Millisecond))
-		fresh.confirm(began) // an older one that comes later
+		fresh.confirm(began) // an older confirmation that arrives later
 		age, known := fresh.Age()
 		is.True(known)
 		is.Equal(age, 200*time.Millisecond)
-		fresh.readable(false)
+		fresh.setUsable(false)
 		_, known = fresh.Age()
-		is.True(!known) // a newer configuration exists that this node can't use
-		fresh.readable(true)
+		is.True(!known) // a newer configuration exists that this node could not decode
+		fresh.setUsable(true)
 		_, known = fresh.Age()
 		is.True(known)
 	})
 }
 
-func TestPeersConfirmNoOlderConfiguration(t *testing.T) {
+func TestPeerConfirmsOnlyCurrentConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		v := &views{router: router.New(router.Config{Registerer: prometheus.NewRegistry()}), freshness: &freshness{}, logger: slog.New(slog.DiscardHandler)}
 		v.router.SetConfiguration(&routing.Configuration{Version: 7})
-		asked := time.Now()
-		time.Sleep(300 * time.Millisecond) // the way there and back, and the peer's time
-		v.confirmBy(&tellViews{Version: 8, ConfigurationKnown: true}, asked)
-		v.confirmBy(&tellViews{Version: 7, ConfigurationKnown: false}, asked)
+		requested := time.Now()
+		time.Sleep(300 * time.Millisecond) // round trip and the peer's processing time
+		v.confirmFromPeer(&viewsResponse{Version: 8, ConfigurationKnown: true}, requested)
+		v.confirmFromPeer(&viewsResponse{Version: 7, ConfigurationKnown: false}, requested)
 		_, known := v.freshness.Age()
 		is.True(!known)
-		v.confirmBy(&tellViews{Version: 7, ConfigurationKnown: true, ConfigurationAge: time.Second}, asked)
+		v.confirmFromPeer(&viewsResponse{Version: 7, ConfigurationKnown: true, ConfigurationAge: time.Second}, requested)
 		age, known := v.freshness.Age()
 		is.True(known)
 		is.Equal(age, 1300*time.Millisecond)
 	})
 }
 
-func TestMessagesOfTheRelaySurviveTheWire(t *testing.T) {
+func TestViewsResponseRoundTrip(t *testing.T) {
 	is := is.New(t)
-	told := &tellViews{
+	response := &viewsResponse{
 		Configuration: []byte("c"), Version: 9, ConfigurationKnown: true, ConfigurationAge: time.Second, StoreAnswers: true, ReplicasKnown: true, ReplicasAge: time.Minute,
 		Evacuations: evacuation.Snapshot{Position: 7, Zones: map[string]time.Duration{"a": time.Second, "b": time.Minute}},
 	}
 	encoder := wire.NewEncoder(nil)
-	told.Encode(encoder)
-	read := &tellViews{}
+	response.Encode(encoder)
+	read := &viewsResponse{}
 	read.Decode(wire.NewDecoder(encoder.Bytes()))
-	is.Equal(read, told)
+	is.Equal(read, response)
 }
 
-// peersOf answers like nodes that the store answers or not; nil does not answer.
-type peersOf map[netip.AddrPort]*tellViews
+// fakePeers responds with the given responses; a nil response means that the peer is
+// unreachable.
+type fakePeers map[netip.AddrPort]*viewsResponse
 
-func (p peersOf) Call(_ context.Context, address netip.AddrPort, _ peer.Message, _ func(peer.Message) error) (peer.Message, error) {
-	if told := p[address]; told != nil {
-		return told, nil
+func (p fakePeers) Call(_ context.Context, address netip.AddrPort, _ peer.Message, _ func(peer.Message) error) (peer.Message, error) {
+	if response := p[address]; response != nil {
+		return response, nil
 	}
 	return nil, peer.ErrUnreachable
 }
 
-func TestStoreIsAwayForAllOnlyIfPeersSaySo(t *testing.T) {
+func TestStoreIsUnavailableForAllOnlyIfPeersReportIt(t *testing.T) {
 	is := is.New(t)
 	one, other := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 	for _, c := range []struct {
-		first, second *tellViews
+		first, second *viewsResponse
 		away          bool
 	}{
-		{&tellViews{}, &tellViews{}, true},
-		{&tellViews{}, &tellViews{StoreAnswers: true}, false},
-		{&tellViews{}, nil, true},
-		{nil, nil, false}, // cut off, it knows nothing of others
+		{&viewsResponse{}, &viewsResponse{}, true},
+		{&viewsResponse{}, &viewsResponse{StoreAnswers: true}, false},
+		{&viewsResponse{}, nil, true},
+		{nil, nil, false}, // no peer responded, so the others' state is unknown
 	} {
 		answered := false
 		v := &views{
@@ -99,12 +100,12 @@
 			evacuations: testEvacuations(nil), logger: slog.New(slog.DiscardHandler),
 		}
 		r := &relay{
-			views: v, configurations: v.freshness, peers: peersOf{one: c.first, other: c.second},
-			others: func() []netip.AddrPort { return []netip.AddrPort{one, other} }, logger: v.logger, storeAnswers: func() bool { return false },
-			peerAnswered: func() { answered = true },
+			views: v, configurations: v.freshness, peers: fakePeers{one: c.first, other: c.second},
+			others: func() []netip.AddrPort { return []netip.AddrPort{one, other} }, logger: v.logger, storeAvailable: func() bool { return false },
+			peerServed: func() { answered = true },
 		}
-		r.ask(t.Context())
+		r.queryPeers(t.Context())
 		is.Equal(v.freshness.UnavailableForAll(), c.away)
-		is.Equal(answered, c.second != nil && c.second.StoreAnswers) // then this node probes at once
+		is.Equal(answered, c.second != nil && c.second.StoreAnswers) // this node then probes the store immediately
 	}
 }
--- a/internal/routednode/node.go
+++ b/internal/routednode/node.go
@@ -33,64 +33,63 @@
 
 const (
 	mebibyte = 1 << 20
-	// cacheShare is the part of the memory that the texts of turns may take.
-	cacheShare = 8
-	// bufferShare is the part of it that clients' bodies may take.
-	bufferShare = 4
-	// clientIdle is how long a client's connection may rest where the configuration
-	// does not say.
-	clientIdle = 90 * time.Second
-	// headerTime bounds the arrival of a request's head.
-	headerTime = 10 * time.Second
-	headBytes  = 64 << 10
-	// restPause is the time between two looks for connections that rest too long.
-	restPause = time.Second
+	// cacheDivisor is the divisor of the memory limit for cached turn texts.
+	cacheDivisor = 8
+	// bufferDivisor is the divisor of the memory limit for buffered request bodies.
+	bufferDivisor = 4
+	// clientIdleTimeout closes idle client connections if the configuration sets no
+	// timeout.
+	clientIdleTimeout = 90 * time.Second
+	// headerTimeout is the timeout for reading the headers of a request.
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 64 << 10
+	// idleCheckInterval is the time between two checks for idle connections.
+	idleCheckInterval = time.Second
 )
 
-// node is one running node.
+// node is a running node. Its components are nil where the settings disable them.
 type node struct {
-	adapter  Adapter
-	logger   *slog.Logger
-	router   *router.Router
-	replicas *exchange.Client
-	ledger   *ledgerlog.Ledger
-	homes    *coordinator.Service
-	// peers is nil where the node works alone.
+	adapter     Adapter
+	logger      *slog.Logger
+	router      *router.Router
+	replicas    *exchange.Client
+	ledger      *ledgerlog.Ledger
+	coordinator *coordinator.Service
+	// peers is nil if the node runs without others.
 	peers *peers
 	relay *relay
-	// topics hears of the store from other nodes; nil where the node works alone.
+	// topics pulls topics from peers; nil if the node runs without others.
 	topics *distribution.Service
-	// loads is nil where nodes don't tell each other what they have under way.
+	// loads is nil if load reports are disabled.
 	loads *loads.Gossiper
-	// keepers is nil where nodes don't ask each other.
-	keepers *aggregator.Service
-	// distances is nil where nodes don't ask each other.
+	// aggregator is nil if the node runs without others or no address is configured.
+	aggregator *aggregator.Service
+	// distances is nil if aggregator or peers is.
 	distances *distances
 	limits    *limits.Service
 	cold      *coldReplicas
-	// configurations and entries follow the operators' configuration and the
-	// replicas' entries.
+	// configurations and entries watch the operator topic and the replica entries.
 	configurations, entries *watch.Watcher
 	views                   *views
 	connections             *router.Connections
 	store                   logstore.Store
 	registry                *prometheus.Registry
-	// settings are replaced as a whole by a reload.
+	// settings is replaced by a reload.
 	settings atomic.Pointer[settings.Routed]
 	stopping atomic.Bool
 	loops    sync.WaitGroup
-	// clients is the listener of clients' connections.
-	clients net.Listener
+	// clientListener accepts client connections.
+	clientListener net.Listener
 }
 
-// start binds the node's addresses and begins to follow and to serve.
+// start starts the background loops and binds the node's addresses.
 func (n *node) start(ctx context.Context) error {
-	chosen := n.settings.Load()
+	cfg := n.settings.Load()
 	n.run(ctx, n.configurations.Run)
 	n.run(ctx, n.entries.Run)
 	n.run(ctx, n.replicas.Run)
-	n.run(ctx, n.homes.Run)
-	n.run(ctx, n.closeResting)
+	n.run(ctx, n.coordinator.Run)
+	n.run(ctx, n.closeIdleConnections)
 	n.run(ctx, n.limits.Run)
 	if n.peers != nil {
 		n.run(ctx, n.peers.run)
@@ -100,18 +99,18 @@
 	if n.loads != nil {
 		n.run(ctx, n.loads.Run)
 	}
-	if n.keepers != nil {
-		n.run(ctx, n.keepers.Run)
+	if n.aggregator != nil {
+		n.run(ctx, n.aggregator.Run)
 	}
 	if n.distances != nil {
 		n.run(ctx, n.distances.run)
 	}
 	err := errors.Join(
-		n.serve(chosen.Addresses.Readiness, http.HandlerFunc(n.answerReadiness)),
-		n.serve(chosen.Addresses.Clients, n.router),
+		n.serve(cfg.Addresses.Readiness, http.HandlerFunc(n.answerReadiness)),
+		n.serve(cfg.Addresses.Clients, n.router),
 	)
-	if chosen.Addresses.Metrics.IsValid() {
-		err = errors.Join(err, n.serve(chosen.Addresses.Metrics, n.metricsHandler()))
+	if cfg.Addresses.Metrics.IsValid() {
+		err = errors.Join(err, n.serve(cfg.Addresses.Metrics, n.metricsHandler()))
 	}
 	return err
 }
@@ -126,11 +125,11 @@
 		return fmt.Errorf("routednode: listen: %w", err)
 	}
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTime, IdleTimeout: clientIdle, MaxHeaderBytes: headBytes,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(n.logger.Handler(), slog.LevelDebug),
 	}
 	if handler == http.Handler(n.router) {
-		n.clients = listener
+		n.clientListener = listener
 		server.ConnContext, server.ConnState = n.connections.Context, n.connections.State
 	}
 	go func() {
@@ -141,10 +140,9 @@
 	return nil
 }
 
-// closeResting closes clients' connections that rest for longer than the
-// configuration allows.
-func (n *node) closeResting(ctx context.Context) {
-	ticker := time.NewTicker(restPause)
+// closeIdleConnections closes client connections that exceed the configured idle timeout.
+func (n *node) closeIdleConnections(ctx context.Context) {
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -158,14 +156,14 @@
 	}
 }
 
-// ready tells whether new connections are welcome: configuration and replicas are
-// known, the configuration is new enough for requests with keys, and no stop has been
-// asked for.
+// ready reports whether the node accepts requests: configuration and replicas are loaded,
+// the configuration is fresh enough to authenticate requests, and no shutdown is in
+// progress.
 func (n *node) ready() bool {
 	return !n.stopping.Load() && n.router.MayServe() && n.views.listed.Load()
 }
 
-// limitOf returns a tenant's limit in the configuration in force; false if it has none.
+// limitOf returns a tenant's limit in the current configuration; false if it has none.
 func (n *node) limitOf(tenant string) (quota.Limit, bool) {
 	configuration := n.router.Configuration()
 	if configuration == nil {
@@ -199,11 +197,11 @@
 	return mux
 }
 
-// answerTenants tells operators of the tenants, for stepseamctl.
+// answerTenants serves the tenants' status to stepseamctl.
 func (n *node) answerTenants(writer http.ResponseWriter, _ *http.Request) {
-	chosen := n.settings.Load()
+	cfg := n.settings.Load()
 	status := limits.TenantsStatus{
-		Node: string(chosen.Node.Name), LeaseMs: chosen.Keys.Lease().Milliseconds(), ConfigurationAgeMs: -1, Tenants: n.limits.Status(),
+		Node: string(cfg.Node.Name), LeaseMs: cfg.Keys.Lease().Milliseconds(), ConfigurationAgeMs: -1, Tenants: n.limits.Status(),
 	}
 	if configuration := n.router.Configuration(); configuration != nil {
 		status.Version = configuration.Version
@@ -212,7 +210,7 @@
 		status.ConfigurationAgeMs = age.Milliseconds()
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	// A caller that is gone needs no answer.
+	// The client may have disconnected; there is nobody to report the error to.
 	_ = json.NewEncoder(writer).Encode(status)
 }
 
--- a/internal/routednode/nodestatus.go
+++ b/internal/routednode/nodestatus.go
@@ -7,15 +7,15 @@
 	"stepseam.example/stepseam/internal/nodestatus"
 )
 
-// answerNode tells operators of this node, for stepseamctl.
+// answerNode serves this node's status to stepseamctl.
 func (n *node) answerNode(writer http.ResponseWriter, _ *http.Request) {
-	chosen := n.settings.Load()
+	cfg := n.settings.Load()
 	status := nodestatus.Status{
-		Node: string(chosen.Node.Name), Zone: string(chosen.Node.Zone), Members: len(n.homes.Addresses()) + 1,
-		Millicores: chosen.Machine.Thousandths(), Partitions: n.homes.Coordinated(), Replicas: n.views.fleet.Size(),
+		Node: string(cfg.Node.Name), Zone: string(cfg.Node.Zone), Members: len(n.coordinator.Addresses()) + 1,
+		Millicores: cfg.Machine.Thousandths(), Partitions: n.coordinator.Coordinated(), Replicas: n.views.fleet.Size(),
 	}
-	if n.keepers != nil {
-		status.ReplicasKept = n.keepers.Aggregates().Len()
+	if n.aggregator != nil {
+		status.ReplicasKept = n.aggregator.Aggregates().Len()
 	}
 	if configuration := n.router.Configuration(); configuration != nil {
 		status.Version = configuration.Version
@@ -24,6 +24,6 @@
 		status.Topics = n.topics.Status()
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	// A caller that is gone needs no answer.
+	// The client may have disconnected; there is nobody to report the error to.
 	_ = json.NewEncoder(writer).Encode(status)
 }
--- a/internal/routednode/peers.go
+++ b/internal/routednode/peers.go
@@ -23,18 +23,16 @@
 )
 
 const (
-	// peerHeartbeat and peerSilence find a connection that has gone silent within
-	// 1.15 s while a call is under way; a machine that is starved of processor time answers
-	// a heartbeat later than others.
-	peerHeartbeat = 250 * time.Millisecond
-	peerSilence   = 900 * time.Millisecond
-	// peerIdle closes connections without calls. The kernel probes each one every second,
-	// so that one kept for longer costs more than a new one; among a thousand nodes a node
-	// comes back to a home of the ledger every 20 s.
-	peerIdle = 5 * time.Second
-	// peerDialTimeout bounds the making of a connection: two ways between distant regions. A
-	// machine that starts a moment later answers the next try, and the kernel would repeat
-	// the opening packet only after a second.
+	// peerHeartbeatInterval and peerSilenceTimeout detect an unresponsive connection within
+	// 1.15 s during a call. The timeout allows for a peer that is slow to respond because
+	// it is short of processor time.
+	peerHeartbeatInterval = 250 * time.Millisecond
+	peerSilenceTimeout    = 900 * time.Millisecond
+	// peerIdleTimeout closes connections without calls. Keepalive probes make a connection
+	// that is idle for longer cost more than a new one.
+	peerIdleTimeout = 5 * time.Second
+	// peerDialTimeout covers two round trips between distant regions. It is shorter than
+	// the kernel's retransmission of a lost SYN, so that a failed dial is retried sooner.
 	peerDialTimeout = 300 * time.Millisecond
 )
 
@@ -42,20 +40,21 @@
 	return keepalive.Dialer(peerDialTimeout).DialContext(ctx, "tcp4", address.String())
 }
 
-// peers is how this node knows and reaches the others.
+// peers tracks the members of the site and connects to them.
 type peers struct {
 	registry  *peer.Registry
 	transport *peer.Transport
 	listener  net.Listener
 	runner    *membership.Runner
 	logger    *slog.Logger
-	// onView are told of each new view of the members; they are set while wiring.
-	onView []func(membership.View)
-	known  int
+	// onView is called with each new view of the members; it must not change after run has
+	// started.
+	onView      []func(membership.View)
+	memberCount int
 }
 
-// newPeers binds the node's address for peers.
-func newPeers(chosen settings.Routed, self identity.Node, logger *slog.Logger, registerer prometheus.Registerer) (*peers, error) {
+// newPeers binds the TCP and UDP sockets for peers.
+func newPeers(cfg settings.Routed, self identity.Node, logger *slog.Logger, registerer prometheus.Registerer) (*peers, error) {
 	listener, err := net.Listen("tcp4", self.PeerAddress.String())
 	if err != nil {
 		return nil, fmt.Errorf("routednode: addresses.peers: %w", err)
@@ -69,30 +68,30 @@
 		registry: registry, listener: listener, logger: logger,
 		transport: peer.NewTransport(registry, peer.Options{
 			Registerer: registerer, Logger: logger,
-			HeartbeatInterval: peerHeartbeat, SilenceTimeout: peerSilence, IdleTimeout: peerIdle, Dial: dialPeer,
+			HeartbeatInterval: peerHeartbeatInterval, SilenceTimeout: peerSilenceTimeout, IdleTimeout: peerIdleTimeout, Dial: dialPeer,
 		}),
 	}
 	made.runner = membership.NewRunner(membership.Options{
-		Self: self, Config: membership.DefaultConfig(), Seeds: chosen.Seeds, Conn: packets,
-		RandomSeed: rand.Uint64(), OnView: made.take, Logger: logger,
+		Self: self, Config: membership.DefaultConfig(), Seeds: cfg.Seeds, Conn: packets,
+		RandomSeed: rand.Uint64(), OnView: made.handleView, Logger: logger,
 	})
-	made.runner.SetInfo(0, chosen.Machine.Thousandths())
+	made.runner.SetInfo(0, cfg.Machine.Thousandths())
 	return made, nil
 }
 
-// take is called with one view at a time.
-func (p *peers) take(view membership.View) {
-	for _, tell := range p.onView {
-		tell(view)
+// handleView passes a view to the subscribers. It is not called concurrently.
+func (p *peers) handleView(view membership.View) {
+	for _, notify := range p.onView {
+		notify(view)
 	}
-	if len(view.Members) == p.known {
+	if len(view.Members) == p.memberCount {
 		return
 	}
-	p.known = len(view.Members)
-	p.logger.Info("members changed", "version", view.Version, "members", p.known)
+	p.memberCount = len(view.Members)
+	p.logger.Info("members changed", "version", view.Version, "members", p.memberCount)
 }
 
-// run serves the other nodes until ctx ends.
+// run serves peers until ctx is canceled.
 func (p *peers) run(ctx context.Context) {
 	go func() {
 		if err := p.transport.Serve(p.listener); err != nil {
@@ -105,9 +104,10 @@
 	p.transport.Close()
 }
 
-// newLoads binds the node's address for loads; it returns nil where there is none.
-func newLoads(chosen settings.Routed, tracker *balance.Tracker, now func() time.Duration, others func() []netip.AddrPort) (*loads.Gossiper, error) {
-	own := chosen.Addresses.Loads
+// newLoads binds the UDP socket for load reports; it returns nil if no address is
+// configured.
+func newLoads(cfg settings.Routed, tracker *balance.Tracker, now func() time.Duration, others func() []netip.AddrPort) (*loads.Gossiper, error) {
+	own := cfg.Addresses.Loads
 	if !own.IsValid() {
 		return nil, nil
 	}
@@ -122,8 +122,8 @@
 				return netip.AddrPortFrom(peer.Addr(), own.Port())
 			})
 		},
-		OnReport: func(from netip.AddrPort, told map[loads.ReplicaKey]loads.Load) {
-			tracker.SetPeerLoad(from, told, loads.Coverage(len(others())), now())
+		OnReport: func(from netip.AddrPort, report map[loads.ReplicaKey]loads.Load) {
+			tracker.SetPeerLoad(from, report, loads.Coverage(len(others())), now())
 		},
 	}, nil
 }
--- a/internal/routednode/providers.go
+++ b/internal/routednode/providers.go
@@ -29,10 +29,10 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-func newInjector(adapter Adapter, chosen settings.Routed, logger *slog.Logger) do.Injector {
+func newInjector(adapter Adapter, cfg settings.Routed, logger *slog.Logger) do.Injector {
 	injector := do.New()
 	do.ProvideValue(injector, adapter)
-	do.ProvideValue(injector, chosen)
+	do.ProvideValue(injector, cfg)
 	do.ProvideValue(injector, logger)
 	registry := prometheus.NewRegistry()
 	do.ProvideValue(injector, registry)
@@ -40,13 +40,13 @@
 	do.ProvideValue(injector, &freshness{})
 	do.ProvideValue(injector, fleet.NewDirectory())
 	do.ProvideValue(injector, evacuation.NewZones())
-	do.ProvideValue(injector, distance.NewMap(string(chosen.Node.Zone), chosen.Zones))
-	do.ProvideValue(injector, coldstart.NewLimiter(chosen.Node.Name))
-	do.ProvideValue(injector, balance.NewTracker(string(chosen.Node.Zone)))
+	do.ProvideValue(injector, distance.NewMap(string(cfg.Node.Zone), cfg.Zones))
+	do.ProvideValue(injector, coldstart.NewLimiter(cfg.Node.Name))
+	do.ProvideValue(injector, balance.NewTracker(string(cfg.Node.Zone)))
 	do.ProvideValue(injector, exchange.NewClient(adapter.Names.Replica))
 	do.ProvideValue(injector, router.NewConnections())
 	store := guardedstore.New(guardedstore.Config{
-		Store: newCountedStore(adapter.NewStore(chosen.Store), registry), CallsPerSecond: chosen.Store.ReadsPerSecond,
+		Store: newCountedStore(adapter.NewStore(cfg.Store), registry), CallsPerSecond: cfg.Store.ReadsPerSecond,
 		Logger: logger, Registerer: registry,
 	})
 	do.ProvideValue(injector, store)
@@ -54,8 +54,8 @@
 	do.Provide(injector, provideSelf)
 	do.Provide(injector, provideLedger)
 	do.Provide(injector, providePeers)
-	do.Provide(injector, provideHomes)
-	do.Provide(injector, provideKeepers)
+	do.Provide(injector, provideCoordinator)
+	do.Provide(injector, provideAggregator)
 	do.Provide(injector, provideLimits)
 	do.Provide(injector, provideRouter)
 	do.Provide(injector, provideColdReplicas)
@@ -65,42 +65,42 @@
 	return injector
 }
 
-// provideSelf names this life of the node.
+// provideSelf returns this node's identity, with a new incarnation.
 func provideSelf(injector do.Injector) (identity.Node, error) {
-	chosen := do.MustInvoke[settings.Routed](injector)
+	cfg := do.MustInvoke[settings.Routed](injector)
 	return identity.Node{
-		Name: chosen.Node.Name, Zone: chosen.Node.Zone, Region: chosen.Node.Region,
+		Name: cfg.Node.Name, Zone: cfg.Node.Zone, Region: cfg.Node.Region,
 		Incarnation: identity.Incarnation(time.Now().UnixNano()),
-		PeerAddress: chosen.Addresses.Peers, ProbeAddress: chosen.Addresses.Peers,
+		PeerAddress: cfg.Addresses.Peers, ProbeAddress: cfg.Addresses.Peers,
 	}, nil
 }
 
 func provideLedger(injector do.Injector) (*ledgerlog.Ledger, error) {
-	chosen := do.MustInvoke[settings.Routed](injector)
+	cfg := do.MustInvoke[settings.Routed](injector)
 	adapter := do.MustInvoke[Adapter](injector)
 	return ledgerlog.New(ledgerlog.Config{
 		Store: do.MustInvoke[logstore.Store](injector),
-		Topic: adapter.LedgerTopic, TextTopic: adapter.TextTopic, Partitions: chosen.Store.Partitions,
+		Topic: adapter.LedgerTopic, TextTopic: adapter.TextTopic, Partitions: cfg.Store.Partitions,
 		Producer:    string(coordinator.IncarnationOf(do.MustInvoke[identity.Node](injector).Reference())),
-		RecordBytes: chosen.Store.RecordBytes, CallBytes: chosen.Store.CallBytes, Retain: chosen.Store.Retain(), IndexTextBytes: chosen.Store.IndexTextBytes,
+		RecordBytes: cfg.Store.RecordBytes, CallBytes: cfg.Store.CallBytes, Retain: cfg.Store.Retain(), IndexTextBytes: cfg.Store.IndexTextBytes,
 		Availability: do.MustInvoke[*guardedstore.Store](injector),
-		CacheBytes:   chosen.Machine.MemoryMebibytes * mebibyte / cacheShare,
+		CacheBytes:   cfg.Machine.MemoryMebibytes * mebibyte / cacheDivisor,
 		Logger:       do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
 	}), nil
 }
 
 func providePeers(injector do.Injector) (*peers, error) {
-	chosen := do.MustInvoke[settings.Routed](injector)
-	if !chosen.Addresses.Peers.IsValid() {
+	cfg := do.MustInvoke[settings.Routed](injector)
+	if !cfg.Addresses.Peers.IsValid() {
 		return nil, nil
 	}
-	return newPeers(chosen, do.MustInvoke[identity.Node](injector), do.MustInvoke[*slog.Logger](injector), do.MustInvoke[*prometheus.Registry](injector))
+	return newPeers(cfg, do.MustInvoke[identity.Node](injector), do.MustInvoke[*slog.Logger](injector), do.MustInvoke[*prometheus.Registry](injector))
 }
 
-func provideHomes(injector do.Injector) (*coordinator.Service, error) {
-	chosen := do.MustInvoke[settings.Routed](injector)
+func provideCoordinator(injector do.Injector) (*coordinator.Service, error) {
+	cfg := do.MustInvoke[settings.Routed](injector)
 	config := coordinator.Config{
-		Self: chosen.Node.Name, Ledger: do.MustInvoke[*ledgerlog.Ledger](injector),
+		Self: cfg.Node.Name, Ledger: do.MustInvoke[*ledgerlog.Ledger](injector),
 		RoundTrip: func(zone identity.Zone) time.Duration {
 			return do.MustInvoke[*distance.Map](injector).PathTo(string(zone)).RoundTrip
 		},
@@ -116,7 +116,7 @@
 	}
 	config.Peers = others.transport
 	config.Announce = func(changes uint64, everybody bool) {
-		others.runner.BroadcastInfo(changes, chosen.Machine.Thousandths(), everybody)
+		others.runner.BroadcastInfo(changes, cfg.Machine.Thousandths(), everybody)
 	}
 	made := coordinator.New(config)
 	made.Register(others.registry)
@@ -125,10 +125,10 @@
 }
 
 func provideLimits(injector do.Injector) (*limits.Service, error) {
-	chosen := do.MustInvoke[settings.Routed](injector)
+	cfg := do.MustInvoke[settings.Routed](injector)
 	config := limits.Config{
-		Self: chosen.Node.Name, Strategy: limits.Strategy(chosen.Limits.Way),
-		Policy: quota.Policy{Window: chosen.Limits.Window, Overage: chosen.Limits.Overage, Slack: chosen.Limits.Slack},
+		Self: cfg.Node.Name, Strategy: limits.Strategy(cfg.Limits.Way),
+		Policy: quota.Policy{Window: cfg.Limits.Window, Overage: cfg.Limits.Overage, Slack: cfg.Limits.Slack},
 		Now:    do.MustInvoke[clock](injector), Logger: do.MustInvoke[*slog.Logger](injector),
 		Registerer: do.MustInvoke[*prometheus.Registry](injector),
 	}
@@ -163,7 +163,7 @@
 		Distances:   do.MustInvoke[*distance.Map](injector),
 		Evacuations: do.MustInvoke[*evacuation.Zones](injector), ColdStart: do.MustInvoke[*coldstart.Limiter](injector),
 		Tracker: do.MustInvoke[*balance.Tracker](injector), Turns: do.MustInvoke[*coordinator.Service](injector),
-		BufferBytes: int64(do.MustInvoke[settings.Routed](injector).Machine.MemoryMebibytes) * mebibyte / bufferShare,
+		BufferBytes: int64(do.MustInvoke[settings.Routed](injector).Machine.MemoryMebibytes) * mebibyte / bufferDivisor,
 		Limits:      do.MustInvoke[*limits.Service](injector),
 		Lease:       do.MustInvoke[settings.Routed](injector).Keys.Lease(), Freshness: fresh,
 		Random: rand.Float64, Logger: do.MustInvoke[*slog.Logger](injector),
@@ -173,13 +173,13 @@
 
 func provideColdReplicas(injector do.Injector) (*coldReplicas, error) {
 	made := &coldReplicas{
-		gate: do.MustInvoke[*coldstart.Limiter](injector), router: do.MustInvoke[*router.Router](injector),
+		limiter: do.MustInvoke[*coldstart.Limiter](injector), router: do.MustInvoke[*router.Router](injector),
 	}
 	made.register(do.MustInvoke[*prometheus.Registry](injector))
 	others, err := do.Invoke[*peers](injector)
 	if err == nil && others != nil {
-		made.gate.SetSeeds(do.MustInvoke[settings.Routed](injector).Seeds, made.router.Now())
-		others.onView = append(others.onView, func(view membership.View) { made.gate.SetView(view, made.router.Now()) })
+		made.limiter.SetSeeds(do.MustInvoke[settings.Routed](injector).Seeds, made.router.Now())
+		others.onView = append(others.onView, func(view membership.View) { made.limiter.SetView(view, made.router.Now()) })
 	}
 	return made, err
 }
@@ -192,8 +192,8 @@
 	return newEvacuations(evacuations{
 		zones: do.MustInvoke[*evacuation.Zones](injector), decode: do.MustInvoke[Adapter](injector).DecodeEvacuation,
 		fleet: do.MustInvoke[*fleet.Directory](injector), now: do.MustInvoke[clock](injector),
-		returned: cold.returned,
-		logger:   do.MustInvoke[*slog.Logger](injector),
+		onReturned: cold.zoneReturned,
+		logger:     do.MustInvoke[*slog.Logger](injector),
 	}, do.MustInvoke[*prometheus.Registry](injector)), nil
 }
 
@@ -203,7 +203,7 @@
 		adapter: do.MustInvoke[Adapter](injector), router: do.MustInvoke[*router.Router](injector),
 		fleet: do.MustInvoke[*fleet.Directory](injector), tracker: do.MustInvoke[*balance.Tracker](injector),
 		logger:    do.MustInvoke[*slog.Logger](injector),
-		operators: newHeldTopic("configuration"), replicas: newHeldTopic("replicas"),
+		operators: newSharedTopic("configuration"), replicas: newSharedTopic("replicas"),
 		unreadable: newUnreadableEntries(do.MustInvoke[*slog.Logger](injector), do.MustInvoke[*prometheus.Registry](injector)),
 		freshness:  do.MustInvoke[*freshness](injector), evacuations: do.MustInvoke[*evacuations](injector),
 		cold: do.MustInvoke[*coldstart.Limiter](injector),
@@ -214,60 +214,61 @@
 	built := &node{
 		adapter: do.MustInvoke[Adapter](injector), logger: do.MustInvoke[*slog.Logger](injector),
 		router: do.MustInvoke[*router.Router](injector), replicas: do.MustInvoke[*exchange.Client](injector),
-		ledger: do.MustInvoke[*ledgerlog.Ledger](injector),
-		homes:  do.MustInvoke[*coordinator.Service](injector), peers: do.MustInvoke[*peers](injector), views: do.MustInvoke[*views](injector),
-		keepers:     do.MustInvoke[*aggregator.Service](injector),
+		ledger:      do.MustInvoke[*ledgerlog.Ledger](injector),
+		coordinator: do.MustInvoke[*coordinator.Service](injector), peers: do.MustInvoke[*peers](injector), views: do.MustInvoke[*views](injector),
+		aggregator:  do.MustInvoke[*aggregator.Service](injector),
 		limits:      do.MustInvoke[*limits.Service](injector),
 		cold:        do.MustInvoke[*coldReplicas](injector),
 		connections: do.MustInvoke[*router.Connections](injector), store: do.MustInvoke[logstore.Store](injector),
 		registry: do.MustInvoke[*prometheus.Registry](injector),
 	}
-	chosen := do.MustInvoke[settings.Routed](injector)
-	built.settings.Store(&chosen)
-	if built.peers != nil && built.keepers != nil {
+	cfg := do.MustInvoke[settings.Routed](injector)
+	built.settings.Store(&cfg)
+	if built.peers != nil && built.aggregator != nil {
 		built.distances = &distances{
-			known: do.MustInvoke[*distance.Map](injector), now: do.MustInvoke[clock](injector), measure: built.keepers.RoundTrip,
+			paths: do.MustInvoke[*distance.Map](injector), now: do.MustInvoke[clock](injector), measure: built.aggregator.RoundTrip,
 			logger: do.MustInvoke[*slog.Logger](injector),
 		}
 		built.distances.register(do.MustInvoke[*prometheus.Registry](injector))
 		built.peers.onView = append(built.peers.onView, built.distances.setView)
 	}
 	built.limits.SetLimits(built.limitOf)
-	reading := &readers{self: chosen.Node.Name}
+	frequent := &frequentReader{self: cfg.Node.Name}
 	if built.peers != nil {
-		built.peers.onView = append(built.peers.onView, reading.SetView)
+		built.peers.onView = append(built.peers.onView, frequent.SetView)
 	}
 	if built.peers != nil {
 		built.topics = newTopics(injector, built)
 	}
-	gated := do.MustInvoke[*guardedstore.Store](injector)
-	members := func() int { return len(built.homes.Addresses()) + 1 }
-	gated.SetMembers(members)
-	followed := &following{views: built.views, store: gated, chosen: chosen, topics: built.topics, readers: reading, members: members}
-	built.configurations, built.entries = followed.configurations(), followed.replicas()
+	store := do.MustInvoke[*guardedstore.Store](injector)
+	members := func() int { return len(built.coordinator.Addresses()) + 1 }
+	store.SetMembers(members)
+	watchers := &topicWatchers{views: built.views, store: store, cfg: cfg, topics: built.topics, frequent: frequent, members: members}
+	built.configurations, built.entries = watchers.configurations(), watchers.replicas()
 	if built.peers != nil {
 		built.relay = &relay{
 			views: built.views, configurations: built.configurations,
-			peers: built.peers.transport, others: built.homes.Addresses, logger: built.logger,
-			lease: chosen.Keys.Lease(), storeAnswers: gated.NodeAvailable,
-			peerAnswered: gated.PeerAnswered,
-			reads:        func() bool { return built.topics.Reads(configurationTopic) },
+			peers: built.peers.transport, others: built.coordinator.Addresses, logger: built.logger,
+			lease: cfg.Keys.Lease(), storeAvailable: store.NodeAvailable,
+			peerServed: store.PeerAnswered,
+			reads:      func() bool { return built.topics.Reads(configurationTopic) },
 		}
 		built.relay.register(built.peers.registry)
 	}
-	exchange, err := newLoads(chosen, do.MustInvoke[*balance.Tracker](injector), built.router.Now, built.homes.Addresses)
+	exchange, err := newLoads(cfg, do.MustInvoke[*balance.Tracker](injector), built.router.Now, built.coordinator.Addresses)
 	built.loads = exchange
 	return built, err
 }
 
-// newTopics joins the node with those that hear of the store from each other.
+// newTopics returns the service that distributes topics among nodes, and registers it with
+// the peers.
 func newTopics(injector do.Injector, built *node) *distribution.Service {
-	chosen := do.MustInvoke[settings.Routed](injector)
+	cfg := do.MustInvoke[settings.Routed](injector)
 	made := distribution.New(distribution.Config{
-		Self: chosen.Node.Name, Own: chosen.Addresses.Peers, Seeds: chosen.Seeds, Peers: built.peers.transport,
-		LinkBytesPerSecond: chosen.Machine.LinkBytesPerSecond(),
-		Policy:             distribution.Policy{DirectEntries: chosen.Follow.DirectEntries, ReadEntries: chosen.Follow.ReadEntries},
-		Subscriptions:      []distribution.Subscription{configurationTopic: built.views.operatorsFeed(), replicasTopic: built.views.replicasFeed()},
+		Self: cfg.Node.Name, Own: cfg.Addresses.Peers, Seeds: cfg.Seeds, Peers: built.peers.transport,
+		LinkBytesPerSecond: cfg.Machine.LinkBytesPerSecond(),
+		Policy:             distribution.Policy{DirectEntries: cfg.Follow.DirectEntries, ReadEntries: cfg.Follow.ReadEntries},
+		Subscriptions:      []distribution.Subscription{configurationTopic: built.views.operatorSubscription(), replicasTopic: built.views.replicaSubscription()},
 		Logger:             built.logger, Registerer: built.registry,
 	})
 	made.Register(built.peers.registry)
--- a/internal/routednode/readers.go
+++ b/internal/routednode/readers.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// readerCount is how many nodes of a site read the configuration often. The others
-	// learn from them how new theirs is when the store goes away.
-	readerCount = 3
-	// readsInLease is how many reads of the configuration fit into the lease on it, at a
-	// usual node and at a reader. What a read confirms is as old as the read when that
-	// ends, and so much less of the lease is left when the store goes away: with usual
-	// reads alone, requests with keys are refused a second sooner. Each read is a priced
-	// call, so that only a few nodes read as often as readers.
-	readsInLease       = 4
-	readerReadsInLease = 24
+	// frequentReaderCount is the number of nodes that read the configuration more often
+	// than the others. Peers learn from them how fresh their own configuration is when the
+	// store becomes unavailable.
+	frequentReaderCount = 3
+	// readsPerLease and frequentReadsPerLease are the numbers of reads in one lease on the
+	// configuration, at an ordinary node and at a frequent reader. A confirmation is as old
+	// as the read that gave it, and leaves that much less of the lease when the store
+	// becomes unavailable. Each read is a billed call, so that only a few nodes read often.
+	readsPerLease         = 4
+	frequentReadsPerLease = 24
 )
 
-// readers tells whether this node is one of the few that read the configuration often.
-// It is safe for concurrent use.
-type readers struct {
-	self   identity.NodeName
-	chosen atomic.Bool
+// frequentReader determines whether this node is one of the few that read the configuration
+// often. It is safe for concurrent use.
+type frequentReader struct {
+	self     identity.NodeName
+	selected atomic.Bool
 }
 
-// SetView chooses the living members of the highest hashes, so that nodes agree.
-func (r *readers) SetView(view membership.View) {
+// SetView selects the live members with the highest hashes, so that all nodes with the same
+// view agree.
+func (r *frequentReader) SetView(view membership.View) {
 	own, higher, known := membership.Score(readerKey, r.self), 0, false
 	for _, member := range view.Members {
 		known = known || member.Node.Name == r.self
@@ -38,20 +39,20 @@
 			higher++
 		}
 	}
-	r.chosen.Store(known && higher < readerCount)
+	r.selected.Store(known && higher < frequentReaderCount)
 }
 
-// readerKey is what nodes are ranked for as readers.
+// readerKey is the hash key by which frequent readers are ranked.
 const readerKey = "reader"
 
 // wait returns how long a read of the configuration waits for a change.
-func (r *readers) wait(chosen settings.Routed) time.Duration {
-	lease := chosen.Keys.Lease()
+func (r *frequentReader) wait(cfg settings.Routed) time.Duration {
+	lease := cfg.Keys.Lease()
 	switch {
 	case lease == 0:
-		return chosen.Follow.Wait
-	case r.chosen.Load():
-		return min(chosen.Follow.Wait, lease/readerReadsInLease)
+		return cfg.Follow.Wait
+	case r.selected.Load():
+		return min(cfg.Follow.Wait, lease/frequentReadsPerLease)
 	}
-	return min(chosen.Follow.Wait, lease/readsInLease)
+	return min(cfg.Follow.Wait, lease/readsPerLease)
 }
--- a/internal/routednode/readers_test.go
+++ b/internal/routednode/readers_test.go
@@ -12,7 +12,7 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-func TestAFewNodesReadOftenAndAllAgreeWhich(t *testing.T) {
+func TestNodesAgreeOnFrequentReaders(t *testing.T) {
 	is := is.New(t)
 	view := membership.View{}
 	for i := range 20 {
@@ -22,15 +22,15 @@
 	settled.Keys.Revocation = 5 * time.Second
 	often := 0
 	for _, member := range view.Members {
-		one := &readers{self: member.Node.Name}
+		one := &frequentReader{self: member.Node.Name}
 		is.Equal(one.wait(settings.DefaultRouted()), time.Second)
 		one.SetView(view)
 		if one.wait(settled) < 200*time.Millisecond {
 			often++
 		}
-		is.Equal(one.wait(settings.DefaultRouted()), time.Second) // without a bound nobody does
+		is.Equal(one.wait(settings.DefaultRouted()), time.Second) // without a lease, no node reads often
 		one.SetView(membership.View{Members: []membership.Member{member}})
-		is.True(one.wait(settled) < 200*time.Millisecond) // alone
+		is.True(one.wait(settled) < 200*time.Millisecond) // the only member
 	}
-	is.Equal(often, readerCount)
+	is.Equal(often, frequentReaderCount)
 }
--- a/internal/routednode/relay.go
+++ b/internal/routednode/relay.go
@@ -16,73 +16,74 @@
 )
 
 const (
-	// relayPause is the time between two looks whether the store is silent.
-	relayPause = 500 * time.Millisecond
-	// relayAfter is how long the store must have been silent before others are asked.
+	// relayInterval is the time between two checks whether peers must be queried.
+	relayInterval = 500 * time.Millisecond
+	// relayAfter is the time without a response from the store after which peers are
+	// queried.
 	relayAfter = 1800 * time.Millisecond
-	// agingPercent of the lease on the configuration is the age from which on others are
-	// asked. A node that the store answers stays below it, see readsInLease.
+	// agingPercent of the configuration lease is the age above which peers are queried. A
+	// node that the store serves stays below it; see readsPerLease.
 	agingPercent = 60
-	// relayQuestions is how many nodes are asked at once: where the store turns a third
-	// of the nodes away, three tries in a lease leave one node in a thousand without.
-	relayQuestions = 2
-	// relayTimeout bounds one question.
+	// relayFanout is the number of peers queried concurrently. If the store rejects a third
+	// of the nodes, three attempts within a lease leave about one node in a thousand
+	// without a served peer.
+	relayFanout = 2
+	// relayTimeout is the timeout of one request to a peer.
 	relayTimeout = 400 * time.Millisecond
 )
 
-// The kinds of messages of the relay.
+// The message kinds of the relay.
 const (
-	kindAskViews = peer.KindRangeRelay + 1 + iota
-	kindTellViews
+	kindViewsRequest = peer.KindRangeRelay + 1 + iota
+	kindViewsResponse
 )
 
-// askViews asks another node for what it knows from the store.
-type askViews struct {
-	// Version is the configuration that the asking node has.
+// viewsRequest requests a peer's configuration and evacuated zones.
+type viewsRequest struct {
+	// Version is the configuration version of the requesting node.
 	Version uint64
-	// ReplicasAge is how long ago it heard of the replicas. Builds before package
-	// distribution answer with those that they know if it is above what they have; 0 asks
-	// for none.
+	// ReplicasAge is the age of the requesting node's replicas. Builds without package
+	// distribution respond with their replicas if it exceeds their own age; 0 requests
+	// none.
 	ReplicasAge time.Duration
 }
 
 // Kind implements peer.Message.
-func (*askViews) Kind() peer.Kind { return kindAskViews }
+func (*viewsRequest) Kind() peer.Kind { return kindViewsRequest }
 
 // Encode implements peer.Message.
-func (m *askViews) Encode(e *wire.Encoder) {
+func (m *viewsRequest) Encode(e *wire.Encoder) {
 	e.Uint64(m.Version)
 	e.Duration(m.ReplicasAge)
 }
 
 // Decode implements peer.Message.
-func (m *askViews) Decode(d *wire.Decoder) { m.Version, m.ReplicasAge = d.Uint64(), d.Duration() }
+func (m *viewsRequest) Decode(d *wire.Decoder) { m.Version, m.ReplicasAge = d.Uint64(), d.Duration() }
 
-// tellViews answers askViews with what is newer.
-type tellViews struct {
-	// Configuration is the newer one as the store holds it, or empty.
+// viewsResponse responds to viewsRequest with newer data.
+type viewsResponse struct {
+	// Configuration is the encoded configuration if it is newer than requested, else empty.
 	Configuration []byte
-	// Version is the configuration in force at the answering node. It was the newest
-	// ConfigurationAge ago, if ConfigurationKnown.
+	// Version is the current configuration version of the responding node. If
+	// ConfigurationKnown is set, it was confirmed to be the newest ConfigurationAge ago.
 	Version            uint64
 	ConfigurationKnown bool
 	ConfigurationAge   time.Duration
-	// Evacuations are the evacuated zones.
-	Evacuations evacuation.Snapshot
-	// StoreAnswers tells whether the store answers the answering node.
+	Evacuations        evacuation.Snapshot
+	// StoreAnswers reports whether the store is available to the responding node.
 	StoreAnswers bool
-	// ReplicasKnown tells that Replicas holds all entries, which were heard
-	// ReplicasAge ago. Only builds before package distribution tell them.
+	// ReplicasKnown is set if Replicas contains all entries, as received ReplicasAge ago.
+	// Only builds without package distribution set it.
 	ReplicasKnown bool
 	ReplicasAge   time.Duration
 	Replicas      []logstore.Item
 }
 
 // Kind implements peer.Message.
-func (*tellViews) Kind() peer.Kind { return kindTellViews }
+func (*viewsResponse) Kind() peer.Kind { return kindViewsResponse }
 
 // Encode implements peer.Message.
-func (m *tellViews) Encode(e *wire.Encoder) {
+func (m *viewsResponse) Encode(e *wire.Encoder) {
 	e.Blob(m.Configuration)
 	e.Uint64(m.Version)
 	e.Bool(m.ConfigurationKnown)
@@ -103,17 +104,18 @@
 	}
 }
 
-// itemBytes is the least encoded size of an item, zoneBytes that of an evacuated zone.
+// minItemBytes and minZoneBytes are the minimum encoded sizes of an item and of an
+// evacuated zone.
 const (
-	itemBytes = 8
-	zoneBytes = 12
+	minItemBytes = 8
+	minZoneBytes = 12
 )
 
 // Decode implements peer.Message.
-func (m *tellViews) Decode(d *wire.Decoder) {
+func (m *viewsResponse) Decode(d *wire.Decoder) {
 	m.Configuration, m.Version, m.ConfigurationKnown, m.ConfigurationAge = d.Blob(), d.Uint64(), d.Bool(), d.Duration()
 	m.Evacuations.Position = d.Uint64()
-	for range d.Count(zoneBytes) {
+	for range d.Count(minZoneBytes) {
 		if m.Evacuations.Zones == nil {
 			m.Evacuations.Zones = map[string]time.Duration{}
 		}
@@ -121,141 +123,145 @@
 		m.Evacuations.Zones[zone] = d.Duration()
 	}
 	m.StoreAnswers, m.ReplicasKnown, m.ReplicasAge = d.Bool(), d.Bool(), d.Duration()
-	for range d.Count(itemBytes) {
+	for range d.Count(minItemBytes) {
 		m.Replicas = append(m.Replicas, logstore.Item{Key: d.String(), Value: d.Blob()})
 	}
 }
 
-// source is a followed part of the store.
-type source interface {
-	// Age returns how long ago the store answered last; false if it never did.
+// ager is implemented by watchers of a store topic.
+type ager interface {
+	// Age returns the time since the last response of the store; false if there was none.
 	Age() (time.Duration, bool)
 }
 
-// relay, once this node knows them, gets configuration and evacuated zones from other nodes while the store says
-// nothing to this one. Replicas come by package distribution.
+// relay gets the configuration and the evacuated zones from peers while the store does not
+// respond to this node. Replicas are distributed by package distribution instead.
 type relay struct {
 	views          *views
-	configurations source
+	configurations ager
 	peers          peer.Client
 	others         func() []netip.AddrPort
 	logger         *slog.Logger
-	// lease is how old the configuration may be for requests with keys; 0 sets no bound.
+	// lease is the maximum age of the configuration for authenticating requests; 0 means
+	// unlimited.
 	lease time.Duration
-	// storeAnswers tells whether the store answers this node, as far as is known.
-	storeAnswers func() bool
-	// peerAnswered is called when the store answers a peer and not this node.
-	peerAnswered func()
-	// reads tells whether this node reads the configuration from the store. One that hears
-	// of it from others has package distribution ask, see Service.
+	// storeAvailable reports whether the store is believed to be available to this node.
+	storeAvailable func() bool
+	// peerServed is called if the store is available to a peer but not to this node.
+	peerServed func()
+	// reads reports whether this node reads the operator topic from the store. Nodes that
+	// do not read it pull it through package distribution.
 	reads func() bool
 }
 
-// register adds the messages and the handler of a node that is asked.
+// register registers the message types and the request handler.
 func (r *relay) register(registry *peer.Registry) {
-	registry.Add(func() peer.Message { return &askViews{} }, func() peer.Message { return &tellViews{} })
-	registry.Handle(kindAskViews, peer.HandlerFunc(r.answer))
+	registry.Add(func() peer.Message { return &viewsRequest{} }, func() peer.Message { return &viewsResponse{} })
+	registry.Handle(kindViewsRequest, peer.HandlerFunc(r.handleRequest))
 }
 
-func (r *relay) answer(_ context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
-	asked, ok := request.(*askViews)
+func (r *relay) handleRequest(_ context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
+	query, ok := request.(*viewsRequest)
 	if !ok {
 		return nil, fmt.Errorf("routednode: unexpected %T", request)
 	}
-	told := &tellViews{StoreAnswers: r.storeAnswers()}
-	// The age is read before version and zones: what comes in between is newer.
-	told.ConfigurationAge, told.ConfigurationKnown = r.views.freshness.Age()
-	told.Evacuations = r.views.evacuations.zones.Snapshot(r.views.evacuations.now())
-	if inForce := r.views.router.Configuration(); inForce != nil {
-		told.Version = inForce.Version
+	response := &viewsResponse{StoreAnswers: r.storeAvailable()}
+	// Read the age before the version and the zones: an update in between makes them newer
+	// than the age claims, never older.
+	response.ConfigurationAge, response.ConfigurationKnown = r.views.freshness.Age()
+	response.Evacuations = r.views.evacuations.zones.Snapshot(r.views.evacuations.now())
+	if current := r.views.router.Configuration(); current != nil {
+		response.Version = current.Version
 	}
-	if version, encoded := r.views.encodedConfiguration(); version > asked.Version {
-		told.Configuration = encoded
+	if version, encoded := r.views.encodedConfiguration(); version > query.Version {
+		response.Configuration = encoded
 	}
-	return told, nil
+	return response, nil
 }
 
-// run asks other nodes while the store is silent.
+// run queries peers while the store is unavailable or the configuration is aging.
 func (r *relay) run(ctx context.Context) {
-	ticker := time.NewTicker(relayPause)
+	ticker := time.NewTicker(relayInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			if r.silent() || r.aging() || !r.storeAnswers() {
-				r.ask(ctx)
+			if r.storeSilent() || r.configurationAging() || !r.storeAvailable() {
+				r.queryPeers(ctx)
 				continue
 			}
-			r.views.freshness.askedPeers(true)
+			r.views.freshness.setPeersServed(true)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *relay) silent() bool {
-	age, heard := r.configurations.Age()
-	return heard && r.reads() && age > relayAfter
+func (r *relay) storeSilent() bool {
+	age, known := r.configurations.Age()
+	return known && r.reads() && age > relayAfter
 }
 
-// aging tells that the configuration will soon be too old for requests with keys.
-func (r *relay) aging() bool {
+// configurationAging reports whether the configuration will soon be too old to authenticate
+// requests.
+func (r *relay) configurationAging() bool {
 	age, known := r.views.freshness.Age()
 	return r.lease > 0 && (!known || age > r.lease*agingPercent/100)
 }
 
-// relayed is what a peer has told, and when it was asked.
-type relayed struct {
-	from  netip.AddrPort
-	asked time.Time
-	told  *tellViews
-	err   error
+// peerResult is the outcome of one request to a peer.
+type peerResult struct {
+	from      netip.AddrPort
+	requested time.Time
+	response  *viewsResponse
+	err       error
 }
 
-// ask asks some other nodes at once, since the store may refuse them as well.
-func (r *relay) ask(ctx context.Context) {
+// queryPeers queries several random peers concurrently, since the store may reject some of
+// them too.
+func (r *relay) queryPeers(ctx context.Context) {
 	others := slices.Clone(r.others())
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	others = others[:min(len(others), relayQuestions)]
+	others = others[:min(len(others), relayFanout)]
 	version, _ := r.views.encodedConfiguration()
-	question := &askViews{Version: version}
-	answers := make(chan relayed, len(others))
+	request := &viewsRequest{Version: version}
+	results := make(chan peerResult, len(others))
 	for _, other := range others {
-		go func() { answers <- r.askOne(ctx, other, question) }()
+		go func() { results <- r.queryPeer(ctx, other, request) }()
 	}
-	answered, served := false, false
+	responded, served := false, false
 	for range others {
-		heard := <-answers
-		r.take(heard)
-		answered = answered || heard.told != nil
-		served = served || heard.told != nil && heard.told.StoreAnswers
+		result := <-results
+		r.applyResult(result)
+		responded = responded || result.response != nil
+		served = served || result.response != nil && result.response.StoreAnswers
 	}
-	r.views.freshness.askedPeers(served || !answered)
-	if served && !r.storeAnswers() {
-		r.peerAnswered()
+	r.views.freshness.setPeersServed(served || !responded)
+	if served && !r.storeAvailable() {
+		r.peerServed()
 	}
 }
 
-func (r *relay) askOne(ctx context.Context, other netip.AddrPort, question *askViews) relayed {
+func (r *relay) queryPeer(ctx context.Context, other netip.AddrPort, request *viewsRequest) peerResult {
 	call, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	heard := relayed{from: other, asked: time.Now()}
-	var answer peer.Message
-	answer, heard.err = r.peers.Call(call, other, question, nil)
-	heard.told, _ = answer.(*tellViews)
-	return heard
+	result := peerResult{from: other, requested: time.Now()}
+	var response peer.Message
+	response, result.err = r.peers.Call(call, other, request, nil)
+	result.response, _ = response.(*viewsResponse)
+	return result
 }
 
-// take puts what a peer has told in force where it is newer.
-func (r *relay) take(heard relayed) {
-	told, address := heard.told, heard.from
-	if told == nil {
-		r.logger.Info("peer could not tell of the store", "peer", address, "error", heard.err)
+// applyResult applies a peer's response where it is newer.
+func (r *relay) applyResult(result peerResult) {
+	response, address := result.response, result.from
+	if response == nil {
+		r.logger.Info("peer could not tell of the store", "peer", address, "error", result.err)
 		return
 	}
-	r.views.evacuations.adopt(told.Evacuations, heard.asked, "peer "+address.String())
-	if len(told.Configuration) > 0 {
-		r.views.takeEncoded(told.Configuration, "peer "+address.String())
+	r.views.evacuations.merge(response.Evacuations, result.requested, "peer "+address.String())
+	if len(response.Configuration) > 0 {
+		r.views.applyEncodedConfiguration(response.Configuration, "peer "+address.String())
 	}
-	r.views.confirmBy(told, heard.asked)
+	r.views.confirmFromPeer(response, result.requested)
 }
--- a/internal/routednode/replicaview.go
+++ b/internal/routednode/replicaview.go
@@ -8,15 +8,14 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// replicasFeed joins the replicas' entries with what other nodes tell of them. These tell
-// only what matters, not each beat.
-func (v *views) replicasFeed() distribution.Subscription {
+// replicaSubscription applies replica changes that peers send. Peers omit heartbeats.
+func (v *views) replicaSubscription() distribution.Subscription {
 	return distribution.Subscription{
-		Topic: v.replicas.Topic, Replace: v.replaceTold, Apply: v.changeTold, Confirm: v.replicas.Confirm,
+		Topic: v.replicas.Topic, Replace: v.replaceFromPeer, Apply: v.applyFromPeer, Confirm: v.replicas.Confirm,
 	}
 }
 
-// replaceEntries takes all entries as the store holds them.
+// replaceEntries applies a snapshot of the replica entries read from the store.
 func (v *views) replaceEntries(items []logstore.Item, next logstore.Offset) {
 	v.replicas.replace(func() {
 		all := make([]fleet.Replica, 0, len(items))
@@ -26,7 +25,7 @@
 			}
 		}
 		effective := v.fleet.Replace(all, v.router.Now())
-		v.put(effective)
+		v.publish(effective)
 		if position, known := v.replicas.Position(); known && next >= position {
 			v.replicas.Apply(encodeChanges(effective), next)
 		} else {
@@ -36,84 +35,85 @@
 	})
 }
 
-// changeEntries takes entries between two positions of the store.
-func (v *views) changeEntries(from logstore.Offset, items []logstore.Item, next logstore.Offset) {
-	v.replicas.change(from, next, func() {
+// applyEntries applies the entries between two positions of the store.
+func (v *views) applyEntries(from logstore.Offset, items []logstore.Item, next logstore.Offset) {
+	v.replicas.apply(from, next, func() {
 		changes := make([]fleet.Change, 0, len(items))
 		for _, item := range items {
 			changes = append(changes, v.decodeEntry(item))
 		}
 		effective := v.fleet.Apply(changes, v.router.Now())
-		v.put(effective)
+		v.publish(effective)
 		v.replicas.Apply(encodeChanges(effective), next)
 	})
 }
 
-// decodeEntry reads a replica's entry or its removal.
+// decodeEntry decodes a replica entry, or its removal, from the store.
 func (v *views) decodeEntry(item logstore.Item) fleet.Change {
 	if item.Value == nil {
 		return fleet.Change{Instance: item.Key}
 	}
 	replica, err := v.adapter.DecodeReplica(item.Key, item.Value)
 	if err != nil {
-		v.unreadable.note(item.Key, err)
+		v.unreadable.record(item.Key, err)
 		return fleet.Change{Instance: item.Key, Unreadable: true}
 	}
 	return fleet.Change{Instance: item.Key, Replica: &replica}
 }
 
-// replaceTold takes all replicas as another node knows them.
-func (v *views) replaceTold(items []logstore.Item, next logstore.Offset) {
-	v.replicas.replaceTold(next, func() {
-		v.noteAway()
+// replaceFromPeer applies a peer's snapshot of the replicas.
+func (v *views) replaceFromPeer(items []logstore.Item, next logstore.Offset) {
+	v.replicas.replaceFromPeer(next, func() {
+		v.noteOutage()
 		all := make([]fleet.Replica, 0, len(items))
 		for _, item := range items {
-			if change := v.decodeTold(item); change.Replica != nil {
+			if change := v.decodePeerEntry(item); change.Replica != nil {
 				all = append(all, *change.Replica)
 			}
 		}
-		v.put(v.fleet.Replace(all, v.router.Now()))
+		v.publish(v.fleet.Replace(all, v.router.Now()))
 		v.replicas.Replace(items, next)
 		v.listed.Store(true)
 	})
 }
 
-// changeTold takes changes as another node knows them.
-func (v *views) changeTold(items []logstore.Item, next logstore.Offset) {
+// applyFromPeer applies changes received from a peer.
+func (v *views) applyFromPeer(items []logstore.Item, next logstore.Offset) {
 	position, _ := v.replicas.Position()
-	v.replicas.change(position, next, func() {
-		v.noteAway()
+	v.replicas.apply(position, next, func() {
+		v.noteOutage()
 		changes := make([]fleet.Change, 0, len(items))
 		for _, item := range items {
-			changes = append(changes, v.decodeTold(item))
+			changes = append(changes, v.decodePeerEntry(item))
 		}
-		v.put(v.fleet.Apply(changes, v.router.Now()))
+		v.publish(v.fleet.Apply(changes, v.router.Now()))
 		v.replicas.Apply(items, next)
 	})
 }
 
-// awayAge is how old what this node knows must have grown before it takes the store for
-// having been away from all that it hears of: a reader's knowledge is up to 2.7 s old, since
-// it pauses and then waits for changes, and a listener's 0.4 s older. Replicas whose entries
-// go in an outage could not write for three heartbeats, which is longer.
-const awayAge = 3500 * time.Millisecond
-
-// noteAway tells the directory where the store was away from all that this node heard of:
-// entries may have gone because replicas could not write.
-func (v *views) noteAway() {
-	if age, known := v.replicas.Age(time.Now()); known && age > awayAge {
+// outageAge is the age of the topic above which the store is assumed to have been
+// unavailable to every node upstream. Without an outage, a reader's topic is up to 2.7 s
+// old, since it pauses between reads that wait for changes, and a puller's 0.4 s older.
+// Entries removed because of an outage expire after three missed heartbeats, which takes
+// longer.
+const outageAge = 3500 * time.Millisecond
+
+// noteOutage informs the directory if the store was unavailable to all upstream nodes:
+// entries may have expired because replicas could not renew them.
+func (v *views) noteOutage() {
+	if age, known := v.replicas.Age(time.Now()); known && age > outageAge {
 		v.fleet.StoreRecovered(v.router.Now())
 	}
 }
 
-// decodeTold reads a replica as another node tells it, or its removal.
-func (v *views) decodeTold(item logstore.Item) fleet.Change {
+// decodePeerEntry decodes a replica, or its removal, from a peer.
+func (v *views) decodePeerEntry(item logstore.Item) fleet.Change {
 	if item.Value == nil {
 		return fleet.Change{Instance: item.Key}
 	}
 	replica, err := fleet.Decode(item.Key, item.Value)
 	if err != nil {
-		v.unreadable.note(item.Key, err)
+		v.unreadable.record(item.Key, err)
 		return fleet.Change{Instance: item.Key, Unreadable: true}
 	}
 	return fleet.Change{Instance: item.Key, Replica: &replica}
@@ -139,26 +139,26 @@
 	return items
 }
 
-// mostLogged bounds the changed replicas that are logged one by one of those heard at once:
-// all of a site are, at the start.
-const mostLogged = 20
+// maxLoggedChanges limits the log lines about one update; at startup, all replicas of the
+// site change at once.
+const maxLoggedChanges = 20
 
-// put tells the other parts of the node of changed replicas.
-func (v *views) put(changes []fleet.Change) {
+// publish propagates replica changes to the node's other components.
+func (v *views) publish(changes []fleet.Change) {
 	logged, now := 0, v.router.Now()
 	for i := range changes {
-		v.putOne(&changes[i], now)
-		if !changes[i].ColdOnly && logged < mostLogged {
+		v.publishOne(&changes[i], now)
+		if !changes[i].ColdOnly && logged < maxLoggedChanges {
 			v.logChange(&changes[i])
 			logged++
 		}
 	}
-	if len(changes) > mostLogged {
+	if len(changes) > maxLoggedChanges {
 		v.logger.Info("more replicas changed", "changes", len(changes), "known", v.fleet.Size())
 	}
 }
 
-func (v *views) putOne(change *fleet.Change, now time.Duration) {
+func (v *views) publishOne(change *fleet.Change, now time.Duration) {
 	if change.PreviousIncarnation != "" {
 		v.tracker.Forget(change.PreviousIncarnation)
 		v.cold.RemoveReplica(change.PreviousIncarnation, now)
--- a/internal/routednode/run.go
+++ b/internal/routednode/run.go
@@ -17,19 +17,18 @@
 )
 
 const (
-	// reloadPause is the time between two looks at the settings file, which may
-	// change without a signal.
-	reloadPause = 2 * time.Second
-	// memoryLimitPercent of the allowed memory makes the garbage collector work harder.
+	// reloadInterval is the time between two checks of the settings file, which may change
+	// without a signal.
+	reloadInterval = 2 * time.Second
+	// memoryLimitPercent of the allowed memory is the garbage collector's soft limit.
 	memoryLimitPercent = 70
-	// garbagePercent of what is in use may be garbage before it is collected, less than
-	// usual: a node holds little, so that its peak is mostly garbage, and memory is scarcer
-	// than processor time.
-	garbagePercent = 40
+	// gcPercent is below the runtime's default: the live heap is small, so that most of the
+	// peak is garbage, and memory is scarcer than processor time.
+	gcPercent = 40
 )
 
-// Run serves with the settings in file until ctx ends or the process is asked to
-// stop, and returns after a planned stop.
+// Run serves with the settings in file until ctx is canceled or the process receives
+// SIGTERM or SIGINT, and returns after a graceful shutdown.
 func Run(ctx context.Context, file string, adapter Adapter) error {
 	output := asynclog.NewWriter(os.Stdout)
 	defer output.Close()
@@ -37,14 +36,14 @@
 	if err != nil {
 		return fmt.Errorf("routednode: settings: %w", err)
 	}
-	chosen, err := settings.ParseRouted(file, content)
+	cfg, err := settings.ParseRouted(file, content)
 	if err != nil {
 		return err
 	}
-	logger := newLogger(chosen, output)
-	debug.SetGCPercent(garbagePercent)
-	debug.SetMemoryLimit(int64(chosen.Machine.MemoryMebibytes) * mebibyte * memoryLimitPercent / 100)
-	built, err := do.Invoke[*node](newInjector(adapter, chosen, logger))
+	logger := newLogger(cfg, output)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(cfg.Machine.MemoryMebibytes) * mebibyte * memoryLimitPercent / 100)
+	built, err := do.Invoke[*node](newInjector(adapter, cfg, logger))
 	if err != nil {
 		return fmt.Errorf("routednode: build: %w", err)
 	}
@@ -53,36 +52,36 @@
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	if err := built.start(life); err != nil {
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	if err := built.start(runCtx); err != nil {
 		return err
 	}
-	logger.Info("started", "host", hostname(), "clients", chosen.Addresses.Clients, "store", chosen.Store.Address,
-		"partitions", chosen.Store.Partitions, "memory_mebibytes", chosen.Machine.MemoryMebibytes, "grace", chosen.Stop.Grace.String(),
-		"key_lease", chosen.Keys.Lease().String(), "limits_way", chosen.Limits.Way, "limits_window", chosen.Limits.Window.String(),
-		"limits_overage", chosen.Limits.Overage, "limits_slack", chosen.Limits.Slack)
-	built.wait(ctx, stops, reloads, &reloader{file: file, content: string(content), node: built})
-	built.stop(end)
+	logger.Info("started", "host", hostname(), "clients", cfg.Addresses.Clients, "store", cfg.Store.Address,
+		"partitions", cfg.Store.Partitions, "memory_mebibytes", cfg.Machine.MemoryMebibytes, "grace", cfg.Stop.Grace.String(),
+		"key_lease", cfg.Keys.Lease().String(), "limits_way", cfg.Limits.Way, "limits_window", cfg.Limits.Window.String(),
+		"limits_overage", cfg.Limits.Overage, "limits_slack", cfg.Limits.Slack)
+	built.waitForStop(ctx, stops, reloads, &reloader{file: file, content: string(content), node: built})
+	built.stop(cancel)
 	return nil
 }
 
-func newLogger(chosen settings.Routed, output *asynclog.Writer) *slog.Logger {
+func newLogger(cfg settings.Routed, output *asynclog.Writer) *slog.Logger {
 	var level slog.Level
-	if err := level.UnmarshalText([]byte(chosen.Logging.Level)); err != nil {
-		level = slog.LevelInfo // the settings' check has accepted it; nothing else can come here
+	if err := level.UnmarshalText([]byte(cfg.Logging.Level)); err != nil {
+		level = slog.LevelInfo // unreachable: ParseRouted validates the level
 	}
 	options := &slog.HandlerOptions{Level: level}
 	var handler slog.Handler = slog.NewJSONHandler(output, options)
-	if chosen.Logging.Format == "text" {
+	if cfg.Logging.Format == "text" {
 		handler = slog.NewTextHandler(output, options)
 	}
-	return slog.New(handler).With("node", chosen.Node.Name, "zone", chosen.Node.Zone)
+	return slog.New(handler).With("node", cfg.Node.Name, "zone", cfg.Node.Zone)
 }
 
-// wait returns once a stop is asked for; meanwhile it reloads the settings.
-func (n *node) wait(ctx context.Context, stops, reloads <-chan os.Signal, reload *reloader) {
-	ticker := time.NewTicker(reloadPause)
+// waitForStop returns when a shutdown is requested; until then it reloads the settings.
+func (n *node) waitForStop(ctx context.Context, stops, reloads <-chan os.Signal, reload *reloader) {
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -91,22 +90,22 @@
 		case <-stops:
 			return
 		case <-reloads:
-			reload.look("signal")
+			reload.reloadIfChanged("signal")
 		case <-ticker.C:
-			reload.look("file")
+			reload.reloadIfChanged("file")
 		}
 	}
 }
 
-// reloader reads the settings file again when it has changed.
+// reloader reloads the settings file when its content changes.
 type reloader struct {
 	file string
-	// content is the last content seen, good or bad.
+	// content is the last content read, valid or not.
 	content string
 	node    *node
 }
 
-func (r *reloader) look(trigger string) {
+func (r *reloader) reloadIfChanged(trigger string) {
 	content, err := os.ReadFile(r.file)
 	if err != nil {
 		r.node.logger.Error("settings not reloaded", "trigger", trigger, "error", err)
@@ -116,14 +115,14 @@
 		return
 	}
 	r.content = string(content)
-	chosen, err := settings.ParseRouted(r.file, content)
+	cfg, err := settings.ParseRouted(r.file, content)
 	if err != nil {
 		r.node.logger.Error("settings not reloaded, the old ones stay", "trigger", trigger, "error", err)
 		return
 	}
 	before := r.node.settings.Load()
-	debug.SetMemoryLimit(int64(chosen.Machine.MemoryMebibytes) * mebibyte * memoryLimitPercent / 100)
-	restart := chosen.Node != before.Node || chosen.Addresses != before.Addresses || chosen.Store != before.Store
-	r.node.settings.Store(&chosen)
-	r.node.logger.Info("settings reloaded", "trigger", trigger, "grace", chosen.Stop.Grace.String(), "some_need_a_restart", restart)
+	debug.SetMemoryLimit(int64(cfg.Machine.MemoryMebibytes) * mebibyte * memoryLimitPercent / 100)
+	restart := cfg.Node != before.Node || cfg.Addresses != before.Addresses || cfg.Store != before.Store
+	r.node.settings.Store(&cfg)
+	r.node.logger.Info("settings reloaded", "trigger", trigger, "grace", cfg.Stop.Grace.String(), "some_need_a_restart", restart)
 }
--- a/internal/routednode/stop.go
+++ b/internal/routednode/stop.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// settleTime is how long after a stop was asked for new connections may still
-	// come, since whoever sends them has to notice first.
-	settleTime = 3 * time.Second
-	// endMargin is how long before the end of the grace time the process ends.
-	endMargin = 400 * time.Millisecond
-	// stopPause is the time between two looks at what is still under way.
-	stopPause = 20 * time.Millisecond
-	// flushTime bounds the writing of the last settlements.
-	flushTime = 700 * time.Millisecond
+	// acceptPeriod is how long new connections are accepted after a shutdown begins, since
+	// load balancers need time to notice.
+	acceptPeriod = 3 * time.Second
+	// exitMargin is how long before the end of the grace period the process exits.
+	exitMargin = 400 * time.Millisecond
+	// drainPollInterval is the time between two checks for open connections.
+	drainPollInterval = 20 * time.Millisecond
+	// flushTimeout is the timeout for writing the last settlements.
+	flushTimeout = 700 * time.Millisecond
 )
 
-// stop ends the node as planned: it is not ready any more, goes on serving while
-// connections may still come, closes those that rest and waits for the others.
-func (n *node) stop(end context.CancelFunc) {
+// stop shuts the node down gracefully: it reports not ready, serves requests while clients
+// may still connect, closes idle connections and waits for the others.
+func (n *node) stop(cancelRun context.CancelFunc) {
 	began := time.Now()
 	grace := n.settings.Load().Stop.Grace
 	n.stopping.Store(true)
 	n.router.Drain()
-	n.homes.Close()
+	n.coordinator.Close()
 	if n.peers != nil {
 		n.peers.announceLeaving()
 	}
 	n.logger.Info("stop asked for", "grace", grace.String(), "connections", n.connections.Count())
-	deadline := began.Add(grace - endMargin)
-	sleepUntil(began.Add(min(settleTime, grace/2)))
-	// New connections are refused from here on; open ones are not touched.
-	closeErr := n.clients.Close()
+	deadline := began.Add(grace - exitMargin)
+	sleepUntil(began.Add(min(acceptPeriod, grace/2)))
+	// New connections are refused from here on; open ones continue.
+	closeErr := n.clientListener.Close()
 	left := n.connections.CloseIdle(false)
 	for left > 0 && time.Now().Before(deadline) {
-		time.Sleep(stopPause)
-		left = n.connections.CloseIdle(time.Since(began) > settleTime+time.Second)
+		time.Sleep(drainPollInterval)
+		left = n.connections.CloseIdle(time.Since(began) > acceptPeriod+time.Second)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), min(flushTime, max(time.Until(deadline), stopPause)))
+	ctx, cancel := context.WithTimeout(context.Background(), min(flushTimeout, max(time.Until(deadline), drainPollInterval)))
 	defer cancel()
 	err := n.ledger.Stop(ctx)
 	n.logger.Info("stopped", "took_ms", time.Since(began).Milliseconds(), "cut", left, "flush_error", err, "close_error", closeErr)
-	end()
+	cancelRun()
 }
 
 func sleepUntil(moment time.Time) { time.Sleep(time.Until(moment)) }
--- a/internal/routednode/storecalls.go
+++ b/internal/routednode/storecalls.go
@@ -9,7 +9,7 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// countedStore counts the calls of a store by what they are and how they end.
+// countedStore counts the calls to a store by type, topic and outcome.
 type countedStore struct {
 	logstore.Store
 	calls *prometheus.CounterVec
@@ -17,7 +17,7 @@
 
 var _ logstore.Store = (*countedStore)(nil)
 
-// newCountedStore returns store with its calls counted.
+// newCountedStore wraps store and registers its metrics.
 func newCountedStore(store logstore.Store, registerer prometheus.Registerer) *countedStore {
 	made := &countedStore{Store: store, calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "stepseam_store_calls_total", Help: "Calls of the store by call, topic and outcome.",
@@ -26,28 +26,28 @@
 	return made
 }
 
-// Append is logstore.Store's.
+// Append implements logstore.Store.
 func (s *countedStore) Append(ctx context.Context, request logstore.AppendRequest) (logstore.AppendResult, error) {
 	result, err := s.Store.Append(ctx, request)
 	s.count("append", request.Partition, err)
 	return result, err
 }
 
-// Read is logstore.Store's.
+// Read implements logstore.Store.
 func (s *countedStore) Read(ctx context.Context, request logstore.ReadRequest) (logstore.ReadResult, error) {
 	result, err := s.Store.Read(ctx, request)
 	s.count("read", request.Partition, err)
 	return result, err
 }
 
-// Newest is logstore.Store's.
+// Newest implements logstore.Store.
 func (s *countedStore) Newest(ctx context.Context, request logstore.NewestRequest) (logstore.NewestResult, error) {
 	result, err := s.Store.Newest(ctx, request)
 	s.count("newest", request.Partition, err)
 	return result, err
 }
 
-// Changes is logstore.Store's.
+// Changes implements logstore.Store.
 func (s *countedStore) Changes(ctx context.Context, request logstore.ReadRequest) (logstore.ChangesResult, error) {
 	result, err := s.Store.Changes(ctx, request)
 	s.count("changes", request.Partition, err)
--- a/internal/routednode/unreadable.go
+++ b/internal/routednode/unreadable.go
@@ -7,10 +7,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// mostUnreadable bounds the replicas' names that are remembered as logged.
-const mostUnreadable = 1024
+// maxLoggedInstances limits the instances that are remembered as logged.
+const maxLoggedInstances = 1024
 
-// unreadableEntries counts entries of replicas that name none to use, and logs each
+// unreadableEntries counts replica entries that could not be decoded, and logs each
 // instance once. It is safe for concurrent use.
 type unreadableEntries struct {
 	logger  *slog.Logger
@@ -32,11 +32,11 @@
 	return made
 }
 
-func (u *unreadableEntries) note(instance string, err error) {
+func (u *unreadableEntries) record(instance string, err error) {
 	u.counter.Inc()
 	u.mutex.Lock()
 	known := u.logged[instance]
-	if !known && len(u.logged) < mostUnreadable {
+	if !known && len(u.logged) < maxLoggedInstances {
 		u.logged[instance] = true
 	}
 	u.mutex.Unlock()
--- a/internal/routednode/viewcost_test.go
+++ b/internal/routednode/viewcost_test.go
@@ -21,7 +21,7 @@
 	"stepseam.example/stepseam/internal/quota"
 )
 
-// BenchmarkView is what the parts of a node spend on a new view of the members.
+// BenchmarkView measures the cost of a new membership view for each component.
 func BenchmarkView(b *testing.B) {
 	for _, count := range []int{100, 1000, 2000} {
 		view := membership.View{}
@@ -37,7 +37,7 @@
 			"homes":     coordinator.New(coordinator.Config{Self: "front-zone-0001", Ledger: ledger, Logger: logger}).SetView,
 			"keepers":   aggregator.NewPlacement("front-zone-0001").SetView,
 			"limits":    limits.New(limits.Config{Self: "front-zone-0001", Strategy: "allocator", Policy: quota.Policy{Window: time.Second}, Now: func() time.Duration { return 0 }, Logger: logger, Registerer: prometheus.NewRegistry()}).SetView,
-			"readers":   (&readers{self: "front-zone-0001"}).SetView,
+			"readers":   (&frequentReader{self: "front-zone-0001"}).SetView,
 			"distances": (&distances{}).setView,
 			"topics": distribution.New(distribution.Config{
 				Self: "front-zone-0001", Logger: logger, Policy: distribution.Policy{ReadEntries: 1},
@@ -46,11 +46,11 @@
 		}
 		gate := coldstart.NewLimiter("front-zone-0001")
 		parts["cold"] = func(view membership.View) { gate.SetView(view, 0) }
-		for name, tell := range parts {
+		for name, setView := range parts {
 			b.Run(fmt.Sprint(name, "/", count), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					tell(view)
+					setView(view)
 				}
 			})
 		}
--- a/internal/routednode/views.go
+++ b/internal/routednode/views.go
@@ -15,88 +15,89 @@
 	"stepseam.example/stepseam/internal/router"
 )
 
-// The topics that nodes hear of from each other, by their numbers.
+// The indexes of the distributed topics; they must be the same on all nodes.
 const (
 	configurationTopic = iota
 	replicasTopic
 )
 
-// views keeps what the node believes of configuration and replicas up to date, as the
-// store or other nodes tell it.
+// views maintains the node's view of the configuration and the replicas, from the store and
+// from peers.
 type views struct {
 	adapter Adapter
-	// regions tell where zones lie, to check the homes of data.
+	// regions maps zones to regions, to validate allowed regions.
 	regions residency.ZoneRegions
 	router  *router.Router
 	fleet   *fleet.Directory
 	tracker *balance.Tracker
-	// cold is told of each entry, since it tells how long its replica stays cold.
-	cold   *coldstart.Limiter
-	logger *slog.Logger
-	// evacuations keeps the evacuated zones.
+	// cold limits requests to cold replicas, and is updated with each entry.
+	cold        *coldstart.Limiter
+	logger      *slog.Logger
 	evacuations *evacuations
-	// freshness tells how old the configuration in force may be.
+	// freshness tracks the age of the current configuration.
 	freshness *freshness
-	// listed tells that the replicas have been read once.
-	listed atomic.Bool
-	// unreadable counts and logs entries that name no replica to use.
+	// listed is set after the replicas have been loaded once.
+	listed     atomic.Bool
 	unreadable *unreadableEntries
 
-	// operators and replicas are the topics as nodes tell them each other.
-	operators, replicas *heldTopic
+	// operators and replicas are the topics that nodes distribute among each other.
+	operators, replicas *sharedTopic
 
-	// mutex guards all below: the configuration in force as the store holds it.
+	// mutex guards version and configuration, the current configuration as encoded in the
+	// store.
 	mutex         sync.Mutex
 	version       uint64
 	configuration []byte
 }
 
-// heldTopic is a topic of which the store and other nodes may tell at the same time.
-type heldTopic struct {
+// sharedTopic is a topic that is updated from the store and from peers.
+type sharedTopic struct {
 	*distribution.Topic
-	// mutex makes them come one at a time.
+	// mutex serializes the updates.
 	mutex sync.Mutex
 }
 
-func newHeldTopic(name string) *heldTopic { return &heldTopic{Topic: distribution.NewTopic(name)} }
+func newSharedTopic(name string) *sharedTopic {
+	return &sharedTopic{Topic: distribution.NewTopic(name)}
+}
 
-// change runs take with changes from one position to a later one, unless all of them, or
-// some of those before them, are not the next ones here.
-func (h *heldTopic) change(from, next logstore.Offset, take func()) {
+// apply calls update for changes between two positions, unless they were applied already or
+// changes before from are missing here.
+func (h *sharedTopic) apply(from, next logstore.Offset, update func()) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	position, known := h.Position()
 	if !known || from > position || next < position || from < position && next == position {
 		return
 	}
-	take()
+	update()
 }
 
-// replace runs take with the whole of the topic as the store tells it.
-func (h *heldTopic) replace(take func()) {
+// replace calls update for a snapshot from the store.
+func (h *sharedTopic) replace(update func()) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	take()
+	update()
 }
 
-// replaceTold runs take with the whole of the topic up to a position as another node tells
-// it, unless more is known here of late.
-func (h *heldTopic) replaceTold(next logstore.Offset, take func()) {
+// replaceFromPeer calls update for a peer's snapshot at position next, unless the topic is
+// further ahead here and fresh.
+func (h *sharedTopic) replaceFromPeer(next logstore.Offset, update func()) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	position, known := h.Position()
-	if age, aged := h.Age(time.Now()); known && next < position && aged && age <= awayAge {
+	if age, aged := h.Age(time.Now()); known && next < position && aged && age <= outageAge {
 		return
 	}
-	take()
+	update()
 }
 
-// confirmBy takes over what a peer knows of the configuration's age. What the peer told of
-// evacuated zones must have been adopted before. The peer's answer
-// holds for a time after the question was sent, so that its age then counts from asked.
-func (v *views) confirmBy(told *tellViews, asked time.Time) {
-	inForce := v.router.Configuration()
-	if told.ConfigurationKnown && inForce != nil && inForce.Version >= told.Version {
-		v.freshness.confirm(asked.Add(-told.ConfigurationAge))
+// confirmFromPeer takes over a peer's confirmation of the configuration. The age in the
+// response counts from the time of the request. The peer's evacuated zones must have been
+// merged before.
+func (v *views) confirmFromPeer(response *viewsResponse, requested time.Time) {
+	current := v.router.Configuration()
+	if response.ConfigurationKnown && current != nil && current.Version >= response.Version {
+		v.freshness.confirm(requested.Add(-response.ConfigurationAge))
 	}
 }
--- a/internal/routednode/followers_test.go
+++ b/internal/routednode/watchers_test.go
@@ -16,21 +16,22 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-// TestFollowersWaitAtTheGate of a store that is away, and pause shortly for the probe that
-// they may be; one that refuses while it answers others is asked rarely on large sites.
-func TestFollowersWaitAtTheGate(t *testing.T) {
+// TestWatchersWaitForCircuitBreaker checks that watchers wait while the circuit breaker is
+// open, with short pauses between attempts to probe, and that on large sites they rarely
+// retry a store that rejects only their reads.
+func TestWatchersWaitForCircuitBreaker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const members, calls = 900, 1000 // a probe of each node in 18 s
+		const members, calls = 900, 1000 // each node probes every 18 s
 		log := store.New()
 		gated := guardedstore.New(guardedstore.Config{Store: log, CallsPerSecond: calls, Logger: slog.New(slog.DiscardHandler)})
 		gated.SetMembers(func() int { return members })
-		followed := &following{store: gated, members: func() int { return members }}
-		followed.chosen = settings.Routed{}
+		followed := &topicWatchers{store: gated, members: func() int { return members }}
+		followed.cfg = settings.Routed{}
 		place := logstore.Partition{Topic: "keyed.work"}
-		is.Equal(followed.longestPause(place)(), retryPause)
-		followed.chosen.Store.ReadsPerSecond = calls
-		is.Equal(followed.longestPause(place)(), 9*time.Second)
+		is.Equal(followed.maxPause(place)(), baseMaxPause)
+		followed.cfg.Store.ReadsPerSecond = calls
+		is.Equal(followed.maxPause(place)(), 9*time.Second)
 		wait := followed.await(configurationTopic, place)
 		is.NoErr(wait(t.Context()))
 
@@ -39,7 +40,7 @@
 			_, _ = gated.Changes(t.Context(), logstore.ReadRequest{Partition: place})
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.Equal(followed.longestPause(place)(), pacedPause)
+		is.Equal(followed.maxPause(place)(), probingMaxPause)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		is.True(errors.Is(wait(ctx), context.DeadlineExceeded))
--- a/internal/routednode/zonestatus.go
+++ b/internal/routednode/zonestatus.go
@@ -11,21 +11,21 @@
 	"stepseam.example/stepseam/internal/zonestatus"
 )
 
-// answerZones tells operators of zones and cold replicas, for stepseamctl.
+// answerZones serves the status of zones and cold replicas to stepseamctl.
 func (n *node) answerZones(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "application/json")
-	// A caller that is gone needs no answer.
+	// The client may have disconnected; there is nobody to report the error to.
 	_ = json.NewEncoder(writer).Encode(n.zones())
 }
 
-// zones returns what this node believes of zones and cold replicas.
+// zones returns the status of zones and cold replicas.
 func (n *node) zones() zonestatus.Status {
-	chosen, now := n.settings.Load(), n.router.Now()
+	cfg, now := n.settings.Load(), n.router.Now()
 	evacuated := n.views.evacuations.zones.Snapshot(now).Zones
 	byName := map[string]*zonestatus.Zone{}
 	zone := func(name string) *zonestatus.Zone {
 		if byName[name] == nil {
-			byName[name] = &zonestatus.Zone{Name: name, Region: chosen.Zones[name]}
+			byName[name] = &zonestatus.Zone{Name: name, Region: cfg.Zones[name]}
 		}
 		return byName[name]
 	}
@@ -43,5 +43,5 @@
 	}
 	listed := lo.Map(lo.Values(byName), func(one *zonestatus.Zone, _ int) zonestatus.Zone { return *one })
 	slices.SortFunc(listed, func(a, b zonestatus.Zone) int { return strings.Compare(a.Name, b.Name) })
-	return zonestatus.Status{Node: string(chosen.Node.Name), Zones: listed, Cold: n.cold.status(now)}
+	return zonestatus.Status{Node: string(cfg.Node.Name), Zones: listed, Cold: n.cold.status(now)}
 }
