--- a/internal/routednode/configurationview.go
+++ b/internal/routednode/configurationview.go
@@ -79,7 +79,7 @@
 	configuration, err := v.adapter.DecodeConfiguration(encoded)
 	v.freshness.setUsable(err == nil)
 	if err != nil {
-		v.logger.Error("configuration can't be used", "from", source, "error", err, "bytes", len(encoded))
+		v.logger.Error("cannot decode configuration; keeping the current one", "from", source, "error", err, "bytes", len(encoded))
 		return
 	}
 	applied := v.router.SetConfiguration(configuration)
@@ -87,7 +87,7 @@
 		v.storeConfiguration(configuration.Version, encoded)
 		v.logAllowedRegions(configuration)
 	}
-	v.logger.Info("configuration heard", "from", source, "version", configuration.Version, "in_force", applied,
+	v.logger.Info("configuration received", "from", source, "version", configuration.Version, "in_force", applied,
 		"routes", len(configuration.Routes), "services", len(configuration.Services))
 }
 
@@ -99,10 +99,10 @@
 func (v *views) logAllowedRegions(configuration *routing.Configuration) {
 	findings := configuration.CheckAllowedRegions(v.regions)
 	for _, finding := range findings[:min(len(findings), maxLoggedFindings)] {
-		v.logger.Error("homes of data can't be kept, such requests are refused", "version", configuration.Version, "error", finding)
+		v.logger.Error("allowed regions cannot be satisfied; affected requests are rejected", "version", configuration.Version, "error", finding)
 	}
 	if more := len(findings) - maxLoggedFindings; more > 0 {
-		v.logger.Error("more homes of data can't be kept", "version", configuration.Version, "findings", more)
+		v.logger.Error("more allowed regions cannot be satisfied", "version", configuration.Version, "findings", more)
 	}
 }
 
--- a/internal/routednode/distances.go
+++ b/internal/routednode/distances.go
@@ -70,7 +70,7 @@
 			}
 			d.paths.Observe(zone, roundTrip, d.now())
 			if !before.Measured {
-				d.logger.Info("distance learned", "zone_name", zone, "round_trip_ms", float64(roundTrip.Microseconds())/1000)
+				d.logger.Info("first round trip to zone measured", "zone_name", zone, "round_trip_ms", float64(roundTrip.Microseconds())/1000)
 			}
 		}()
 	}
--- a/internal/routednode/evacuations.go
+++ b/internal/routednode/evacuations.go
@@ -84,7 +84,7 @@
 
 func (e *evacuations) recordUnreadable(item logstore.Item, err error) {
 	e.unreadable.Inc()
-	e.logger.Error("evacuation can't be read, the zone stays as it was", "key", item.Key, "bytes", len(item.Value), "error", err)
+	e.logger.Error("cannot decode evacuation record; the zone's state is unchanged", "key", item.Key, "bytes", len(item.Value), "error", err)
 }
 
 // report logs the events and records their metrics; source is logged.
--- a/internal/routednode/node.go
+++ b/internal/routednode/node.go
@@ -134,7 +134,7 @@
 	}
 	go func() {
 		if err := server.Serve(listener); err != nil && !n.stopping.Load() {
-			n.logger.Error("listener ended", "address", address, "error", err)
+			n.logger.Error("listener failed", "address", address, "error", err)
 		}
 	}()
 	return nil
--- a/internal/routednode/peers.go
+++ b/internal/routednode/peers.go
@@ -95,11 +95,11 @@
 func (p *peers) run(ctx context.Context) {
 	go func() {
 		if err := p.transport.Serve(p.listener); err != nil {
-			p.logger.Error("peers can't be served", "error", err)
+			p.logger.Error("listener for peers failed", "error", err)
 		}
 	}()
 	if err := p.runner.Run(ctx); err != nil && ctx.Err() == nil {
-		p.logger.Error("membership ended", "error", err)
+		p.logger.Error("membership failed", "error", err)
 	}
 	p.transport.Close()
 }
--- a/internal/routednode/relay.go
+++ b/internal/routednode/relay.go
@@ -256,7 +256,7 @@
 func (r *relay) applyResult(result peerResult) {
 	response, address := result.response, result.from
 	if response == nil {
-		r.logger.Info("peer could not tell of the store", "peer", address, "error", result.err)
+		r.logger.Info("peer did not respond to a query for configuration", "peer", address, "error", result.err)
 		return
 	}
 	r.views.evacuations.merge(response.Evacuations, result.requested, "peer "+address.String())
--- a/internal/routednode/replicaview.go
+++ b/internal/routednode/replicaview.go
@@ -171,10 +171,10 @@
 
 func (v *views) logChange(change *fleet.Change) {
 	if change.Replica == nil {
-		v.logger.Info("replica gone", "replica", change.PreviousIncarnation, "unreadable", change.Unreadable)
+		v.logger.Info("replica removed", "replica", change.PreviousIncarnation, "unreadable", change.Unreadable)
 		return
 	}
-	v.logger.Info("replica heard", "replica", change.Replica.IncarnationID(), "former", change.PreviousIncarnation, "service", change.Replica.Service,
+	v.logger.Info("replica updated", "replica", change.Replica.IncarnationID(), "former", change.PreviousIncarnation, "service", change.Replica.Service,
 		"state", change.Replica.State, "address", change.Replica.Address, "zone", change.Replica.Zone,
 		"sequence", change.Replica.Sequence, "cold_left_ms", change.Replica.ColdRemaining.Milliseconds())
 }
--- a/internal/routednode/stop.go
+++ b/internal/routednode/stop.go
@@ -28,7 +28,7 @@
 	if n.peers != nil {
 		n.peers.announceLeaving()
 	}
-	n.logger.Info("stop asked for", "grace", grace.String(), "connections", n.connections.Count())
+	n.logger.Info("shutdown requested", "grace", grace.String(), "connections", n.connections.Count())
 	deadline := began.Add(grace - exitMargin)
 	sleepUntil(began.Add(min(acceptPeriod, grace/2)))
 	// New connections are refused from here on; open ones continue.
--- a/internal/routednode/unreadable.go
+++ b/internal/routednode/unreadable.go
@@ -41,6 +41,6 @@
 	}
 	u.mutex.Unlock()
 	if !known {
-		u.logger.Error("replica entry can't be used", "replica", instance, "error", err)
+		u.logger.Error("cannot decode replica entry", "replica", instance, "error", err)
 	}
 }
