--- a/internal/evacuation/zones.go
+++ b/internal/evacuation/zones.go
@@ -1,6 +1,6 @@
-// Package evacuation holds which zones operators have evacuated: their replicas are to
-// get no further request until the zone is taken back. It reads no clock and does no
-// I/O; times are monotonic readings that the caller hands in.
+// Package evacuation tracks which zones operators have evacuated. Replicas in an evacuated
+// zone get no new requests until the evacuation ends. The package reads no clock and does
+// no I/O; times are monotonic readings that the caller passes in.
 package evacuation
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Change is one record of the operators: a zone is evacuated, or taken back.
+// Change is one operator record: the evacuation of a zone starts or ends.
 type Change struct {
 	Zone      string
 	Evacuated bool
@@ -21,60 +21,61 @@
 // Event is a change that took effect at this node.
 type Event struct {
 	Change
-	// Since is when the zone was evacuated, as far as is known here: the time at which
-	// the first of the nodes that told each other heard of it.
+	// Since is when the zone was evacuated: the earliest time known at which any of the
+	// nodes that exchanged snapshots learned of it.
 	Since time.Duration
-	// LastSendDelay is how long after Since this node still sent a request there; 0 if it
-	// did not.
+	// LastSendDelay is the time from Since to this node's last request to the zone; 0 if it
+	// sent none after Since.
 	LastSendDelay time.Duration
 }
 
-// Snapshot is what one node tells another.
+// Snapshot is the set of evacuated zones at a topic position, as sent to peers.
 type Snapshot struct {
-	// Position is the offset in the operators' topic up to which Zones is known; 0 if
-	// nothing is known.
+	// Position is the offset in the operator topic up to which Zones is known; 0 if nothing
+	// is known.
 	Position uint64
-	// Zones holds how long ago each evacuated zone was heard of.
+	// Zones maps each evacuated zone to the time since its evacuation became known.
 	Zones map[string]time.Duration
 }
 
 // Zones is the set of evacuated zones. It is safe for concurrent use.
 //
-// Invariant: the set is that of the operators' topic at position; what comes with an
-// older position changes nothing.
+// Invariant: the set is the state of the operator topic at position. Updates with a lower
+// position have no effect.
 type Zones struct {
-	// inForce is replaced as a whole; its map is never changed.
-	inForce atomic.Pointer[state]
+	// current is replaced as a whole; its map is never modified.
+	current atomic.Pointer[state]
 
-	// mutex makes changes come one at a time, and guards sends.
+	// mutex serializes changes and guards sends.
 	mutex sync.Mutex
-	// sends holds when this node last sent a request to a zone.
+	// sends maps each zone to the time of this node's last request to it.
 	sends map[string]time.Duration
 }
 
-// state is a set of evacuated zones with since when they are.
+// state is a set of evacuated zones with the start of each evacuation.
 type state struct {
 	position uint64
 	since    map[string]time.Duration
 }
 
-// NewZones returns a set that knows nothing yet.
+// NewZones returns an empty set at position 0.
 func NewZones() *Zones {
 	made := &Zones{sends: map[string]time.Duration{}}
-	made.inForce.Store(&state{since: map[string]time.Duration{}})
+	made.current.Store(&state{since: map[string]time.Duration{}})
 	return made
 }
 
-// Evacuated tells whether a zone's replicas are to get nothing.
+// Evacuated reports whether a zone is evacuated.
 func (z *Zones) Evacuated(zone string) bool {
-	_, evacuated := z.inForce.Load().since[zone]
+	_, evacuated := z.current.Load().since[zone]
 	return evacuated
 }
 
-// AnyEvacuated tells whether any zone is evacuated.
-func (z *Zones) AnyEvacuated() bool { return len(z.inForce.Load().since) > 0 }
+// AnyEvacuated reports whether any zone is evacuated.
+func (z *Zones) AnyEvacuated() bool { return len(z.current.Load().since) > 0 }
 
-// TrySend tells whether a request may go to a zone now, and notes that it does.
+// TrySend reports whether a request may be sent to a zone, and if so records now as its
+// last send.
 func (z *Zones) TrySend(zone string, now time.Duration) bool {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
@@ -85,7 +86,7 @@
 	return true
 }
 
-// LastSend returns when this node last sent a request to a zone; false if it never did.
+// LastSend returns the time of this node's last request to a zone; false if there was none.
 func (z *Zones) LastSend(zone string) (time.Duration, bool) {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
@@ -93,12 +94,12 @@
 	return at, sent
 }
 
-// Replace sets the whole, as the newest records up to position tell it. Zones in unclear
-// have a record that can't be read: they stay as they were.
+// Replace sets the set from a snapshot of the operator topic. Zones in unclear have an
+// unreadable record and keep their state.
 func (z *Zones) Replace(position uint64, evacuated, unclear []string, now time.Duration) []Event {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
-	before := z.inForce.Load()
+	before := z.current.Load()
 	if position < before.position {
 		return nil
 	}
@@ -111,14 +112,14 @@
 			since[zone] = began
 		}
 	}
-	return z.put(&state{position: position, since: since})
+	return z.swap(&state{position: position, since: since})
 }
 
-// Apply takes changes in the order of the topic, up to position.
+// Apply applies changes in topic order, up to position.
 func (z *Zones) Apply(position uint64, changes []Change, now time.Duration) []Event {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
-	before := z.inForce.Load()
+	before := z.current.Load()
 	if position <= before.position {
 		return nil
 	}
@@ -132,36 +133,37 @@
 			since[change.Zone] = now
 		}
 	}
-	return z.put(&state{position: position, since: since})
+	return z.swap(&state{position: position, since: since})
 }
 
-// Merge takes what another node has told, if it is newer. asked is when that node was
-// asked.
-func (z *Zones) Merge(told Snapshot, asked time.Duration) []Event {
+// Merge applies a peer's snapshot if its position is higher. requested is when it was
+// requested.
+func (z *Zones) Merge(snapshot Snapshot, requested time.Duration) []Event {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
-	before := z.inForce.Load()
-	if told.Position <= before.position {
+	before := z.current.Load()
+	if snapshot.Position <= before.position {
 		return nil
 	}
-	since := make(map[string]time.Duration, len(told.Zones))
-	for zone, age := range told.Zones {
-		since[zone] = before.sinceOr(zone, asked-age)
+	since := make(map[string]time.Duration, len(snapshot.Zones))
+	for zone, age := range snapshot.Zones {
+		since[zone] = before.sinceOr(zone, requested-age)
 	}
-	return z.put(&state{position: told.Position, since: since})
+	return z.swap(&state{position: snapshot.Position, since: since})
 }
 
-// sinceOr returns since when a zone is evacuated, or otherwise.
-func (s *state) sinceOr(zone string, otherwise time.Duration) time.Duration {
+// sinceOr returns the start of a zone's evacuation, or fallback if it is not evacuated.
+func (s *state) sinceOr(zone string, fallback time.Duration) time.Duration {
 	if began, known := s.since[zone]; known {
 		return began
 	}
-	return otherwise
+	return fallback
 }
 
-// put puts a set in force and returns what it changes, by zone. It needs the mutex.
-func (z *Zones) put(next *state) []Event {
-	before := z.inForce.Swap(next)
+// swap makes a state current and returns the resulting events, sorted by zone. The caller
+// must hold the mutex.
+func (z *Zones) swap(next *state) []Event {
+	before := z.current.Swap(next)
 	var events []Event
 	for zone, since := range next.since {
 		if _, known := before.since[zone]; !known {
@@ -179,12 +181,12 @@
 	return events
 }
 
-// Snapshot returns what this node knows, for others.
+// Snapshot returns the current state, for peers.
 func (z *Zones) Snapshot(now time.Duration) Snapshot {
-	inForce := z.inForce.Load()
-	told := Snapshot{Position: inForce.position, Zones: make(map[string]time.Duration, len(inForce.since))}
-	for zone, since := range inForce.since {
-		told.Zones[zone] = now - since
+	current := z.current.Load()
+	snapshot := Snapshot{Position: current.position, Zones: make(map[string]time.Duration, len(current.since))}
+	for zone, since := range current.since {
+		snapshot.Zones[zone] = now - since
 	}
-	return told
+	return snapshot
 }
--- a/internal/evacuation/zones_test.go
+++ b/internal/evacuation/zones_test.go
@@ -13,7 +13,7 @@
 
 func takenBack(zone string) Change { return Change{Zone: zone} }
 
-func TestZoneIsLeftAloneUntilItIsTakenBack(t *testing.T) {
+func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	z := NewZones()
 	is.True(z.TrySend("a", time.Second))
@@ -21,18 +21,19 @@
 	is.Equal(events, []Event{{Change: evacuated("a"), Since: 2 * time.Second}, {Change: evacuated("b"), Since: 2 * time.Second}})
 	is.True(!z.TrySend("a", 3*time.Second))
 	is.True(z.TrySend("c", 3*time.Second))
-	is.Equal(len(z.Apply(2, []Change{evacuated("a")}, 3*time.Second)), 0) // asked for once more
+	is.Equal(len(z.Apply(2, []Change{evacuated("a")}, 3*time.Second)), 0) // a repeated record
 	events = z.Apply(3, []Change{takenBack("a")}, 4*time.Second)
 	is.Equal(events, []Event{{Change: takenBack("a"), Since: 2 * time.Second}})
 	is.True(z.TrySend("a", 4*time.Second))
 	is.True(z.Evacuated("b"))
 }
 
-func TestNewestRecordsReplaceTheWhole(t *testing.T) {
+func TestReplaceKeepsZonesWithUnreadableRecords(t *testing.T) {
 	is := is.New(t)
 	z := NewZones()
 	z.Apply(3, []Change{evacuated("a"), evacuated("b"), evacuated("c")}, 0)
-	// The history was forgotten: a was taken back meanwhile, the record of c can't be read.
+	// The history was trimmed: the evacuation of a has ended meanwhile, and the record of c
+	// is unreadable.
 	z.Replace(9, []string{"b"}, []string{"c", "d"}, time.Second)
 	is.True(!z.Evacuated("a"))
 	is.True(z.Evacuated("b"))
@@ -40,7 +41,7 @@
 	is.True(!z.Evacuated("d"))
 }
 
-func TestLateWordChangesNothing(t *testing.T) {
+func TestLowerPositionHasNoEffect(t *testing.T) {
 	is := is.New(t)
 	z := NewZones()
 	z.Apply(1, []Change{evacuated("a")}, 0)
@@ -51,9 +52,9 @@
 	is.True(!z.Evacuated("a"))
 }
 
-// TestPeerTellsHowLateItIs: a node that the store turned away hears of an evacuation from
-// a peer after it has sent more requests there.
-func TestPeerTellsHowLateItIs(t *testing.T) {
+// TestMergeReportsLastSendDelay checks the delay at a node that learns of an evacuation
+// from a peer after it has sent more requests to the zone.
+func TestMergeReportsLastSendDelay(t *testing.T) {
 	is := is.New(t)
 	near, far := NewZones(), NewZones()
 	near.Apply(1, []Change{evacuated("a")}, 10*time.Second)
@@ -63,9 +64,10 @@
 	is.True(!far.TrySend("a", 10600*time.Millisecond))
 }
 
-// TestNodesAgreeWithTheTopicHoweverTheyHear plays the topic to two nodes in any mix of
-// reads, snapshots and words of each other: none is ever behind its position.
-func TestNodesAgreeWithTheTopicHoweverTheyHear(t *testing.T) {
+// TestNodesAgreeWithTopicAtTheirPosition applies the topic to two nodes in random
+// combinations of reads, snapshots and merges. Each node must have the state of the topic
+// at its position.
+func TestNodesAgreeWithTopicAtTheirPosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
 		sets := []map[string]bool{{}}
@@ -73,11 +75,11 @@
 		nodes := []*Zones{NewZones(), NewZones()}
 		read := []uint64{0, 0}
 		check := func(z *Zones) {
-			told := z.Snapshot(0)
-			want := sets[told.Position]
+			snapshot := z.Snapshot(0)
+			want := sets[snapshot.Position]
 			for _, zone := range zones {
 				if z.Evacuated(zone) != want[zone] {
-					t.Fatalf("at %d: zone %s evacuated %v, want %v", told.Position, zone, z.Evacuated(zone), want[zone])
+					t.Fatalf("at %d: zone %s evacuated %v, want %v", snapshot.Position, zone, z.Evacuated(zone), want[zone])
 				}
 			}
 		}
@@ -90,7 +92,7 @@
 				next := maps.Clone(sets[len(sets)-1])
 				next[change.Zone] = change.Evacuated
 				sets = append(sets, next)
-			case 2: // a read goes on from where the last one ended, however much was heard since
+			case 2: // a read continues where the last one ended, whatever was merged since
 				until := read[one] + uint64(rapid.IntRange(0, len(topic)-int(read[one])).Draw(t, "records"))
 				nodes[one].Apply(until, topic[read[one]:until], 0)
 				read[one] = until
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,6 +1,5 @@
-// Package watch keeps a node's view of a keyed partition of the store up to
-// date: a snapshot first, then the changes, and a snapshot again wherever the
-// changes have a gap.
+// Package watch keeps a local view of a keyed partition of the store up to date. It reads a
+// snapshot, then the changes, and reads a snapshot again where the changes have a gap.
 package watch
 
 import (
@@ -16,117 +15,119 @@
 )
 
 const (
-	// callSlack is how much longer than asked for a read may take.
+	// callSlack is added to the requested wait to get the timeout of a read.
 	callSlack = 700 * time.Millisecond
-	// pageTimeout bounds one page of a snapshot: 500 entries are 0.2 MB, a fifth of a
-	// second on the slowest links, and a few hundred milliseconds at a slow store.
+	// pageTimeout is the timeout of one page of a snapshot. A page of 500 entries is 0.2
+	// MB, which takes a fifth of a second on the slowest links.
 	pageTimeout = 1500 * time.Millisecond
-	// minPause is the first pause after a failed call, and maxPause the longest where
-	// Config.LongestPause says nothing else.
+	// minPause is the pause after the first failed call; maxPause is the maximum pause if
+	// Config.LongestPause is nil.
 	minPause = 50 * time.Millisecond
 	maxPause = 300 * time.Millisecond
 )
 
-// Config is what a Follower is made from. All fields are required.
+// Config configures a Watcher. The fields up to Logger are required.
 type Config struct {
-	// Name is the dependency's name in the log.
+	// Name identifies the partition in log lines.
 	Name      string
 	Store     logstore.Store
 	Partition logstore.Partition
-	// Pause returns the least time between two reads.
+	// Pause returns the minimum time between two reads.
 	Pause func() time.Duration
-	// Wait returns how long the next read waits for something new.
+	// Wait returns how long the next read waits for a change.
 	Wait func() time.Duration
-	// OnSnapshot is given all keys, OnChanges what has changed since an offset, both with
-	// the offset up to which the partition is known then. They are called one at a time.
+	// OnSnapshot is called with all items, OnChanges with the items changed since an
+	// offset, both with the offset up to which the partition is then known. The callbacks
+	// are not called concurrently.
 	OnSnapshot func(items []logstore.Item, next logstore.Offset)
 	OnChanges  func(from logstore.Offset, items []logstore.Item, next logstore.Offset)
-	// OnRecovered is called when the store answers again after a failed call, before
-	// what it says is handed on.
+	// OnRecovered is called when the store is available again after a failed call, before
+	// its response is passed on.
 	OnRecovered func()
-	// OnConfirmed is called once all that the partition held when a read was sent has
-	// been handed on, with the time of that sending.
+	// OnConfirmed is called once everything in the partition at the time when a read was
+	// sent has been passed on, with that time.
 	OnConfirmed func(sent time.Time)
 	Logger      *slog.Logger
 
-	// Await returns nil once this node may read the store, or an error when ctx ends; nil
-	// lets it read always.
+	// Await blocks until this node may read the store; it returns an error when ctx is
+	// canceled. If it is nil, reads are always allowed.
 	Await func(ctx context.Context) error
-	// Position returns the offset up to which the partition is known from elsewhere, such
-	// as from other nodes, if it is; nil where there is nobody else to tell.
+	// Position returns the offset up to which the partition is known from another source,
+	// such as a peer, if it is. It is nil if there is no other source.
 	Position func() (logstore.Offset, bool)
-	// LongestPause returns the longest pause after failed calls; nil takes maxPause.
+	// LongestPause returns the maximum pause after failed calls; nil means maxPause.
 	LongestPause func() time.Duration
 }
 
-// Watcher follows one partition.
+// Watcher watches one partition.
 type Watcher struct {
 	config Config
 	began  time.Time
-	// heard is when the store answered last, in nanoseconds since began; 0 is never.
-	heard atomic.Int64
-	lost  bool
-	pause time.Duration
+	// lastResponse is when the store last responded, in nanoseconds since began; 0 means
+	// never.
+	lastResponse atomic.Int64
+	unavailable  bool
+	pause        time.Duration
 }
 
-// New returns a follower that has not started.
+// New returns a watcher; Run starts it.
 func New(config Config) *Watcher {
 	return &Watcher{config: config, began: time.Now(), pause: minPause}
 }
 
-// Age returns how long ago the store answered last; false if it never did.
-func (f *Watcher) Age() (time.Duration, bool) {
-	heard := f.heard.Load()
-	return time.Since(f.began) - time.Duration(heard), heard > 0
+// Age returns the time since the last response of the store; false if there was none.
+func (w *Watcher) Age() (time.Duration, bool) {
+	lastResponse := w.lastResponse.Load()
+	return time.Since(w.began) - time.Duration(lastResponse), lastResponse > 0
 }
 
-// Run follows the partition until ctx ends.
-func (f *Watcher) Run(ctx context.Context) {
+// Run watches the partition until ctx is canceled.
+func (w *Watcher) Run(ctx context.Context) {
 	for known := true; ctx.Err() == nil; {
-		if f.await(ctx) != nil {
+		if w.await(ctx) != nil {
 			return
 		}
-		next, told := f.position()
-		if !known || !told {
+		next, found := w.position()
+		if !known || !found {
 			var err error
-			if next, err = f.snapshot(ctx); err != nil {
-				continue // the gate has closed, or ctx has ended
+			if next, err = w.snapshot(ctx); err != nil {
+				continue // reading is no longer allowed, or ctx is canceled
 			}
 		}
-		known = f.follow(ctx, next)
+		known = w.readChanges(ctx, next)
 	}
 }
 
-func (f *Watcher) await(ctx context.Context) error {
-	if f.config.Await == nil {
+func (w *Watcher) await(ctx context.Context) error {
+	if w.config.Await == nil {
 		return ctx.Err()
 	}
-	return f.config.Await(ctx)
+	return w.config.Await(ctx)
 }
 
-func (f *Watcher) position() (logstore.Offset, bool) {
-	if f.config.Position == nil {
+func (w *Watcher) position() (logstore.Offset, bool) {
+	if w.config.Position == nil {
 		return 0, false
 	}
-	return f.config.Position()
+	return w.config.Position()
 }
 
-// snapshot reads all pages. A page that fails is read again, and the others stay, so that
-// a snapshot ends however often the store refuses.
-func (f *Watcher) snapshot(ctx context.Context) (logstore.Offset, error) {
+// snapshot reads all pages. It retries a failed page and keeps the others, so that a
+// snapshot completes however many calls the store rejects.
+func (w *Watcher) snapshot(ctx context.Context) (logstore.Offset, error) {
 	var items []logstore.Item
 	var next logstore.Offset
 	sent := time.Now()
 	for after, first := "", true; ; {
-		page, err := f.page(ctx, after)
+		page, err := w.page(ctx, after)
 		if err != nil {
-			f.failed(ctx, err)
-			if err := f.await(ctx); err != nil {
+			w.failed(ctx, err)
+			if err := w.await(ctx); err != nil {
 				return 0, err
 			}
 			continue
 		}
-		f.succeeded()
+		w.succeeded()
 		if first {
 			first, next = false, page.End
 		}
@@ -136,88 +137,88 @@
 		}
 		after = page.Items[len(page.Items)-1].Key
 	}
-	f.config.OnSnapshot(items, next)
-	f.config.OnConfirmed(sent)
+	w.config.OnSnapshot(items, next)
+	w.config.OnConfirmed(sent)
 	return next, nil
 }
 
-func (f *Watcher) page(ctx context.Context, after string) (logstore.NewestResult, error) {
+func (w *Watcher) page(ctx context.Context, after string) (logstore.NewestResult, error) {
 	call, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	return f.config.Store.Newest(call, logstore.NewestRequest{Partition: f.config.Partition, After: after})
+	return w.config.Store.Newest(call, logstore.NewestRequest{Partition: w.config.Partition, After: after})
 }
 
-// follow reads changes from next on; it returns false at a gap, and true where this node
-// must not read any more.
-func (f *Watcher) follow(ctx context.Context, next logstore.Offset) bool {
-	for f.await(ctx) == nil {
-		if elsewhere, told := f.position(); told && elsewhere > next {
-			next = elsewhere
+// readChanges reads changes from next on. It returns false at a gap, and true if this node
+// must stop reading.
+func (w *Watcher) readChanges(ctx context.Context, next logstore.Offset) bool {
+	for w.await(ctx) == nil {
+		if known, found := w.position(); found && known > next {
+			next = known
 		}
 		sent := time.Now()
-		changed, err := f.changes(ctx, next)
+		changed, err := w.changes(ctx, next)
 		var trimmed *logstore.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
-			f.config.Logger.Info("history is gone", "dependency", f.config.Name, "from", next, "first", trimmed.First)
+			w.config.Logger.Info("history is gone", "dependency", w.config.Name, "from", next, "first", trimmed.First)
 			return false
 		case err != nil:
-			f.failed(ctx, err)
+			w.failed(ctx, err)
 			continue
 		case changed.Next < next:
-			f.config.Logger.Info("history went back", "dependency", f.config.Name, "from", next, "end", changed.Next)
+			w.config.Logger.Info("history went back", "dependency", w.config.Name, "from", next, "end", changed.Next)
 			return false
 		}
-		f.succeeded()
+		w.succeeded()
 		from := next
 		next = changed.Next
 		if len(changed.Items) > 0 {
-			f.config.OnChanges(from, changed.Items, next)
+			w.config.OnChanges(from, changed.Items, next)
 		}
 		if next >= changed.End {
-			f.config.OnConfirmed(sent)
+			w.config.OnConfirmed(sent)
 		}
-		_ = wait.For(ctx, f.config.Pause()) // the loop looks at ctx
+		_ = wait.For(ctx, w.config.Pause()) // the loop checks ctx
 	}
 	return true
 }
 
-func (f *Watcher) changes(ctx context.Context, next logstore.Offset) (logstore.ChangesResult, error) {
-	wait := f.config.Wait()
-	if f.lost {
-		wait = 0 // what the store holds now is to be known as soon as it answers again
+func (w *Watcher) changes(ctx context.Context, next logstore.Offset) (logstore.ChangesResult, error) {
+	wait := w.config.Wait()
+	if w.unavailable {
+		wait = 0 // get the current state as soon as the store responds again
 	}
 	call, cancel := context.WithTimeout(ctx, wait+callSlack)
 	defer cancel()
-	return f.config.Store.Changes(call, logstore.ReadRequest{Partition: f.config.Partition, From: next, Wait: wait})
+	return w.config.Store.Changes(call, logstore.ReadRequest{Partition: w.config.Partition, From: next, Wait: wait})
 }
 
-func (f *Watcher) succeeded() {
-	f.heard.Store(int64(time.Since(f.began)))
-	f.pause = minPause
-	if f.lost {
-		f.lost = false
-		f.config.OnRecovered()
-		f.config.Logger.Info("dependency regained", "dependency", f.config.Name)
+func (w *Watcher) succeeded() {
+	w.lastResponse.Store(int64(time.Since(w.began)))
+	w.pause = minPause
+	if w.unavailable {
+		w.unavailable = false
+		w.config.OnRecovered()
+		w.config.Logger.Info("dependency regained", "dependency", w.config.Name)
 	}
 }
 
-func (f *Watcher) failed(ctx context.Context, err error) {
+func (w *Watcher) failed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !f.lost {
-		f.lost = true
-		age, _ := f.Age()
-		f.config.Logger.Warn("dependency lost", "dependency", f.config.Name, "error", err, "age_ms", age.Milliseconds())
+	if !w.unavailable {
+		w.unavailable = true
+		age, _ := w.Age()
+		w.config.Logger.Warn("dependency lost", "dependency", w.config.Name, "error", err, "age_ms", age.Milliseconds())
 	}
-	_ = wait.For(ctx, f.pause/2+rand.N(f.pause)) // the caller looks at ctx
-	f.pause = min(2*f.pause, f.longestPause())
+	_ = wait.For(ctx, w.pause/2+rand.N(w.pause)) // the caller checks ctx
+	w.pause = min(2*w.pause, w.longestPause())
 }
 
-func (f *Watcher) longestPause() time.Duration {
-	if f.config.LongestPause == nil {
+func (w *Watcher) longestPause() time.Duration {
+	if w.config.LongestPause == nil {
 		return maxPause
 	}
-	return max(f.config.LongestPause(), minPause)
+	return max(w.config.LongestPause(), minPause)
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -14,16 +14,17 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-var place = logstore.Partition{Topic: "keyed"}
+var partition = logstore.Partition{Topic: "keyed"}
 
-// view is what the follower has told.
+// view records the watcher's callbacks.
 type view struct {
 	values    map[string]string
 	snapshots int
 	// next is the offset up to which the partition is known.
 	next     logstore.Offset
 	regained int
-	// confirmed is the time of the newest confirmed read, confirmedValues what was known then.
+	// confirmed is the time of the newest confirmed read; confirmedValues is a copy of the
+	// values at that point.
 	confirmed       time.Time
 	confirmedValues map[string]string
 }
@@ -47,35 +48,35 @@
 	}
 }
 
-func followed(t *testing.T, log *store.Store) (*view, *Watcher) {
+func startWatcher(t *testing.T, log *store.Store) (*view, *Watcher) {
 	seen := &view{}
-	follower := New(Config{
-		Name: "test", Store: log, Partition: place, Pause: func() time.Duration { return 100 * time.Millisecond }, Wait: func() time.Duration { return time.Second },
+	watcher := New(Config{
+		Name: "test", Store: log, Partition: partition, Pause: func() time.Duration { return 100 * time.Millisecond }, Wait: func() time.Duration { return time.Second },
 		OnSnapshot: seen.snapshot, OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { seen.change(items, next) }, OnRecovered: func() { seen.regained++ }, OnConfirmed: seen.confirm, Logger: slog.New(slog.DiscardHandler),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		follower.Run(ctx)
+		watcher.Run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return seen, follower
+	return seen, watcher
 }
 
-func TestChangesAreSeenInTime(t *testing.T) {
+func TestChangesAreDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		log.Put(place, "a", []byte("1"))
-		seen, _ := followed(t, log)
+		log.Put(partition, "a", []byte("1"))
+		seen, _ := startWatcher(t, log)
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(seen.values, map[string]string{"a": "1"})
-		log.Put(place, "a", nil)
-		log.Put(place, "b", []byte("2"))
+		log.Put(partition, "a", nil)
+		log.Put(partition, "b", []byte("2"))
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(seen.values, map[string]string{"b": "2"})
 		is.Equal(seen.next, logstore.Offset(3))
@@ -83,17 +84,17 @@
 	})
 }
 
-func TestForgottenHistoryIsMadeUpByASnapshot(t *testing.T) {
+func TestSnapshotFollowsTrimmedHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		seen, _ := followed(t, log)
+		seen, _ := startWatcher(t, log)
 		time.Sleep(200 * time.Millisecond)
 		log.Fail(store.Fault{Busy: true})
 		time.Sleep(3 * time.Second)
-		log.Put(place, "a", []byte("1"))
-		log.Put(place, "a", []byte("2"))
-		log.Trim(place, 2)
+		log.Put(partition, "a", []byte("1"))
+		log.Put(partition, "a", []byte("2"))
+		log.Trim(partition, 2)
 		log.Fail(store.Fault{})
 		time.Sleep(time.Second)
 		is.Equal(seen.values, map[string]string{"a": "2"})
@@ -102,40 +103,41 @@
 	})
 }
 
-// TestSilentStoreIsNoticedAndLeft: once the store answers again, what has changed
-// is known within two seconds, whatever call was hanging.
-func TestSilentStoreIsNoticedAndLeft(t *testing.T) {
+// TestUnresponsiveStoreIsDetected checks that changes are known within two seconds after a
+// store that did not respond to any call recovers.
+func TestUnresponsiveStoreIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		seen, follower := followed(t, log)
+		seen, watcher := startWatcher(t, log)
 		time.Sleep(200 * time.Millisecond)
 		log.Fail(store.Fault{Silent: true})
-		log.Put(place, "a", []byte("1"))
+		log.Put(partition, "a", []byte("1"))
 		time.Sleep(10 * time.Second)
-		age, heard := follower.Age()
-		is.True(heard && age > 8*time.Second)
+		age, known := watcher.Age()
+		is.True(known && age > 8*time.Second)
 		log.Fail(store.Fault{})
 		time.Sleep(1900 * time.Millisecond)
 		is.Equal(seen.values, map[string]string{"a": "1"})
 	})
 }
 
-// TestReadConfirmsWhatWasThereWhenItWasSent changes the partition at any time of a read
-// that waits: a confirmed time is never later than a change that the view lacks.
-func TestReadConfirmsWhatWasThereWhenItWasSent(t *testing.T) {
+// TestReadConfirmsStateWhenItWasSent changes the partition at different times during a
+// waiting read, and guards against a confirmed time later than a change that the view does
+// not contain.
+func TestReadConfirmsStateWhenItWasSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		log.Put(place, "a", []byte("1"))
-		seen, _ := followed(t, log)
+		log.Put(partition, "a", []byte("1"))
+		seen, _ := startWatcher(t, log)
 		time.Sleep(3500 * time.Millisecond)
 		synctest.Wait()
 		is.True(time.Since(seen.confirmed) <= 2*time.Second+200*time.Millisecond)
 		for number := range 20 {
 			value := string(rune('b' + number))
 			changed := time.Now()
-			log.Put(place, "a", []byte(value))
+			log.Put(partition, "a", []byte(value))
 			for seen.confirmed.Before(changed) {
 				time.Sleep(time.Millisecond)
 				synctest.Wait()
@@ -146,12 +148,12 @@
 	})
 }
 
-func TestStoreThatIsAwayConfirmsNothing(t *testing.T) {
+func TestUnavailableStoreConfirmsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		log.Put(place, "a", []byte("1"))
-		seen, _ := followed(t, log)
+		log.Put(partition, "a", []byte("1"))
+		seen, _ := startWatcher(t, log)
 		time.Sleep(2 * time.Second)
 		log.Fail(store.Fault{Busy: true})
 		failing := time.Now()
@@ -161,37 +163,37 @@
 	})
 }
 
-func TestStoreThatIsBackConfirmsAtOnce(t *testing.T) {
+func TestRecoveredStoreConfirmsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		log.Put(place, "a", []byte("1"))
-		seen, _ := followed(t, log)
+		log.Put(partition, "a", []byte("1"))
+		seen, _ := startWatcher(t, log)
 		time.Sleep(2 * time.Second)
 		log.Fail(store.Fault{Busy: true})
 		time.Sleep(3 * time.Second)
 		log.Fail(store.Fault{})
 		back := time.Now()
-		time.Sleep(500 * time.Millisecond) // less than a read that waits
+		time.Sleep(500 * time.Millisecond) // shorter than the wait of a read
 		synctest.Wait()
 		is.True(seen.confirmed.After(back))
 	})
 }
 
-// TestSnapshotGoesOnWhereItStopped: a store that refuses most calls is asked for each page
-// until that is there, and for no page again, so that the snapshot ends.
-func TestSnapshotGoesOnWhereItStopped(t *testing.T) {
+// TestSnapshotResumesAfterFailedPage checks that a snapshot completes although the store
+// rejects most calls, since pages that were read are not read again.
+func TestSnapshotResumesAfterFailedPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		log.SetPage(1)
 		const keys = 20
 		for i := range keys {
-			log.Put(place, string(rune('a'+i)), []byte("1"))
+			log.Put(partition, string(rune('a'+i)), []byte("1"))
 		}
 		log.LimitReads(2)
-		seen, _ := followed(t, log)
-		time.Sleep(5 * time.Second) // a time in which a snapshot as a whole would have been given up
+		seen, _ := startWatcher(t, log)
+		time.Sleep(5 * time.Second) // longer than a whole snapshot could be retried for
 		is.Equal(seen.snapshots, 0)
 		time.Sleep(15 * time.Second)
 		is.Equal(len(seen.values), keys)
@@ -199,19 +201,19 @@
 	})
 }
 
-// TestFollowerGoesOnFromWhatOthersHaveTold: it reads no snapshot where the partition is known
-// from elsewhere, and reads nothing while it is not to.
-func TestFollowerGoesOnFromWhatOthersHaveTold(t *testing.T) {
+// TestWatcherContinuesFromKnownPosition checks that no snapshot is read if the partition is
+// known from another source, and that nothing is read before Await returns.
+func TestWatcherContinuesFromKnownPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		for _, key := range []string{"a", "b", "c"} {
-			log.Put(place, key, []byte("1"))
+			log.Put(partition, key, []byte("1"))
 		}
 		seen := &view{values: map[string]string{}}
 		open := make(chan struct{})
-		follower := New(Config{
-			Name: "test", Store: log, Partition: place, Wait: func() time.Duration { return time.Second },
+		watcher := New(Config{
+			Name: "test", Store: log, Partition: partition, Wait: func() time.Duration { return time.Second },
 			Pause:      func() time.Duration { return 100 * time.Millisecond },
 			OnSnapshot: seen.snapshot, OnRecovered: func() {}, OnConfirmed: seen.confirm, Logger: slog.New(slog.DiscardHandler),
 			OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { seen.change(items, next) },
@@ -228,7 +230,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
-			follower.Run(ctx)
+			watcher.Run(ctx)
 			close(done)
 		}()
 		time.Sleep(time.Second)
@@ -242,20 +244,20 @@
 	})
 }
 
-// TestPauseGrowsAsFarAsItIsAllowed: nodes of a large site together ask a store that refuses
-// them no more often than it bears.
-func TestPauseGrowsAsFarAsItIsAllowed(t *testing.T) {
+// TestPauseGrowsUpToMaxPause checks that the nodes of a large site together do not overload
+// a store that rejects their calls.
+func TestPauseGrowsUpToMaxPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
 		log.Fail(store.Fault{Busy: true})
-		follower := New(Config{
-			Name: "test", Store: log, Partition: place, Logger: slog.New(slog.DiscardHandler),
+		watcher := New(Config{
+			Name: "test", Store: log, Partition: partition, Logger: slog.New(slog.DiscardHandler),
 			LongestPause: func() time.Duration { return 5 * time.Second },
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		follower.Run(ctx)
-		is.True(log.Calls("newest") < 35) // 12 to 24 at 2.5 to 7.5 s each, and those before
+		watcher.Run(ctx)
+		is.True(log.Calls("newest") < 35) // 12 to 24 at 2.5 to 7.5 s each, and the first ones at shorter pauses
 	})
 }
