--- a/internal/distance/distance.go
+++ b/internal/distance/distance.go
@@ -1,5 +1,5 @@
-// Package distance learns how far the zones of a site are from this node's own, in time.
-// It is pure: times are monotonic readings that the caller hands in.
+// Package distance estimates the round-trip times from this node's zone to the other zones
+// of the site. It reads no clock; times are monotonic readings that the caller passes in.
 package distance
 
 import (
@@ -10,33 +10,34 @@
 )
 
 const (
-	// DefaultZoneRoundTrip and priorRegion are the round trips to another zone of the own region and
-	// to another region until one has been measured.
-	DefaultZoneRoundTrip = 1500 * time.Microsecond
-	priorRegion          = 40 * time.Millisecond
-	// generation is how long the least round trip is looked for. The estimate is the least
-	// of the last two generations: a machine that is slow to answer makes a round trip
-	// longer and never shorter, and a way that has grown longer counts after both.
-	generation = 10 * time.Second
-	// fresh is how long a measurement makes another one needless.
-	fresh = 3 * time.Second
+	// DefaultZoneRoundTrip and defaultRegionRoundTrip are assumed for another zone of the
+	// same region, and for another region, until a round trip has been measured.
+	DefaultZoneRoundTrip   = 1500 * time.Microsecond
+	defaultRegionRoundTrip = 40 * time.Millisecond
+	// window is the period over which the minimum round trip is taken. The estimate is the
+	// minimum of the current and the previous window: slow machines only lengthen a
+	// measured round trip, and a path that has become longer shows after two windows.
+	window = 10 * time.Second
+	// freshFor is how long no further measurement is needed after one.
+	freshFor = 3 * time.Second
 )
 
-// Path is how a zone is reached.
+// Path describes the network path to a zone.
 type Path struct {
 	Zone string `json:"zone"`
-	// RoundTrip is the time there and back.
+	// RoundTrip is the estimated round-trip time.
 	RoundTrip time.Duration `json:"round_trip"`
-	// OtherRegion tells that the zone lies in another region.
+	// OtherRegion is set if the zone is in another region.
 	OtherRegion bool `json:"other_region"`
-	// Measured tells that RoundTrip is no prior.
+	// Measured is set if RoundTrip was measured, rather than assumed.
 	Measured bool `json:"measured"`
 }
 
-// Map holds the ways from one zone to the others. It is safe for concurrent use.
+// Map contains the paths from one zone to the others. It is safe for concurrent use.
 type Map struct {
 	zone string
-	// regions tells the region of each zone; zones that are not listed count as near.
+	// regions maps zones to regions. A zone that is not listed counts as one of the same
+	// region.
 	regions map[string]string
 
 	// mutex guards measured.
@@ -44,18 +45,18 @@
 	measured map[string]*record
 }
 
-// record holds the least round trips of two generations; 0 where there is none.
+// record contains the minimum round trips of two windows; 0 if there is none.
 type record struct {
 	began, last       time.Duration
 	current, previous time.Duration
 }
 
-// NewMap returns a map of a node in zone; regions tells where zones lie.
+// NewMap returns the map of a node in zone; regions maps zones to regions.
 func NewMap(zone string, regions map[string]string) *Map {
 	return &Map{zone: zone, regions: regions, measured: map[string]*record{}}
 }
 
-// Observe takes one measured round trip to a zone.
+// Observe records a measured round trip to a zone.
 func (m *Map) Observe(zone string, roundTrip, now time.Duration) {
 	if roundTrip <= 0 {
 		return
@@ -67,7 +68,7 @@
 		known = &record{began: now}
 		m.measured[zone] = known
 	}
-	if now-known.began >= generation {
+	if now-known.began >= window {
 		known.previous, known.current, known.began = known.current, 0, now
 	}
 	known.last = now
@@ -76,7 +77,7 @@
 	}
 }
 
-// estimate is the least round trip known; 0 if there is none.
+// estimate returns the minimum round trip of both windows; 0 if there is none.
 func (r *record) estimate() time.Duration {
 	switch {
 	case r.current == 0:
@@ -87,52 +88,52 @@
 	return min(r.current, r.previous)
 }
 
-// PathTo returns the way to a zone.
+// PathTo returns the path to a zone.
 func (m *Map) PathTo(zone string) Path {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.to(zone)
+	return m.path(zone)
 }
 
-// to needs the mutex.
-func (m *Map) to(zone string) Path {
-	way := Path{Zone: zone, OtherRegion: m.otherRegion(zone)}
+// path returns the path to a zone; the caller must hold the mutex.
+func (m *Map) path(zone string) Path {
+	path := Path{Zone: zone, OtherRegion: m.otherRegion(zone)}
 	if known, found := m.measured[zone]; found {
-		way.RoundTrip, way.Measured = known.estimate(), true
-		return way
+		path.RoundTrip, path.Measured = known.estimate(), true
+		return path
 	}
 	switch {
 	case zone == m.zone:
-	case way.OtherRegion:
-		way.RoundTrip = priorRegion
+	case path.OtherRegion:
+		path.RoundTrip = defaultRegionRoundTrip
 	default:
-		way.RoundTrip = DefaultZoneRoundTrip
+		path.RoundTrip = DefaultZoneRoundTrip
 	}
-	return way
+	return path
 }
 
-// otherRegion tells whether a zone is known to lie in another region.
+// otherRegion reports whether a zone is known to be in another region.
 func (m *Map) otherRegion(zone string) bool {
 	own, there := m.regions[m.zone], m.regions[zone]
 	return own != "" && there != "" && own != there
 }
 
-// NeedsMeasurement tells whether the way to another zone is to be measured now.
+// NeedsMeasurement reports whether the path to another zone has no recent measurement.
 func (m *Map) NeedsMeasurement(zone string, now time.Duration) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	known, found := m.measured[zone]
-	return zone != m.zone && (!found || now-known.last >= fresh)
+	return zone != m.zone && (!found || now-known.last >= freshFor)
 }
 
-// Paths returns the ways to the given zones by name.
+// Paths returns the paths to the given zones, sorted by name.
 func (m *Map) Paths(zones []string) []Path {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	ways := make([]Path, 0, len(zones))
+	paths := make([]Path, 0, len(zones))
 	for _, zone := range zones {
-		ways = append(ways, m.to(zone))
+		paths = append(paths, m.path(zone))
 	}
-	slices.SortFunc(ways, func(a, b Path) int { return cmp.Compare(a.Zone, b.Zone) })
-	return ways
+	slices.SortFunc(paths, func(a, b Path) int { return cmp.Compare(a.Zone, b.Zone) })
+	return paths
 }
--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -1,6 +1,7 @@
-// Package loads lets nodes tell each other how many requests each has under way at
-// each replica, how much of their prompts is yet to be read there, and which replicas
-// fail, by datagrams that may be lost. What is heard only helps to choose.
+// Package loads exchanges reports of the requests that each node has in flight at each
+// replica, the prompt tokens that are still pending there, and recent failures. The reports
+// are sent in datagrams that may be lost, and are used only as hints in the choice of
+// replicas.
 package loads
 
 import (
@@ -17,29 +18,29 @@
 )
 
 const (
-	// form tells datagrams of this version from others.
-	form = 0x4c02
-	// headBytes and entryBytes are the sizes of a datagram's parts.
-	headBytes  = 2 + 2
-	entryBytes = 4 + EncodedSize
+	// format identifies datagrams of this version.
+	format = 0x4c02
+	// headerBytes and entryBytes are the sizes of a datagram's parts.
+	headerBytes = 2 + 2
+	entryBytes  = 4 + EncodedSize
 	// maxEntries keeps a datagram within the usual path MTU.
 	maxEntries = 170
-	// SendInterval is the time between two datagrams to one node.
+	// SendInterval is the time between two datagrams.
 	SendInterval = 200 * time.Millisecond
-	// fanout is how many nodes get a datagram each time, so that the cost of a node
-	// does not grow with the site.
+	// fanout is the number of nodes that get each datagram. It is bounded so that a node's
+	// cost does not grow with the site.
 	fanout = 16
-	// ReportTTL is how long what a node has told counts.
+	// ReportTTL is how long a received report is valid.
 	ReportTTL = time.Second
 )
 
-// leastCoverage is the part of the other nodes from which on what is heard stands for all.
-// With fewer, at 480 nodes and more, a word more or less makes a replica look idle or full;
-// the keepers of replicas know, and nobody tells at random.
-const leastCoverage = 0.15
+// minCoverage is the coverage below which nodes do not send reports. With fewer peers
+// covered, as at 480 nodes and more, one report more or less makes a replica look idle or
+// overloaded; the aggregators of replicas are used instead.
+const minCoverage = 0.15
 
-// Coverage is the part of the other nodes that is heard of within Life, where there
-// are others of them.
+// Coverage returns the expected fraction of peers from which a report is received within
+// ReportTTL, given their number.
 func Coverage(others int) float64 {
 	if others <= fanout {
 		return 1
@@ -48,39 +49,38 @@
 	return 1 - math.Pow(missed, float64(ReportTTL/SendInterval))
 }
 
-// errForm tells that a datagram is not of this package.
-var errForm = errors.New("loads: unreadable datagram")
+// errFormat is returned for a datagram that is not in this package's format.
+var errFormat = errors.New("loads: unreadable datagram")
 
-// ReplicaKey stands for a replica in a datagram. Two replicas may share one, which only
-// makes both look busier.
+// ReplicaKey identifies a replica in a datagram. If two replicas have the same key, both
+// only look busier.
 type ReplicaKey uint32
 
-// Load is what a node tells of one replica.
+// Load is a node's report on one replica.
 type Load struct {
-	// InFlight is how many of its requests are there; more than maxUnderWay count as
-	// that many.
+	// InFlight is the number of the node's requests in flight at the replica, encoded up to
+	// maxInFlight.
 	InFlight int
-	// PendingTokens is how much of its requests' prompts the replica has yet to read,
-	// rounded up to whole units of unreadUnit; more than maxUnread units count as that
-	// many.
+	// PendingTokens is the number of prompt tokens of those requests that are not yet
+	// prefilled. It is encoded rounded up to units of pendingUnit, up to maxPending units.
 	PendingTokens int
-	// Failing tells that requests have failed there lately.
+	// Failing is set if requests have recently failed at the replica.
 	Failing bool
 }
 
-// maxUnderWay and failingBit share the first two bytes of a load; the other two hold
-// the unread tokens in units of unreadUnit.
+// maxInFlight and failingBit share the first two bytes of an encoded load; the other two
+// contain the pending tokens in units of pendingUnit.
 const (
-	maxUnderWay = 1<<15 - 1
+	maxInFlight = 1<<15 - 1
 	failingBit  = 1 << 15
-	unreadUnit  = 64
-	maxUnread   = 1<<16 - 1
+	pendingUnit = 64
+	maxPending  = 1<<16 - 1
 )
 
-// EncodedSize is the size of an encoded load.
+// EncodedSize is the size of an encoded load in bytes.
 const EncodedSize = 2 + 2
 
-// Add adds up two loads of one replica.
+// Add returns the sum of two loads of one replica.
 func (l Load) Add(other Load) Load {
 	return Load{
 		InFlight: l.InFlight + other.InFlight, PendingTokens: l.PendingTokens + other.PendingTokens,
@@ -88,34 +88,35 @@
 	}
 }
 
-// Append encodes the load behind what is encoded already.
+// Append appends the encoded load to encoded.
 func (l Load) Append(encoded []byte) []byte {
-	underWay := uint16(min(l.InFlight, maxUnderWay))
+	inFlight := uint16(min(l.InFlight, maxInFlight))
 	if l.Failing {
-		underWay |= failingBit
+		inFlight |= failingBit
 	}
-	unread := min((l.PendingTokens+unreadUnit-1)/unreadUnit, maxUnread)
-	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(encoded, underWay), uint16(unread))
+	pending := min((l.PendingTokens+pendingUnit-1)/pendingUnit, maxPending)
+	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(encoded, inFlight), uint16(pending))
 }
 
-// DecodeLoad reads a load from Bytes bytes.
+// DecodeLoad decodes a load from the first EncodedSize bytes of encoded, which must not be
+// shorter.
 func DecodeLoad(encoded []byte) Load {
-	underWay := binary.BigEndian.Uint16(encoded)
+	inFlight := binary.BigEndian.Uint16(encoded)
 	return Load{
-		InFlight: int(underWay & maxUnderWay), Failing: underWay&failingBit != 0,
-		PendingTokens: int(binary.BigEndian.Uint16(encoded[2:])) * unreadUnit,
+		InFlight: int(inFlight & maxInFlight), Failing: inFlight&failingBit != 0,
+		PendingTokens: int(binary.BigEndian.Uint16(encoded[2:])) * pendingUnit,
 	}
 }
 
 // HashReplica returns the key of a replica's instance.
 func HashReplica(instance string) ReplicaKey { return ReplicaKey(xxhash.Sum64String(instance)) }
 
-// Encode returns a datagram of the loads by replica.
-func Encode(told map[ReplicaKey]Load) []byte {
-	encoded := binary.BigEndian.AppendUint16(nil, form)
-	encoded = binary.BigEndian.AppendUint16(encoded, uint16(min(len(told), maxEntries)))
+// Encode encodes up to maxEntries loads as a datagram.
+func Encode(loads map[ReplicaKey]Load) []byte {
+	encoded := binary.BigEndian.AppendUint16(nil, format)
+	encoded = binary.BigEndian.AppendUint16(encoded, uint16(min(len(loads), maxEntries)))
 	left := maxEntries
-	for key, load := range told {
+	for key, load := range loads {
 		if left == 0 {
 			break
 		}
@@ -126,33 +127,33 @@
 	return encoded
 }
 
-// Decode reads a datagram.
+// Decode decodes a datagram.
 func Decode(encoded []byte) (map[ReplicaKey]Load, error) {
-	if len(encoded) < headBytes || binary.BigEndian.Uint16(encoded) != form {
-		return nil, errForm
+	if len(encoded) < headerBytes || binary.BigEndian.Uint16(encoded) != format {
+		return nil, errFormat
 	}
 	count := int(binary.BigEndian.Uint16(encoded[2:]))
-	if len(encoded) != headBytes+count*entryBytes {
-		return nil, errForm
+	if len(encoded) != headerBytes+count*entryBytes {
+		return nil, errFormat
 	}
-	told := make(map[ReplicaKey]Load, count)
-	for rest := encoded[headBytes:]; len(rest) > 0; rest = rest[entryBytes:] {
-		told[ReplicaKey(binary.BigEndian.Uint32(rest))] = DecodeLoad(rest[4:])
+	loads := make(map[ReplicaKey]Load, count)
+	for rest := encoded[headerBytes:]; len(rest) > 0; rest = rest[entryBytes:] {
+		loads[ReplicaKey(binary.BigEndian.Uint32(rest))] = DecodeLoad(rest[4:])
 	}
-	return told, nil
+	return loads, nil
 }
 
-// Gossiper sends this node's loads and takes the others'.
+// Gossiper sends this node's loads to peers and receives theirs.
 type Gossiper struct {
 	Conn *net.UDPConn
-	// Peers returns where the other nodes take datagrams, in a slice that may be changed.
+	// Peers returns the addresses of the other nodes. The caller may modify the slice.
 	Peers func() []netip.AddrPort
-	// Local returns this node's loads, Heard takes another's.
+	// Local returns this node's loads. OnReport is called with each received report.
 	Local    func() map[ReplicaKey]Load
-	OnReport func(from netip.AddrPort, told map[ReplicaKey]Load)
+	OnReport func(from netip.AddrPort, loads map[ReplicaKey]Load)
 }
 
-// Run exchanges loads until ctx ends; then it closes the socket.
+// Run exchanges reports until ctx is canceled, and then closes the socket.
 func (e *Gossiper) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = e.Conn.Close() })
 	defer stop()
@@ -166,20 +167,20 @@
 			timer.Stop()
 			return
 		}
-		targets := e.Peers()
-		if Coverage(len(targets)) < leastCoverage {
+		peers := e.Peers()
+		if Coverage(len(peers)) < minCoverage {
 			continue
 		}
-		told := e.Local()
-		if idle && len(told) == 0 {
-			continue // it has been told already
+		loads := e.Local()
+		if idle && len(loads) == 0 {
+			continue // peers already have the empty report
 		}
-		idle = len(told) == 0
-		e.send(sample(targets), Encode(told))
+		idle = len(loads) == 0
+		e.send(sample(peers), Encode(loads))
 	}
 }
 
-// sample draws fanout of the targets.
+// sample returns a random fanout of the targets; it may reorder them.
 func sample(targets []netip.AddrPort) []netip.AddrPort {
 	if len(targets) <= fanout {
 		return targets
@@ -190,23 +191,23 @@
 
 func (e *Gossiper) send(targets []netip.AddrPort, datagram []byte) {
 	for _, target := range targets {
-		// A datagram that can't be sent is a lost one.
+		// Reports are best effort; a send error counts as a lost datagram.
 		_, _ = e.Conn.WriteToUDPAddrPort(datagram, target)
 	}
 }
 
 func (e *Gossiper) receive() {
-	buffer := make([]byte, headBytes+(maxEntries+1)*entryBytes)
+	buffer := make([]byte, headerBytes+(maxEntries+1)*entryBytes)
 	for {
 		size, from, err := e.Conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // such as the refusal of an earlier datagram by a node that is gone
+			continue // such as an ICMP error for an earlier datagram to a stopped node
 		}
-		if told, err := Decode(buffer[:size]); err == nil {
-			e.OnReport(from, told)
+		if loads, err := Decode(buffer[:size]); err == nil {
+			e.OnReport(from, loads)
 		}
 	}
 }
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -11,12 +11,12 @@
 	"pgregory.net/rapid"
 )
 
-func TestCountsSurviveADatagram(t *testing.T) {
+func TestLoadsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		counts := rapid.MapOfN(rapid.Custom(func(t *rapid.T) ReplicaKey { return ReplicaKey(rapid.Uint32().Draw(t, "key")) }), rapid.Custom(func(t *rapid.T) Load {
 			return Load{
-				InFlight: rapid.IntRange(0, maxUnderWay).Draw(t, "count"), Failing: rapid.Bool().Draw(t, "failing"),
-				PendingTokens: unreadUnit * rapid.IntRange(0, maxUnread).Draw(t, "unread"),
+				InFlight: rapid.IntRange(0, maxInFlight).Draw(t, "count"), Failing: rapid.Bool().Draw(t, "failing"),
+				PendingTokens: pendingUnit * rapid.IntRange(0, maxPending).Draw(t, "unread"),
 			}
 		}), 0, maxEntries).Draw(t, "counts")
 		decoded, err := Decode(Encode(counts))
@@ -31,16 +31,16 @@
 	})
 }
 
-func TestOtherDatagramsArePassedOver(t *testing.T) {
+func TestInvalidDatagramsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		datagram := rapid.SliceOf(rapid.Byte()).Draw(t, "datagram")
-		if counts, err := Decode(datagram); err == nil && len(datagram) != headBytes+entryBytes*len(counts) {
+		if counts, err := Decode(datagram); err == nil && len(datagram) != headerBytes+entryBytes*len(counts) {
 			t.Fatalf("%v from %v", counts, datagram)
 		}
 	})
 }
 
-func TestNodesHearOfEachOther(t *testing.T) {
+func TestNodesExchangeReports(t *testing.T) {
 	is := is.New(t)
 	open := func() *net.UDPConn {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -64,27 +64,27 @@
 		}
 		go exchange.Run(ctx)
 	}
-	start(first, second, map[ReplicaKey]Load{HashReplica("a"): {InFlight: 3, PendingTokens: 2 * unreadUnit, Failing: true}})
+	start(first, second, map[ReplicaKey]Load{HashReplica("a"): {InFlight: 3, PendingTokens: 2 * pendingUnit, Failing: true}})
 	start(second, first, nil)
 	select {
 	case counts := <-heard:
-		is.Equal(counts, map[ReplicaKey]Load{HashReplica("a"): {InFlight: 3, PendingTokens: 2 * unreadUnit, Failing: true}})
+		is.Equal(counts, map[ReplicaKey]Load{HashReplica("a"): {InFlight: 3, PendingTokens: 2 * pendingUnit, Failing: true}})
 	case <-time.After(5 * time.Second):
 		t.Fatal("nothing heard")
 	}
 }
 
-func TestNobodyTellsWhereTooFewWouldHear(t *testing.T) {
+func TestNoReportsBelowMinCoverage(t *testing.T) {
 	is := is.New(t)
-	is.True(Coverage(388) >= leastCoverage)
-	is.True(Coverage(984) < leastCoverage)
+	is.True(Coverage(388) >= minCoverage)
+	is.True(Coverage(984) < minCoverage)
 }
 
-func TestEveryNodeIsToldOftenEnough(t *testing.T) {
+func TestSampleMatchesCoverage(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Coverage(fanout), 1.0)
 	const others = 380
-	told := map[netip.AddrPort]bool{}
+	reached := map[netip.AddrPort]bool{}
 	for range int(ReportTTL / SendInterval) {
 		targets := make([]netip.AddrPort, 0, others)
 		for i := range others {
@@ -93,9 +93,9 @@
 		drawn := sample(targets)
 		is.Equal(len(drawn), fanout)
 		for _, target := range drawn {
-			told[target] = true
+			reached[target] = true
 		}
 	}
-	share := float64(len(told)) / others
+	share := float64(len(reached)) / others
 	is.True(share > Coverage(others)*0.8 && share < Coverage(others)*1.2)
 }
--- a/internal/loads/recorded_test.go
+++ b/internal/loads/recorded_test.go
@@ -7,17 +7,18 @@
 	"github.com/matryer/is"
 )
 
-// TestRecordedBytesOfADatagram: what builds tell each other of loads stays as it is.
-func TestRecordedBytesOfADatagram(t *testing.T) {
+// TestDatagramEncodingIsStable guards against a change of the datagram format, which nodes
+// of different builds exchange.
+func TestDatagramEncodingIsStable(t *testing.T) {
 	is := is.New(t)
-	told := map[ReplicaKey]Load{7: {InFlight: 3, PendingTokens: 2 * unreadUnit, Failing: true}}
+	loads := map[ReplicaKey]Load{7: {InFlight: 3, PendingTokens: 2 * pendingUnit, Failing: true}}
 	const written = "4c0200010000000780030002"
-	is.Equal(hex.EncodeToString(Encode(told)), written)
+	is.Equal(hex.EncodeToString(Encode(loads)), written)
 	encoded, err := hex.DecodeString(written)
 	is.NoErr(err)
 	read, err := Decode(encoded)
 	is.NoErr(err)
-	is.Equal(read, told)
+	is.Equal(read, loads)
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/nodestatus/nodestatus.go
+++ b/internal/nodestatus/nodestatus.go
@@ -1,25 +1,25 @@
-// Package nodestatus describes what a node of a platform tells operators of itself: whom it
-// knows, what it does for others, and how old what it knows of the store is.
+// Package nodestatus defines the status that a node of a platform serves to operators: its
+// members, its duties and the age of its topics.
 package nodestatus
 
 import "stepseam.example/stepseam/internal/distribution"
 
-// Status is what one node believes.
+// Status is one node's view of itself and its site.
 type Status struct {
 	Node string `json:"node"`
 	Zone string `json:"zone"`
-	// Members is how many nodes it knows to live, itself among them.
+	// Members is the number of known live nodes, including this one.
 	Members int `json:"members"`
-	// Millicores is its processor in thousandths of a core, by its settings.
+	// Millicores is the node's configured processor capacity in thousandths of a core.
 	Millicores uint32 `json:"thousandths"`
-	// Partitions are those of the ledger that it keeps.
+	// Partitions are the ledger partitions that the node coordinates.
 	Partitions []int `json:"partitions"`
-	// ReplicasKept is on how many replicas other nodes report to it.
+	// ReplicasKept is the number of replicas that this node aggregates reports on.
 	ReplicasKept int `json:"replicas_kept"`
-	// Version is the configuration in force; 0 if there is none.
+	// Version is the current configuration version; 0 if there is none.
 	Version uint64 `json:"version"`
-	// Replicas is how many it knows.
+	// Replicas is the number of known replicas.
 	Replicas int `json:"replicas"`
-	// Topics are what it knows of the store's topics, and from whom.
+	// Topics is the status of the distributed topics.
 	Topics []distribution.TopicStatus `json:"topics"`
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,9 +1,9 @@
-// Package placement maps shards to nodes by rendezvous hashing with zone
-// spread. It is pure: the same members give the same answer on every node, and
-// a node that joins or leaves moves only the shards that it gains or held.
+// Package placement maps shards to nodes by rendezvous hashing and spreads replicas over
+// zones. It is deterministic: the same members give the same result on every node, and a
+// node that joins or leaves only moves the shards that it gains or loses.
 //
-// Scores depend on node names and shard numbers alone, never on incarnations,
-// so a node that restarts under its name is wanted for the same shards again.
+// Scores depend on node names and shard numbers only, not on incarnations, so a node that
+// restarts under its name is assigned the same shards again.
 package placement
 
 import (
@@ -15,53 +15,52 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// ReplicaCount is the size of a shard's replica set where enough nodes live.
+// ReplicaCount is the size of a shard's replica set if enough nodes are live.
 const ReplicaCount = 3
 
-// regionalReplicas is how many replicas are preferred in the owner's region, so
-// that a majority of the set answers without a round trip between regions and a
-// region that is cut off goes on with the shards it owns.
+// regionalReplicas is the preferred number of replicas in the owner's region. A majority of
+// the replica set then responds without a round trip between regions, and a partitioned
+// region continues to serve the shards it owns.
 const regionalReplicas = 2
 
-// Assignment is where a shard should be.
+// Assignment is the desired owner and replica set of a shard.
 type Assignment struct {
 	Owner identity.Node
-	// Replicas are in order of preference. With four or more live nodes they are
-	// ReplicaCount nodes apart from the owner; with fewer the owner is one of them.
+	// Replicas are in order of preference. With four or more live nodes, they are
+	// ReplicaCount nodes other than the owner; with fewer, the owner is one of them.
 	Replicas []identity.Node
 }
 
-// Desired returns where shard should be by the live members of view, and false
-// where no member is alive. Callers that ask for many shards use a Cache.
+// Desired returns the assignment of shard among the live members of view; false if no
+// member is alive. To look up many shards, use a Cache.
 func Desired(shard identity.ShardID, view membership.View) (Assignment, bool) {
 	return New(view).Desired(shard)
 }
 
-// Ranks returns the first n members of view in the shard's order of preference,
-// for looking its owner up. Suspect and leaving members keep their ranks, since
-// they may still own the shard.
+// Ranks returns the first n members of view in the shard's order of preference, to look up
+// its owner. Suspect and leaving members keep their ranks, since they may still own the
+// shard.
 func Ranks(shard identity.ShardID, view membership.View, n int) []identity.Node {
 	return New(view).Ranks(shard, n)
 }
 
-// Placement answers for one view. It remembers what it worked out and is safe
-// for concurrent use.
+// Placement computes and caches assignments for one view. It is safe for concurrent use.
 type Placement struct {
 	nodes []identity.Node
-	// candidates holds what placement needs of each of nodes, kept small for speed.
+	// candidates contains the data of nodes that scoring needs, in compact form.
 	candidates []candidate
-	// regionOfZone holds each zone's region, both as numbers.
+	// regionOfZone maps zone numbers to region numbers.
 	regionOfZone []int
 	alive        int
 
 	mutex sync.Mutex
-	// known and the scratch space are guarded by mutex.
-	known     map[identity.ShardID]choice
+	// mutex guards choices and the scratch space.
+	choices   map[identity.ShardID]choice
 	scores    []uint64
 	penalties []int
 }
 
-// candidate is one member: its hash, and its zone as a number.
+// candidate is a member: its hash and its zone number.
 type candidate struct {
 	hash  uint64
 	zone  int
@@ -86,7 +85,7 @@
 	p := &Placement{
 		nodes:      make([]identity.Node, 0, len(view.Members)),
 		candidates: make([]candidate, 0, len(view.Members)),
-		known:      map[identity.ShardID]choice{},
+		choices:    map[identity.ShardID]choice{},
 	}
 	zones := map[location]int{}
 	regions := map[identity.Region]int{}
@@ -123,7 +122,7 @@
 	return numbers[key]
 }
 
-// Desired returns where shard should be, and false where no member is alive.
+// Desired returns the assignment of shard; false if no member is alive.
 func (p *Placement) Desired(shard identity.ShardID) (Assignment, bool) {
 	if p.alive == 0 {
 		return Assignment{}, false
@@ -139,7 +138,7 @@
 	return assignment, true
 }
 
-// Owner returns the node that should own shard, and false where none is alive.
+// Owner returns the node that should own shard; false if no member is alive.
 func (p *Placement) Owner(shard identity.ShardID) (identity.Node, bool) {
 	if p.alive == 0 {
 		return identity.Node{}, false
@@ -147,8 +146,8 @@
 	return p.nodes[p.choose(shard).owner], true
 }
 
-// Ranks returns the first n members in the shard's order of preference; suspect
-// and leaving ones keep their ranks.
+// Ranks returns the first n members in the shard's order of preference, including suspect
+// and leaving ones.
 func (p *Placement) Ranks(shard identity.ShardID, n int) []identity.Node {
 	n = min(n, len(p.candidates))
 	shardHash := mix(uint64(shard) + 1)
@@ -171,15 +170,16 @@
 func (p *Placement) choose(shard identity.ShardID) choice {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if known, found := p.known[shard]; found {
+	if known, found := p.choices[shard]; found {
 		return known
 	}
 	picked := p.compute(shard)
-	p.known[shard] = picked
+	p.choices[shard] = picked
 	return picked
 }
 
-// compute needs at least one live candidate; the caller holds the mutex.
+// compute chooses the nodes of a shard. At least one candidate must be live, and the caller
+// must hold the mutex.
 func (p *Placement) compute(shard identity.ShardID) choice {
 	shardHash := mix(uint64(shard) + 1)
 	owner := -1
@@ -204,7 +204,7 @@
 	c.count++
 }
 
-func (c *choice) holds(index int) bool {
+func (c *choice) contains(index int) bool {
 	for _, replica := range c.replicas[:c.count] {
 		if replica == int32(index) {
 			return true
@@ -213,11 +213,11 @@
 	return c.owner == int32(index)
 }
 
-// nextReplica returns the best live candidate that is not picked yet: lowest
-// penalty first, then highest score. The penalties follow from what is picked
-// alone, so a candidate that is not picked does not change what is.
+// nextReplica returns the best live candidate that is not picked yet: lowest penalty first,
+// then highest score. Penalties depend only on the nodes already picked, so a candidate
+// that is not picked does not influence the others.
 func (p *Placement) nextReplica(picked *choice) int {
-	p.weighZones(picked)
+	p.setPenalties(picked)
 	best, bestPenalty, bestScore := -1, 0, uint64(0)
 	for i := range p.candidates {
 		candidate := &p.candidates[i]
@@ -225,24 +225,24 @@
 		if best >= 0 && (penalty > bestPenalty || (penalty == bestPenalty && score <= bestScore)) {
 			continue
 		}
-		if candidate.alive && !picked.holds(i) {
+		if candidate.alive && !picked.contains(i) {
 			best, bestPenalty, bestScore = i, penalty, score
 		}
 	}
 	return best
 }
 
-// The weights of the reasons against a zone; each outweighs all below it.
+// The penalties of a zone; each outweighs the sum of those below it.
 const (
 	penaltySharedZone  = 100
 	penaltyWrongRegion = 10
 	penaltyOwnersZone  = 1
 )
 
-// weighZones sets the penalty of each zone for the next replica: a zone that
-// holds a replica already, then the wrong side of the owner's region, then the
-// owner's own zone.
-func (p *Placement) weighZones(picked *choice) {
+// setPenalties sets the penalty of each zone for the next replica: highest for a zone that
+// already has a replica, then for one on the wrong side of the owner's region boundary,
+// then for the owner's zone.
+func (p *Placement) setPenalties(picked *choice) {
 	ownersZone := p.candidates[picked.owner].zone
 	ownersRegion := p.regionOfZone[ownersZone]
 	inRegion := 0
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestOnlyTheChangedNodesShardsMove(t *testing.T) {
+func TestOnlyShardsOfTheRemovedNodeMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(5, 40).Draw(t, "nodes")
 		before := site(count, rapid.IntRange(1, 3).Draw(t, "regions"), 2)
@@ -165,7 +165,7 @@
 	is.True(!found)
 }
 
-func TestCacheFollowsTheVersion(t *testing.T) {
+func TestCacheIsKeyedByViewVersion(t *testing.T) {
 	is := is.New(t)
 	var cache Cache
 	view := site(6, 1, 3)
@@ -175,9 +175,9 @@
 	is.True(cache.Get(view) != first)
 }
 
-// TestInheritedChoicesAreThoseFromScratch puts a cache through changes of the
-// site and compares each answer with one that was worked out anew.
-func TestInheritedChoicesAreThoseFromScratch(t *testing.T) {
+// TestInheritedChoicesEqualComputedOnes applies random membership changes to a cache and
+// compares its results with newly computed ones.
+func TestInheritedChoicesEqualComputedOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const names = 20
 		all := site(names, rapid.IntRange(1, 3).Draw(t, "regions"), rapid.IntRange(1, 3).Draw(t, "zones")).Members
@@ -211,7 +211,7 @@
 	return append([]identity.NodeName{assignment.Owner.Name}, names(assignment.Replicas)...)
 }
 
-// BenchmarkOneNodeChanges is the cost of a view in which one node came or went.
+// BenchmarkOneNodeChanges measures a view in which one node joined or left.
 func BenchmarkOneNodeChanges(b *testing.B) {
 	whole := site(380, 3, 2)
 	reduced := whole
--- a/internal/residency/homes_test.go
+++ b/internal/residency/allowedregions_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestHomesOfRouteAndTenantBothBind(t *testing.T) {
+func TestIntersectSatisfiesRouteAndTenant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := []string{"r1", "r2", "r3"}
 		route := rapid.SliceOfDistinct(rapid.SampledFrom(all), rapid.ID[string]).Draw(t, "route")
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestZoneWithoutARegionIsNoHome(t *testing.T) {
+func TestZoneWithoutRegionIsNotAllowed(t *testing.T) {
 	is := is.New(t)
 	regions := ZoneRegions{"z1": "r1"}
 	is.True(regions.Allows(OnlyIn([]string{"r1"}), "z1"))
@@ -38,7 +38,7 @@
 	is.Equal(AllowedRegions{}.String(), "any")
 }
 
-func TestFindingsNameTheirPlaces(t *testing.T) {
+func TestFindingsNameTheirSubjects(t *testing.T) {
 	is := is.New(t)
 	routes := []Subject{{"route a", OnlyIn([]string{"r1"})}, {"route b", OnlyIn(nil)}, {"route c", OnlyIn([]string{"r9"})}}
 	tenants := []Subject{{"tenant t", OnlyIn([]string{"r2"})}}
--- a/internal/zonestatus/status.go
+++ b/internal/zonestatus/status.go
@@ -1,26 +1,28 @@
-// Package zonestatus describes what a node of a platform tells operators of zones and of
-// replicas that are cold.
+// Package zonestatus defines the status of zones and cold replicas that a node serves to
+// operators.
 package zonestatus
 
 import "stepseam.example/stepseam/internal/coldstart"
 
-// Status is what one node believes.
+// Status is one node's view of the zones.
 type Status struct {
 	Node  string `json:"node"`
 	Zones []Zone `json:"zones"`
-	// Cold lists the replicas that get only so many requests a second.
+	// Cold lists the replicas whose request rate is limited because they are cold.
 	Cold []coldstart.Status `json:"cold"`
 }
 
-// Zone is a zone with replicas, or an evacuated one.
+// Zone is a zone that has replicas or is evacuated.
 type Zone struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
-	// Replicas are those that take work if the zone is not evacuated, Slots their places.
+	// Replicas is the number of ready replicas, whether or not the zone is evacuated; Slots
+	// is the sum of their slots.
 	Replicas int `json:"replicas"`
 	Slots    int `json:"slots"`
-	// EvacuatedMs is for how long the zone has been evacuated; nil if it is not.
+	// EvacuatedMs is the time since the zone's evacuation; nil if it is not evacuated.
 	EvacuatedMs *int64 `json:"evacuated_ms,omitempty"`
-	// LastSendMs is how long ago this node sent a request there; nil if it never did.
+	// LastSendMs is the time since this node's last request to the zone; nil if there was
+	// none.
 	LastSendMs *int64 `json:"last_send_ms,omitempty"`
 }
