--- a/internal/distribution/budget.go
+++ b/internal/distribution/budget.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// budget bounds the bytes of whole topics that a node tells others, so that those that ask
-// at the same time get theirs one after the other and soon tell others themselves. It is
-// safe for concurrent use.
+// budget is a token bucket for the bytes of topic snapshots that a node sends. It staggers
+// concurrent requests, so that the first nodes served can serve others sooner. It is safe
+// for concurrent use.
 type budget struct {
 	perSecond float64
 
-	// mutex guards all below.
-	mutex sync.Mutex
-	left  float64
-	at    time.Time
+	// mutex guards the fields below.
+	mutex     sync.Mutex
+	available float64
+	updated   time.Time
 }
 
 func newBudget(bytesPerSecond float64) *budget {
-	return &budget{perSecond: bytesPerSecond, left: bytesPerSecond}
+	return &budget{perSecond: bytesPerSecond, available: bytesPerSecond}
 }
 
-// take spends a number of bytes and tells whether there was anything left to spend. What
-// is spent beyond that is missing later.
+// take spends a number of bytes if any budget is left, and reports whether it was. A
+// request may overdraw the budget; later ones then wait until it is positive again.
 func (b *budget) take(bytes int, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if !b.at.IsZero() {
-		b.left = min(b.left+b.perSecond*now.Sub(b.at).Seconds(), b.perSecond)
+	if !b.updated.IsZero() {
+		b.available = min(b.available+b.perSecond*now.Sub(b.updated).Seconds(), b.perSecond)
 	}
-	b.at = now
-	if b.left <= 0 {
+	b.updated = now
+	if b.available <= 0 {
 		return false
 	}
-	b.left -= float64(bytes)
+	b.available -= float64(bytes)
 	return true
 }
--- a/internal/distribution/gate.go
+++ b/internal/distribution/gate.go
@@ -5,19 +5,18 @@
 	"sync"
 )
 
-// gate lets the reading of the store through while it is open. It is safe for concurrent
-// use.
-type gate struct {
-	// mutex guards opened, which is closed while the gate is open.
+// readGate blocks reads of the store until it is opened. It is safe for concurrent use.
+type readGate struct {
+	// mutex guards the fields below. opened is closed while the gate is open.
 	mutex  sync.Mutex
 	opened chan struct{}
 	isOpen bool
 }
 
-func newGate() *gate { return &gate{opened: make(chan struct{})} }
+func newReadGate() *readGate { return &readGate{opened: make(chan struct{})} }
 
-// set opens or closes the gate and tells whether that changes anything.
-func (g *gate) set(open bool) bool {
+// set opens or closes the gate and reports whether its state changed.
+func (g *readGate) set(open bool) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if open == g.isOpen {
@@ -32,14 +31,14 @@
 	return true
 }
 
-func (g *gate) open() bool {
+func (g *readGate) open() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.isOpen
 }
 
-// await returns once the gate is open, or an error when ctx ends.
-func (g *gate) await(ctx context.Context) error {
+// await blocks until the gate is open, or returns an error when ctx is canceled.
+func (g *readGate) await(ctx context.Context) error {
 	g.mutex.Lock()
 	opened := g.opened
 	g.mutex.Unlock()
--- a/internal/distribution/message.go
+++ b/internal/distribution/message.go
@@ -9,71 +9,72 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// The kinds of messages.
+// The message kinds.
 const (
-	kindAsk = peer.KindRangeDistribution + 1 + iota
-	kindTell
+	kindPullRequest = peer.KindRangeDistribution + 1 + iota
+	kindPullResponse
 )
 
-// ask asks a node for what it knows of a topic.
-type ask struct {
-	// Topic is the topic's number, alike on all nodes.
+// pullRequest requests a topic, or the changes to it, from a peer.
+type pullRequest struct {
+	// Topic is the topic's index, the same on all nodes.
 	Topic uint8
-	// Known tells that the asking node knows the topic up to Position.
+	// Known is set if the requesting node has the topic up to Position.
 	Known    bool
 	Position logstore.Offset
-	// Paging asks for the whole, from the first key behind After on.
+	// Paging requests a page of the snapshot, starting after the key After.
 	Paging bool
 	After  string
-	// Hold is how long the answer may wait for a change.
-	Hold time.Duration
-	// From is where the asking node is reached.
+	// MaxWait is how long the response may be delayed until there is a change.
+	MaxWait time.Duration
+	// From is the requesting node's address.
 	From netip.AddrPort
 }
 
 // Kind implements peer.Message.
-func (*ask) Kind() peer.Kind { return kindAsk }
+func (*pullRequest) Kind() peer.Kind { return kindPullRequest }
 
 // Encode implements peer.Message.
-func (m *ask) Encode(e *wire.Encoder) {
+func (m *pullRequest) Encode(e *wire.Encoder) {
 	e.Uint8(m.Topic)
 	e.Bool(m.Known)
 	e.Uint64(uint64(m.Position))
 	e.Bool(m.Paging)
 	e.String(m.After)
-	e.Duration(m.Hold)
+	e.Duration(m.MaxWait)
 	e.AddrPort(m.From)
 	e.Blob(nil)
 }
 
 // Decode implements peer.Message.
-func (m *ask) Decode(d *wire.Decoder) {
+func (m *pullRequest) Decode(d *wire.Decoder) {
 	m.Topic, m.Known, m.Position = d.Uint8(), d.Bool(), logstore.Offset(d.Uint64())
-	m.Paging, m.After, m.Hold = d.Bool(), d.String(), d.Duration()
+	m.Paging, m.After, m.MaxWait = d.Bool(), d.String(), d.Duration()
 	m.From = d.AddrPort()
-	d.Blob() // what newer builds add
+	d.Blob() // fields added by newer builds
 }
 
-// state tells what an answer holds.
+// state is the type of a response.
 type state uint8
 
-// The states of answers.
+// The types of responses.
 const (
-	// stateUnknown tells that the answering node does not know the topic.
+	// stateUnknown: the responding node does not have the topic.
 	stateUnknown state = iota + 1
-	// stateBusy tells that it tells others right now.
+	// stateBusy: the responding node serves too many others at the moment.
 	stateBusy
-	// stateBehind tells that it knows less than the asking node.
+	// stateBehind: the responding node's position is lower than the requested one.
 	stateBehind
-	// stateGap tells that it does not know all changes since; the whole is to be asked for.
+	// stateGap: the responding node no longer has all changes since the position; a
+	// snapshot is needed.
 	stateGap
-	// stateChanges tells that the answer holds all changes since.
+	// stateChanges: the response contains all changes since the position.
 	stateChanges
-	// statePage tells that the answer holds a page of the whole.
+	// statePage: the response contains a page of the snapshot.
 	statePage
 )
 
-// String names the state for metrics.
+// String returns the state's metric label.
 func (s state) String() string {
 	switch s {
 	case stateUnknown:
@@ -92,31 +93,31 @@
 	return "unreadable"
 }
 
-// tell answers ask.
-type tell struct {
+// pullResponse responds to pullRequest.
+type pullResponse struct {
 	State    state
 	Position logstore.Offset
-	// Aged tells that what is told was the newest Age before the answer was sent, which
-	// was Held after the question came.
-	Aged      bool
-	Age, Held time.Duration
-	// More tells that there are more pages.
+	// AgeKnown is set if the topic was confirmed to be the newest Age before the response
+	// was sent. The response was sent Waited after the request arrived.
+	AgeKnown    bool
+	Age, Waited time.Duration
+	// More is set if pages follow.
 	More  bool
 	Items []logstore.Item
-	// Holders are nodes that know the topic as well.
-	Holders []netip.AddrPort
+	// Alternatives are other nodes that have the topic.
+	Alternatives []netip.AddrPort
 }
 
 // Kind implements peer.Message.
-func (*tell) Kind() peer.Kind { return kindTell }
+func (*pullResponse) Kind() peer.Kind { return kindPullResponse }
 
 // Encode implements peer.Message.
-func (m *tell) Encode(e *wire.Encoder) {
+func (m *pullResponse) Encode(e *wire.Encoder) {
 	e.Uint8(uint8(m.State))
 	e.Uint64(uint64(m.Position))
-	e.Bool(m.Aged)
+	e.Bool(m.AgeKnown)
 	e.Duration(m.Age)
-	e.Duration(m.Held)
+	e.Duration(m.Waited)
 	e.Bool(m.More)
 	e.Uint32(uint32(len(m.Items)))
 	for _, item := range m.Items {
@@ -124,25 +125,25 @@
 		e.Bool(item.Value != nil)
 		e.Blob(item.Value)
 	}
-	e.Uint32(uint32(len(m.Holders)))
-	for _, holder := range m.Holders {
-		e.AddrPort(holder)
+	e.Uint32(uint32(len(m.Alternatives)))
+	for _, address := range m.Alternatives {
+		e.AddrPort(address)
 	}
 	e.Blob(nil)
 }
 
-// leastItemBytes and leastHolderBytes are the least encoded sizes.
+// minItemBytes and minAddressBytes are the minimum encoded sizes.
 const (
-	leastItemBytes   = 9
-	leastHolderBytes = 4
+	minItemBytes    = 9
+	minAddressBytes = 4
 )
 
 // Decode implements peer.Message.
-func (m *tell) Decode(d *wire.Decoder) {
+func (m *pullResponse) Decode(d *wire.Decoder) {
 	m.State, m.Position = state(d.Uint8()), logstore.Offset(d.Uint64())
-	m.Aged, m.Age, m.Held = d.Bool(), d.Duration(), d.Duration()
+	m.AgeKnown, m.Age, m.Waited = d.Bool(), d.Duration(), d.Duration()
 	m.More = d.Bool()
-	for range d.Count(leastItemBytes) {
+	for range d.Count(minItemBytes) {
 		item := logstore.Item{Key: d.String()}
 		present, value := d.Bool(), d.Blob()
 		if present {
@@ -150,8 +151,8 @@
 		}
 		m.Items = append(m.Items, item)
 	}
-	for range d.Count(leastHolderBytes) {
-		m.Holders = append(m.Holders, d.AddrPort())
+	for range d.Count(minAddressBytes) {
+		m.Alternatives = append(m.Alternatives, d.AddrPort())
 	}
-	d.Blob() // what newer builds add
+	d.Blob() // fields added by newer builds
 }
--- a/internal/distribution/metrics.go
+++ b/internal/distribution/metrics.go
@@ -6,31 +6,31 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics count what nodes tell each other of topics.
+// metrics counts the requests and responses between nodes.
 type metrics struct {
-	told, heard *prometheus.CounterVec
+	responses, requests *prometheus.CounterVec
 }
 
 func newMetrics(service *Service, registerer prometheus.Registerer) *metrics {
 	made := &metrics{
-		told: prometheus.NewCounterVec(prometheus.CounterOpts{
+		responses: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "stepseam_topic_answers_total", Help: "Answers to other nodes on topics of the store, by topic and what they held.",
 		}, []string{"topic", "state"}),
-		heard: prometheus.NewCounterVec(prometheus.CounterOpts{
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "stepseam_topic_questions_total", Help: "Questions to other nodes on topics of the store, by topic and what came of them.",
 		}, []string{"topic", "outcome"}),
 	}
 	if registerer == nil {
 		return made
 	}
-	registerer.MustRegister(made.told, made.heard)
-	for _, one := range service.followers {
+	registerer.MustRegister(made.responses, made.requests)
+	for _, one := range service.pullers {
 		registerer.MustRegister(
 			prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 				Name: "stepseam_topic_age_seconds", Help: "How old what this node knows of a topic may be; -1 if nothing is known.",
-				ConstLabels: prometheus.Labels{"topic": one.feed.Topic.name},
+				ConstLabels: prometheus.Labels{"topic": one.subscription.Topic.name},
 			}, func() float64 {
-				age, known := one.feed.Topic.Age(time.Now())
+				age, known := one.subscription.Topic.Age(time.Now())
 				if !known {
 					return -1
 				}
@@ -38,7 +38,7 @@
 			}),
 			prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 				Name: "stepseam_topic_read", Help: "1 where this node reads the topic from the store, 0 where it hears from another.",
-				ConstLabels: prometheus.Labels{"topic": one.feed.Topic.name},
+				ConstLabels: prometheus.Labels{"topic": one.subscription.Topic.name},
 			}, func() float64 {
 				if one.gate.open() {
 					return 1
--- a/internal/distribution/plan.go
+++ b/internal/distribution/plan.go
@@ -10,49 +10,51 @@
 )
 
 const (
-	// headsPerZone is how many nodes of a zone ask the readers, so that a zone goes on
-	// while one of them is gone.
+	// headsPerZone is the number of nodes in each zone that pull from readers, so that a
+	// zone stays connected if one of them fails.
 	headsPerZone = 2
-	// fanOut is how many nodes ask one node. With 8, a zone of 200 nodes is three steps
-	// deep, and its inner nodes are its 25 largest.
+	// fanOut is the number of nodes that pull from one node. With 8, the tree of a zone of
+	// 200 nodes has three levels, and its inner nodes are the 25 largest.
 	fanOut = 8
-	// leastReaders is how many nodes read the store however many entries there are.
-	leastReaders = 2
+	// minReaders is the number of readers however many entries there are.
+	minReaders = 2
 )
 
-// Policy says how many nodes read the store themselves.
+// Policy determines how many nodes read the store.
 type Policy struct {
-	// DirectEntries is up to how many entries, over all nodes, all nodes read the store.
+	// DirectEntries is the number of entries, summed over all nodes, up to which all nodes
+	// read the store.
 	DirectEntries int
-	// ReadEntries is how many entries the readers may read together beyond that.
+	// ReadEntries is the number of entries that the readers may read in total above that.
 	ReadEntries int
 }
 
-// Readers returns how many of the nodes read topics with a number of entries.
+// Readers returns the number of readers among the nodes, for topics with the given number
+// of entries.
 func (p Policy) Readers(nodes, entries int) int {
 	if nodes*entries <= p.DirectEntries {
 		return nodes
 	}
-	return min(max(p.ReadEntries/entries, leastReaders), nodes)
+	return min(max(p.ReadEntries/entries, minReaders), nodes)
 }
 
-// Role is a node's place in the distribution.
+// Role is a node's role in the distribution tree.
 type Role struct {
-	// Reads tells that it reads the store.
+	// Reads is set if the node reads the store.
 	Reads bool
-	// All tells that all nodes do.
+	// All is set if all nodes read the store.
 	All bool
-	// Tier is how many nodes there are between it and a reader, and 0 at a reader.
+	// Tier is the number of hops to a reader; 0 at a reader.
 	Tier int
-	// Parents are the nodes to hear from, the best first. All of them go before this node
-	// in rank, so that two never wait for each other.
+	// Parents are the nodes to pull from, in order of preference. They all precede this
+	// node in rank, so that no two nodes wait for each other.
 	Parents []netip.AddrPort
 }
 
-// Plan places the nodes of a site by the members that one node knows.
+// Plan assigns roles to the nodes of a site according to the members that one node knows.
 type Plan struct {
 	self identity.NodeName
-	// order holds the living members by rank, zones holds them by zone.
+	// order contains the live members by rank; zones groups them by zone.
 	order []ranked
 	zones map[identity.Zone][]ranked
 }
@@ -63,14 +65,14 @@
 	address  netip.AddrPort
 	capacity uint32
 	score    uint64
-	// inZone is how many of its zone go before it.
+	// inZone is the node's rank within its zone, from 0.
 	inZone int
 }
 
-// rankKey is what nodes are ranked for.
+// rankKey is the hash key by which nodes are ranked.
 const rankKey = "distribution"
 
-// NewPlan ranks the members that live: those with more processor first, equals by hash.
+// NewPlan ranks the live members by capacity, then by hash.
 func NewPlan(self identity.NodeName, members []membership.Member) *Plan {
 	plan := &Plan{self: self, zones: map[identity.Zone][]ranked{}}
 	for _, member := range members {
@@ -88,7 +90,8 @@
 		one.inZone = len(plan.zones[one.zone])
 		plan.zones[one.zone] = append(plan.zones[one.zone], *one)
 	}
-	// The first of each zone go before the second ones, so that readers lie in many zones.
+	// The first nodes of all zones precede the second ones, so that readers are spread over
+	// many zones.
 	slices.SortStableFunc(plan.order, func(a, b ranked) int { return cmp.Compare(a.inZone, b.inZone) })
 	return plan
 }
@@ -97,38 +100,38 @@
 	return cmp.Or(cmp.Compare(b.capacity, a.capacity), cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name))
 }
 
-// Size returns how many nodes are placed.
+// Size returns the number of ranked nodes.
 func (p *Plan) Size() int { return len(p.order) }
 
-// Role returns this node's place among a number of readers.
+// Role returns this node's role, given the number of readers.
 func (p *Plan) Role(readers int) Role {
 	readers = min(readers, len(p.order))
 	self, found := p.find()
 	if !found {
 		return Role{}
 	}
-	place := Role{All: readers == len(p.order)}
+	role := Role{All: readers == len(p.order)}
 	for i, reader := range p.order[:readers] {
 		if reader.name == p.self {
-			place.Reads = true
+			role.Reads = true
 			continue
 		}
-		// Each node has another reader first.
+		// Nodes prefer different readers, chosen by hash.
 		if (int(self.score)&0xffff+i)%max(readers, 1) == 0 {
-			place.Parents = append([]netip.AddrPort{reader.address}, place.Parents...)
-		} else if len(place.Parents) < fanOut {
-			place.Parents = append(place.Parents, reader.address)
+			role.Parents = append([]netip.AddrPort{reader.address}, role.Parents...)
+		} else if len(role.Parents) < fanOut {
+			role.Parents = append(role.Parents, reader.address)
 		}
 	}
-	if place.Reads {
-		return place
+	if role.Reads {
+		return role
 	}
-	place.Tier = 1
+	role.Tier = 1
 	if self.inZone >= headsPerZone {
-		place.Parents = append(p.parents(self), place.Parents...)
-		place.Tier = tier(self.inZone)
+		role.Parents = append(p.parents(self), role.Parents...)
+		role.Tier = tier(self.inZone)
 	}
-	return place
+	return role
 }
 
 func (p *Plan) find() (ranked, bool) {
@@ -140,8 +143,8 @@
 	return ranked{}, false
 }
 
-// parents returns whom a node below the heads asks: its own parent, the one beside that,
-// and the heads.
+// parents returns the sources of a node below the zone heads: its own parent, that one's
+// sibling, and the heads.
 func (p *Plan) parents(self ranked) []netip.AddrPort {
 	zone := p.zones[self.zone]
 	first := parentOf(self.inZone)
@@ -154,10 +157,10 @@
 	return parents
 }
 
-// parentOf returns the place in its zone of the node that a node below the heads asks.
+// parentOf returns the rank in its zone of the parent of a node below the heads.
 func parentOf(inZone int) int { return (inZone - headsPerZone) / fanOut }
 
-// tier returns how many nodes there are between a node and a reader.
+// tier returns the number of hops between a node and a reader.
 func tier(inZone int) int {
 	steps := 1
 	for inZone >= headsPerZone {
--- a/internal/distribution/plan_test.go
+++ b/internal/distribution/plan_test.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// member returns node number i of a site of five zones, of which every fifth node is large.
+// member returns node i of a site of five zones, in which every fifth node is large.
 func member(i int) membership.Member {
 	capacity := uint32(192)
 	if i/5%5 == 0 {
@@ -36,34 +36,35 @@
 	return all
 }
 
-func TestSmallSitesReadTheStoreThemselves(t *testing.T) {
+func TestAllNodesOfSmallSitesRead(t *testing.T) {
 	is := is.New(t)
 	policy := Policy{DirectEntries: 200_000, ReadEntries: 20_000}
 	is.Equal(policy.Readers(100, 100), 100)
 	is.Equal(policy.Readers(295, 140), 295)
-	is.Equal(policy.Readers(984, 10_000), leastReaders)
+	is.Equal(policy.Readers(984, 10_000), minReaders)
 	is.Equal(policy.Readers(1000, 1000), 20)
 	is.Equal(policy.Readers(1, 1_000_000), 1)
-	place := NewPlan("n0003", members(10)).Role(10)
-	is.True(place.Reads && place.All)
-	is.Equal(place.Tier, 0)
+	role := NewPlan("n0003", members(10)).Role(10)
+	is.True(role.Reads && role.All)
+	is.Equal(role.Tier, 0)
 }
 
-// TestTreesAreFlatAndEven: of 1,000 nodes each is asked by few, none is far from a reader,
-// the inner ones are the large ones, and readers lie in different zones.
-func TestTreesAreFlatAndEven(t *testing.T) {
+// TestTreesAreBalanced checks for 1,000 nodes that each serves few others, that none is far
+// from a reader, that the inner nodes are the large ones, and that readers are in different
+// zones.
+func TestTreesAreBalanced(t *testing.T) {
 	is := is.New(t)
 	all := members(1000)
 	asked := map[netip.AddrPort]int{}
 	readers := map[identity.Zone]int{}
 	for _, one := range all {
-		place := NewPlan(one.Node.Name, all).Role(3)
-		if place.Reads {
+		role := NewPlan(one.Node.Name, all).Role(3)
+		if role.Reads {
 			readers[one.Node.Zone]++
 			continue
 		}
-		is.True(place.Tier <= 4)
-		asked[place.Parents[0]]++
+		is.True(role.Tier <= 4)
+		asked[role.Parents[0]]++
 	}
 	is.Equal(len(readers), 3)
 	for i, one := range all {
@@ -74,9 +75,9 @@
 	}
 }
 
-// TestNobodyWaitsForThoseThatWaitForIt: whatever part of the members two nodes know, never
-// does each hear from the other, since parents go before in a rank that all agree on.
-func TestNobodyWaitsForThoseThatWaitForIt(t *testing.T) {
+// TestParentsPrecedeTheirChildrenInRank guards against cycles: whichever members two nodes
+// know, they never pull from each other.
+func TestParentsPrecedeTheirChildrenInRank(t *testing.T) {
 	all := members(60)
 	rapid.Check(t, func(t *rapid.T) {
 		readers := rapid.IntRange(1, 5).Draw(t, "readers")
@@ -94,15 +95,15 @@
 	})
 }
 
-// laterParent returns a parent of the first of the known members that lies in its zone and
-// comes after it in rank, if there is one.
+// laterParent returns a parent of known[0] in the same zone that does not precede it in
+// rank, if there is one.
 func laterParent(known []membership.Member, readers int) (membership.Member, bool) {
 	own := known[0]
-	place := NewPlan(own.Node.Name, known).Role(readers)
-	if place.Reads {
+	role := NewPlan(own.Node.Name, known).Role(readers)
+	if role.Reads {
 		return membership.Member{}, false
 	}
-	for _, parent := range place.Parents {
+	for _, parent := range role.Parents {
 		at := slices.IndexFunc(known, func(m membership.Member) bool { return m.Node.PeerAddress == parent })
 		if known[at].Node.Zone == own.Node.Zone && compareRanked(rankedOf(known[at]), rankedOf(own)) >= 0 {
 			return known[at], true
--- a/internal/distribution/duty_test.go
+++ b/internal/distribution/readdecider_test.go
@@ -7,17 +7,17 @@
 	"github.com/matryer/is"
 )
 
-func TestDutyToReadTheStore(t *testing.T) {
+func TestShouldRead(t *testing.T) {
 	const second = time.Second
 	reader := Role{Reads: true}
 	for _, c := range []struct {
-		name      string
-		situation ReadConditions
-		reads     bool
+		name       string
+		conditions ReadConditions
+		reads      bool
 	}{
 		{"a node without others", ReadConditions{Alone: true}, true},
 		{"a seed that starts", ReadConditions{Seed: true, Members: 1}, true},
-		{"a seed that has settled", ReadConditions{Now: youngTime, Seed: true, Known: true, Members: 900, Role: Role{Tier: 2}}, false},
+		{"a seed that has settled", ReadConditions{Now: seedStartupTime, Seed: true, Known: true, Members: 900, Role: Role{Tier: 2}}, false},
 		{"a node that starts beside living seeds", ReadConditions{Now: 2 * second, Members: 30, SeedsLive: true}, false},
 		{"a node that starts and misses the seeds", ReadConditions{Now: second, Members: 5}, true},
 		{"one of many that miss the seeds", ReadConditions{Now: second, Members: 900, Random: 0.5}, false},
@@ -31,33 +31,33 @@
 		{"a node below it", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 1600 * time.Millisecond, Role: Role{Tier: 2}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal((&ReadDecider{}).ShouldRead(c.situation), c.reads)
+			is.New(t).Equal((&ReadDecider{}).ShouldRead(c.conditions), c.reads)
 		})
 	}
 }
 
-func TestReadersTakeUpTheirDutyOnceTheMembersAreKnown(t *testing.T) {
+func TestReadersStartOnceMembersAreStable(t *testing.T) {
 	is := is.New(t)
-	duty := &ReadDecider{}
+	decider := &ReadDecider{}
 	at := func(now time.Duration, members int) bool {
-		return duty.ShouldRead(ReadConditions{Now: now, Known: true, Members: members, Role: Role{Reads: true}})
+		return decider.ShouldRead(ReadConditions{Now: now, Known: true, Members: members, Role: Role{Reads: true}})
 	}
 	is.True(!at(time.Second, 10))
-	is.True(!at(2*time.Second, 300)) // it learns of others
+	is.True(!at(2*time.Second, 300)) // it learns of more members
 	is.True(!at(3*time.Second, 310))
 	is.True(at(4*time.Second, 310))
-	is.True(at(5*time.Second, 900)) // a reader that learns of others goes on reading
+	is.True(at(5*time.Second, 900)) // a reader keeps reading when it learns of more members
 }
 
-func TestOrphansReadForAWhile(t *testing.T) {
+func TestOrphansReadForInterimTime(t *testing.T) {
 	is := is.New(t)
-	duty := &ReadDecider{}
-	is.True(duty.ShouldRead(ReadConditions{Now: 30 * time.Second, Known: true, Age: 2 * time.Second, Role: Role{Tier: 1}}))
-	is.True(duty.ShouldRead(ReadConditions{Now: 31 * time.Second, Known: true, Role: Role{Tier: 1}}))
-	is.True(!duty.ShouldRead(ReadConditions{Now: 34 * time.Second, Known: true, Role: Role{Tier: 1}}))
+	decider := &ReadDecider{}
+	is.True(decider.ShouldRead(ReadConditions{Now: 30 * time.Second, Known: true, Age: 2 * time.Second, Role: Role{Tier: 1}}))
+	is.True(decider.ShouldRead(ReadConditions{Now: 31 * time.Second, Known: true, Role: Role{Tier: 1}}))
+	is.True(!decider.ShouldRead(ReadConditions{Now: 34 * time.Second, Known: true, Role: Role{Tier: 1}}))
 }
 
-func TestBudgetSpreadsWholeTopics(t *testing.T) {
+func TestBudgetLimitsSnapshots(t *testing.T) {
 	is := is.New(t)
 	allowed := newBudget(1000)
 	now := time.Unix(0, 0)
--- a/internal/distribution/service.go
+++ b/internal/distribution/service.go
@@ -20,44 +20,45 @@
 )
 
 const (
-	// holdTime is how long a question may wait for a change. Knowledge of a node is older
-	// than that of the node before it by about as much.
-	holdTime = 400 * time.Millisecond
-	// gatherTime is how long an answer waits for further changes after one, so that a node
-	// answers each of the others at most six times a second while replicas come and go. A
-	// change takes as much longer for each step of the tree.
-	gatherTime = 150 * time.Millisecond
-	// pageBytes is the size of a page: a sixth of a second on the slowest link while eight
-	// nodes ask.
+	// maxWait is the maximum time for which a request waits for a change. Each hop adds
+	// about as much to the age of a topic.
+	maxWait = 400 * time.Millisecond
+	// batchTime is how long a response is delayed after a change to include further
+	// changes. It limits the responses to each peer to six a second while replicas change,
+	// and adds its length to the propagation time of each hop.
+	batchTime = 150 * time.Millisecond
+	// pageBytes is the size of a page. On the slowest link, eight concurrent pages take a
+	// sixth of a second each.
 	pageBytes = 64 << 10
-	// linkPart is the part of the node's link that whole topics may take.
-	linkPart = 0.75
-	// mostHeld is how many questions on one topic a node holds at a time: twice those of the
-	// nodes that hear from it and as many that start. Others are told of other holders.
-	mostHeld = 4 * fanOut
-	// mostHolders is how many nodes that know a topic are named to one that has to wait.
-	mostHolders = 8
+	// linkFraction is the fraction of the node's link bandwidth that snapshots may use.
+	linkFraction = 0.75
+	// maxWaiting is the maximum number of requests per topic that wait for a change: twice
+	// the number of direct children, and as many starting nodes. Others are referred to
+	// alternative sources.
+	maxWaiting = 4 * fanOut
+	// maxAlternatives is the maximum number of alternative sources in a response.
+	maxAlternatives = 8
 )
 
-// Subscription joins a topic with those who use it.
+// Subscription is a topic with the callbacks that apply updates from peers.
 type Subscription struct {
 	Topic *Topic
-	// Replace takes the whole topic at a position as another node knows it, Change what has
-	// changed up to a position. Both have the topic take it.
+	// Replace applies a peer's snapshot at a position, Apply the changes up to a position.
+	// Both must update Topic.
 	Replace func(items []logstore.Item, position logstore.Offset)
 	Apply   func(items []logstore.Item, position logstore.Offset)
-	// Confirm is told of a time at which the store held nothing newer.
+	// Confirm is called with a time at which the store had nothing newer.
 	Confirm func(at time.Time)
 }
 
-// Config is what a Service is made from; all fields but Registerer are required.
+// Config configures a Service; all fields except Registerer are required.
 type Config struct {
 	Self identity.NodeName
-	// Own is where other nodes reach this one.
+	// Own is this node's peer address.
 	Own   netip.AddrPort
 	Seeds []netip.AddrPort
 	Peers peer.Client
-	// LinkBytesPerSecond is what the node's link carries.
+	// LinkBytesPerSecond is the bandwidth of the node's link.
 	LinkBytesPerSecond float64
 	Policy             Policy
 	// Subscriptions are the topics, in the same order on all nodes.
@@ -66,66 +67,66 @@
 	Registerer    prometheus.Registerer
 }
 
-// Service hears of topics from other nodes and tells them. It is safe for concurrent use.
+// Service pulls topics from peers and serves them to peers. It is safe for concurrent use.
 type Service struct {
-	config    Config
-	began     time.Time
-	followers []*follower
-	metrics   *metrics
-	budget    *budget
-	// held counts the questions that wait for a change, by topic.
-	held []atomic.Int32
+	config  Config
+	began   time.Time
+	pullers []*puller
+	metrics *metrics
+	budget  *budget
+	// waiting counts the requests that wait for a change, by topic.
+	waiting []atomic.Int32
 
-	// mutex guards all below.
-	mutex   sync.Mutex
-	plan    *Plan
-	readers int
-	place   Role
-	// others are the other living members, seedsLive tells that a seed is among them.
+	// mutex guards the fields below.
+	mutex       sync.Mutex
+	plan        *Plan
+	readers     int
+	currentRole Role
+	// others are the other live members; seedsLive is set if they include a seed.
 	others    []netip.AddrPort
 	seedsLive bool
-	// holders are the last nodes that asked and know the topics.
+	// holders are the last requesting nodes that have the topics.
 	holders []netip.AddrPort
 }
 
-// New returns a service that knows no other node yet.
+// New returns a service without members.
 func New(config Config) *Service {
 	made := &Service{
 		config: config, began: time.Now(), plan: NewPlan(config.Self, nil),
-		budget: newBudget(config.LinkBytesPerSecond * linkPart), held: make([]atomic.Int32, len(config.Subscriptions)),
+		budget: newBudget(config.LinkBytesPerSecond * linkFraction), waiting: make([]atomic.Int32, len(config.Subscriptions)),
 	}
-	for number, feed := range config.Subscriptions {
-		made.followers = append(made.followers, newFollower(made, uint8(number), feed))
+	for index, subscription := range config.Subscriptions {
+		made.pullers = append(made.pullers, newPuller(made, uint8(index), subscription))
 	}
 	made.metrics = newMetrics(made, config.Registerer)
 	return made
 }
 
-// Register adds the messages and the handler of a node that is asked.
+// Register registers the message types and the request handler.
 func (s *Service) Register(registry *peer.Registry) {
-	registry.Add(func() peer.Message { return &ask{} }, func() peer.Message { return &tell{} })
-	registry.Handle(kindAsk, peer.HandlerFunc(s.answer))
+	registry.Add(func() peer.Message { return &pullRequest{} }, func() peer.Message { return &pullResponse{} })
+	registry.Handle(kindPullRequest, peer.HandlerFunc(s.handlePull))
 }
 
-// Run hears of all topics until ctx ends.
+// Run pulls all topics until ctx is canceled.
 func (s *Service) Run(ctx context.Context) {
 	var loops sync.WaitGroup
-	for _, one := range s.followers {
+	for _, one := range s.pullers {
 		loops.Go(func() { one.run(ctx) })
 	}
 	loops.Wait()
 }
 
-// AwaitReader returns once this node is to read a topic from the store, or an error when ctx
-// ends.
+// AwaitReader blocks until this node is to read a topic from the store, or returns an error
+// when ctx is canceled.
 func (s *Service) AwaitReader(ctx context.Context, topic int) error {
-	return s.followers[topic].gate.await(ctx)
+	return s.pullers[topic].gate.await(ctx)
 }
 
-// Reads tells whether this node reads a topic from the store.
-func (s *Service) Reads(topic int) bool { return s.followers[topic].gate.open() }
+// Reads reports whether this node reads a topic from the store.
+func (s *Service) Reads(topic int) bool { return s.pullers[topic].gate.open() }
 
-// SetView takes the members.
+// SetView updates the members.
 func (s *Service) SetView(view membership.View) {
 	plan := NewPlan(s.config.Self, view.Members)
 	var others []netip.AddrPort
@@ -142,47 +143,48 @@
 	s.plan, s.others, s.seedsLive, s.readers = plan, others, seedsLive, 0
 }
 
-// ServesPeers tells whether other nodes hear from this one, so that it has to know early.
+// ServesPeers reports whether this node reads the store on behalf of others, so that its
+// own topics should be fresh.
 func (s *Service) ServesPeers() bool {
-	place := s.placed()
-	return place.Reads && !place.All
+	role := s.role()
+	return role.Reads && !role.All
 }
 
-// placed returns this node's place by the newest members and entries.
-func (s *Service) placed() Role {
+// role returns this node's role for the current members and entries.
+func (s *Service) role() Role {
 	entries := 0
-	for _, feed := range s.config.Subscriptions {
-		entries += feed.Topic.Size()
+	for _, subscription := range s.config.Subscriptions {
+		entries += subscription.Topic.Size()
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if readers := s.config.Policy.Readers(s.plan.Size(), max(entries, 1)); readers != s.readers {
-		s.readers, s.place = readers, s.plan.Role(readers)
+		s.readers, s.currentRole = readers, s.plan.Role(readers)
 	}
-	return s.place
+	return s.currentRole
 }
 
-// situation describes what decides whether this node reads a topic.
-func (s *Service) situation(topic *Topic) ReadConditions {
-	place := s.placed()
+// conditions returns the conditions that decide whether this node reads a topic.
+func (s *Service) conditions(topic *Topic) ReadConditions {
+	role := s.role()
 	age, _ := topic.Age(time.Now())
 	_, known := topic.Position()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return ReadConditions{
-		Now: time.Since(s.began), Role: place, Members: max(s.plan.Size(), 1),
+		Now: time.Since(s.began), Role: role, Members: max(s.plan.Size(), 1),
 		Alone: len(s.config.Seeds) == 0 && len(s.others) == 0,
 		Seed:  slices.Contains(s.config.Seeds, s.config.Own), SeedsLive: s.seedsLive,
 		Known: known, Age: age, Random: rand.Float64(),
 	}
 }
 
-// neighbours is how many other members a node asks beside its parents: few, so that it keeps
-// few connections, and so many that all of them know nothing fresh only where nobody does.
-const neighbours = 8
+// neighbourCount is the number of members that a node may query besides its parents: few,
+// so that it keeps few connections, but enough that some are likely to be fresh.
+const neighbourCount = 8
 
-// neighbour returns one of a few living members that are the same for this node as long as
-// members don't change.
+// neighbour returns a random one of a few live members. The set stays the same as long as
+// the members do.
 func (s *Service) neighbour() (netip.AddrPort, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -190,88 +192,88 @@
 		return netip.AddrPort{}, false
 	}
 	first := membership.Score(rankKey, s.config.Self) % uint64(len(s.others))
-	return s.others[(first+rand.Uint64N(neighbours))%uint64(len(s.others))], true
+	return s.others[(first+rand.Uint64N(neighbourCount))%uint64(len(s.others))], true
 }
 
-// noteHolder remembers a node that knows the topics.
-func (s *Service) noteHolder(holder netip.AddrPort) {
+// addHolder records a node that has the topics.
+func (s *Service) addHolder(holder netip.AddrPort) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if slices.Contains(s.holders, holder) {
 		return
 	}
-	if len(s.holders) == mostHolders {
+	if len(s.holders) == maxAlternatives {
 		s.holders = s.holders[1:]
 	}
 	s.holders = append(slices.Clip(s.holders), holder)
 }
 
-func (s *Service) knownHolders() []netip.AddrPort {
+func (s *Service) alternatives() []netip.AddrPort {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.holders
 }
 
-// answer tells another node what this one knows of a topic.
-func (s *Service) answer(ctx context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
-	asked, ok := request.(*ask)
+// handlePull responds to a peer's request.
+func (s *Service) handlePull(ctx context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
+	pull, ok := request.(*pullRequest)
 	if !ok {
 		return nil, fmt.Errorf("distribution: unexpected %T", request)
 	}
-	if int(asked.Topic) >= len(s.config.Subscriptions) {
-		return &tell{State: stateUnknown}, nil
+	if int(pull.Topic) >= len(s.config.Subscriptions) {
+		return &pullResponse{State: stateUnknown}, nil
 	}
-	topic := s.config.Subscriptions[asked.Topic].Topic
+	topic := s.config.Subscriptions[pull.Topic].Topic
 	began := time.Now()
-	var told *tell
-	switch held := &s.held[asked.Topic]; {
-	case asked.Paging:
-		told = s.page(topic, asked)
-	case held.Add(1) > mostHeld && asked.Hold > 0:
-		told = &tell{State: stateBusy, Holders: s.knownHolders()}
-		held.Add(-1)
+	var response *pullResponse
+	switch waiting := &s.waiting[pull.Topic]; {
+	case pull.Paging:
+		response = s.page(topic, pull)
+	case waiting.Add(1) > maxWaiting && pull.MaxWait > 0:
+		response = &pullResponse{State: stateBusy, Alternatives: s.alternatives()}
+		waiting.Add(-1)
 	default:
-		told = s.changes(ctx, topic, asked)
-		held.Add(-1)
+		response = s.changes(ctx, topic, pull)
+		waiting.Add(-1)
 	}
-	told.Held = time.Since(began)
-	if asked.Known {
-		s.noteHolder(asked.From)
+	response.Waited = time.Since(began)
+	if pull.Known {
+		s.addHolder(pull.From)
 	}
-	s.metrics.told.WithLabelValues(topic.name, told.State.String()).Inc()
-	return told, nil
+	s.metrics.responses.WithLabelValues(topic.name, response.State.String()).Inc()
+	return response, nil
 }
 
-// page answers with a page of the whole topic. The first page of a topic takes what the
-// whole takes of the budget.
-func (s *Service) page(topic *Topic, asked *ask) *tell {
+// page returns a page of the snapshot. The first page charges the whole snapshot to the
+// budget.
+func (s *Service) page(topic *Topic, request *pullRequest) *pullResponse {
 	now := time.Now()
-	if asked.After == "" && !s.budget.take(topic.Bytes(), now) {
-		return &tell{State: stateBusy, Holders: s.knownHolders()}
+	if request.After == "" && !s.budget.take(topic.Bytes(), now) {
+		return &pullResponse{State: stateBusy, Alternatives: s.alternatives()}
 	}
-	age, aged := topic.Age(now)
-	page, known := topic.Page(asked.After, pageBytes)
+	age, ageKnown := topic.Age(now)
+	page, known := topic.Page(request.After, pageBytes)
 	if !known {
-		return &tell{State: stateUnknown}
+		return &pullResponse{State: stateUnknown}
 	}
-	return &tell{State: statePage, Position: page.Position, Items: page.Items, More: page.More, Aged: aged, Age: age}
+	return &pullResponse{State: statePage, Position: page.Position, Items: page.Items, More: page.More, AgeKnown: ageKnown, Age: age}
 }
 
-// changes answers with what has changed, once something has, or at the end of the time
-// that the asking node gives.
-func (s *Service) changes(ctx context.Context, topic *Topic, asked *ask) *tell {
-	timer := time.NewTimer(min(asked.Hold, holdTime))
+// changes returns the changes as soon as there are any, or at the end of the requested
+// wait.
+func (s *Service) changes(ctx context.Context, topic *Topic, request *pullRequest) *pullResponse {
+	timer := time.NewTimer(min(request.MaxWait, maxWait))
 	defer timer.Stop()
 	for last := false; ; {
 		changed := topic.Changed()
-		told := look(topic, asked)
-		if last || told.State == stateGap || len(told.Items) > 0 {
-			return told
+		response := changesSince(topic, request)
+		if last || response.State == stateGap || len(response.Items) > 0 {
+			return response
 		}
 		select {
 		case <-changed:
 			select {
-			case <-time.After(gatherTime):
+			case <-time.After(batchTime):
 			case <-ctx.Done():
 			}
 		case <-timer.C:
@@ -282,22 +284,22 @@
 	}
 }
 
-// look compares what this node knows with what the asking one does. The age is read
-// first: what comes in between is newer.
-func look(topic *Topic, asked *ask) *tell {
-	age, aged := topic.Age(time.Now())
+// changesSince returns the changes since the requested position. The age is read first, so
+// that an update in between only makes the changes newer than it claims.
+func changesSince(topic *Topic, request *pullRequest) *pullResponse {
+	age, ageKnown := topic.Age(time.Now())
 	position, known := topic.Position()
 	switch {
 	case !known:
-		return &tell{State: stateUnknown}
-	case !asked.Known:
-		return &tell{State: stateGap, Position: position, Aged: aged, Age: age}
-	case asked.Position > position:
-		return &tell{State: stateBehind, Position: position, Aged: aged, Age: age}
+		return &pullResponse{State: stateUnknown}
+	case !request.Known:
+		return &pullResponse{State: stateGap, Position: position, AgeKnown: ageKnown, Age: age}
+	case request.Position > position:
+		return &pullResponse{State: stateBehind, Position: position, AgeKnown: ageKnown, Age: age}
 	}
-	items, position, complete := topic.Since(asked.Position)
+	items, position, complete := topic.Since(request.Position)
 	if !complete {
-		return &tell{State: stateGap, Position: position, Aged: aged, Age: age}
+		return &pullResponse{State: stateGap, Position: position, AgeKnown: ageKnown, Age: age}
 	}
-	return &tell{State: stateChanges, Position: position, Items: items, Aged: aged, Age: age}
+	return &pullResponse{State: stateChanges, Position: position, Items: items, AgeKnown: ageKnown, Age: age}
 }
--- a/internal/distribution/site_test.go
+++ b/internal/distribution/site_test.go
@@ -22,46 +22,46 @@
 	"stepseam.example/stepseam/internal/watch"
 )
 
-// The sites below are nodes in virtual time before one stand-in store, with ways of a
-// millisecond and members that become known step by step, as they do at a start.
+// These tests run sites in virtual time against an emulated store, with a network latency
+// of a millisecond. Nodes learn of the other members step by step, as they do at startup.
 
 var replicas = logstore.Partition{Topic: "replicas"}
 
-// testSite is a site of nodes.
+// testSite is a site of nodes with one store.
 type testSite struct {
 	t     *testing.T
 	log   *store.Store
 	nodes []*testNode
 	seeds []netip.AddrPort
-	// bytes counts what is read from the store.
+	// bytes counts the bytes read from the store.
 	bytes  atomic.Int64
 	policy Policy
 }
 
-// testNode is one node.
+// testNode is a node of a testSite.
 type testNode struct {
 	site    *testSite
 	number  int
 	service *Service
 	topic   *Topic
-	// handlers answer other nodes.
+	// registry handles requests from peers.
 	registry *peer.Registry
-	// turnedAway tells that the store refuses this node.
-	turnedAway atomic.Bool
+	// rejected makes the store unavailable to this node only.
+	rejected atomic.Bool
 
-	// mutex guards end; nil while the node is down.
+	// mutex guards end, which is nil while the node is down.
 	mutex sync.Mutex
 	end   context.CancelFunc
 }
 
-// countedReads is the store as one node sees it.
+// countedReads is the store as seen by one node; it counts the bytes read.
 type countedReads struct {
 	*store.Store
 	node *testNode
 }
 
 func (c countedReads) refusal() error {
-	if c.node.turnedAway.Load() {
+	if c.node.rejected.Load() {
 		return fmt.Errorf("%w: turned away", logstore.ErrUnavailable)
 	}
 	return nil
@@ -93,7 +93,7 @@
 	return result, err
 }
 
-// Call implements peer.Client for the nodes of the site.
+// calls counts the requests between nodes.
 var calls atomic.Int64
 
 func (s *testSite) Call(ctx context.Context, to netip.AddrPort, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
@@ -122,7 +122,7 @@
 	return n.end != nil
 }
 
-// newTestSite returns a site of nodes that do not run yet, and entries in its store.
+// newTestSite returns a site of stopped nodes, with entries in its store.
 func newTestSite(t *testing.T, nodes, entries int, policy Policy) *testSite {
 	made := &testSite{t: t, log: store.New(), policy: policy, seeds: []netip.AddrPort{address(7), address(1 << 20), address(1<<20 + 1)}}
 	made.log.SetPage(200)
@@ -137,13 +137,13 @@
 	return made
 }
 
-// end stops all nodes and waits for what they have under way.
+// end stops all nodes and waits for calls in progress.
 func (s *testSite) end() {
 	s.kill(func(int) bool { return true })
 	time.Sleep(5 * time.Second)
 }
 
-// reset has the node know nothing.
+// reset discards the node's state.
 func (n *testNode) reset() {
 	n.topic = NewTopic("replicas")
 	topic := n.topic
@@ -156,8 +156,8 @@
 	n.service.Register(n.registry)
 }
 
-// start runs all nodes that don't. They learn of the others as nodes do that join by seeds:
-// of some at once, of all within a few seconds.
+// start starts all stopped nodes. They learn of some members immediately and of all within
+// a few seconds, like nodes that join through seeds.
 func (s *testSite) start() {
 	for _, node := range s.nodes {
 		if !node.runs() {
@@ -198,12 +198,12 @@
 		if ctx.Err() != nil {
 			return
 		}
-		n.tell(service, min(step.knows, all))
+		n.setMembers(service, min(step.knows, all))
 	}
 }
 
-// tell has the node know a number of nodes, the living seed among them.
-func (n *testNode) tell(service *Service, count int) {
+// setMembers sets the node's view to a number of members, including the live seed.
+func (n *testNode) setMembers(service *Service, count int) {
 	known := []membership.Member{member(n.number)}
 	if count > 1 && n.number != 7 {
 		known = append(known, member(7))
@@ -219,16 +219,16 @@
 	service.SetView(membership.View{Members: known})
 }
 
-// tellMembers has all running nodes know which others run.
-func (s *testSite) tellMembers() {
+// setAllMembers gives all running nodes a complete view.
+func (s *testSite) setAllMembers() {
 	for _, node := range s.nodes {
 		if node.runs() {
-			node.tell(node.service, len(s.nodes))
+			node.setMembers(node.service, len(s.nodes))
 		}
 	}
 }
 
-// kill stops the nodes whose numbers fit.
+// kill stops the nodes whose numbers match.
 func (s *testSite) kill(fits func(number int) bool) {
 	for _, node := range s.nodes {
 		node.mutex.Lock()
@@ -251,11 +251,11 @@
 	return reading
 }
 
-// until returns how long it takes until all running nodes agree with the store on the
-// number of entries, at most a time.
-func (s *testSite) until(entries int, most time.Duration) time.Duration {
+// until returns the time until all running nodes have the given number of entries. It fails
+// the test after the time limit.
+func (s *testSite) until(entries int, limit time.Duration) time.Duration {
 	began := time.Now()
-	for time.Since(began) < most {
+	for time.Since(began) < limit {
 		behind := 0
 		for _, node := range s.nodes {
 			if node.runs() && node.topic.Size() != entries {
@@ -267,13 +267,13 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.t.Fatalf("not all nodes hold %d entries after %v", entries, most)
-	return most
+	s.t.Fatalf("not all nodes hold %d entries after %v", entries, limit)
+	return limit
 }
 
 func (s *testSite) calls() int { return s.log.Calls("read") + s.log.Calls("newest") }
 
-// beat has replicas write entries that change nothing that matters.
+// beat writes heartbeats, which change no value.
 func (s *testSite) beat(ctx context.Context, perSecond int) {
 	for ctx.Err() == nil {
 		for i := range perSecond / 10 {
@@ -286,21 +286,22 @@
 const (
 	siteNodes   = 250
 	siteEntries = 2000
-	// drainBound is within which a replica's end must be known to all.
+	// drainBound is the time within which the removal of a replica must reach all nodes.
 	drainBound = 5 * time.Second
-	// mostReaders is how many nodes may read while the readers are in trouble: they and the
-	// heads of the five zones.
-	mostReaders = leastReaders + 5*headsPerZone
-	// recoveryBound is within which all nodes must serve again after the loss of all.
+	// maxReaders is the maximum number of nodes that read while readers fail: the readers
+	// and the zone heads of five zones.
+	maxReaders = minReaders + 5*headsPerZone
+	// recoveryBound is the time within which all nodes must have all entries after a full
+	// restart.
 	recoveryBound = 18 * time.Second
 )
 
-// few is a policy by which two nodes read.
+// few is a policy with two readers.
 var few = Policy{DirectEntries: 0, ReadEntries: 1}
 
-// TestReadersSpareTheStore: with all nodes reading, what they read at a start and afterwards
-// grows with nodes times entries; with few, the store is asked no more than that few ask.
-func TestReadersSpareTheStore(t *testing.T) {
+// TestFewReadersLimitStoreLoad guards against store load that grows with nodes times
+// entries.
+func TestFewReadersLimitStoreLoad(t *testing.T) {
 	measure := func(policy Policy) (calls int, bytes int64) {
 		synctest.Test(t, func(t *testing.T) {
 			site := newTestSite(t, siteNodes, siteEntries, policy)
@@ -323,9 +324,9 @@
 	is.True(fewBytes*10 < allBytes)
 }
 
-// TestStartHoldsWhileTheStoreTakesFewCalls: the store takes so few calls that not a tenth
-// of the nodes could read it whole in the time that a start may last.
-func TestStartHoldsWhileTheStoreTakesFewCalls(t *testing.T) {
+// TestSiteStartsWithLimitedStoreReads starts a site whose store is too slow for even a
+// tenth of the nodes to read a snapshot in time.
+func TestSiteStartsWithLimitedStoreReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newTestSite(t, siteNodes, siteEntries, few)
 		defer site.end()
@@ -336,9 +337,9 @@
 	})
 }
 
-// TestReplicaThatGoesIsMissedByAll brings about what may stand between the store and the
-// last node; then a replica goes, and all nodes must know within the bound.
-func TestReplicaThatGoesIsMissedByAll(t *testing.T) {
+// TestRemovalReachesAllNodes checks that the removal of a replica reaches all nodes in
+// time, whatever fails between the store and them.
+func TestRemovalReachesAllNodes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		trouble func(site *testSite)
@@ -352,7 +353,7 @@
 		{"the store turns a third away, the readers among them", func(site *testSite) {
 			reading := site.readers()
 			for _, node := range site.nodes {
-				node.turnedAway.Store(reading[node.number] || node.number%3 == 0)
+				node.rejected.Store(reading[node.number] || node.number%3 == 0)
 			}
 		}},
 		{"the store has forgotten its history", func(site *testSite) { site.log.Trim(replicas, siteEntries) }},
@@ -369,19 +370,19 @@
 				took := site.until(siteEntries-1, drainBound)
 				t.Logf("known to all after %v", took)
 				time.Sleep(7 * time.Second)
-				site.tellMembers()
+				site.setAllMembers()
 				time.Sleep(10 * time.Second)
 				reading := len(site.readers())
 				t.Logf("%d nodes read in the end", reading)
-				is.New(t).True(reading <= mostReaders)
+				is.New(t).True(reading <= maxReaders)
 			})
 		})
 	}
 }
 
-// TestOutageOfTheStoreIsFollowedByItsNews: the store is away for all; what went meanwhile is
-// known to all soon after it is back, and the calls meanwhile stay few.
-func TestOutageOfTheStoreIsFollowedByItsNews(t *testing.T) {
+// TestNodesCatchUpAfterStoreOutage checks that changes during an outage of the store reach
+// all nodes soon after it.
+func TestNodesCatchUpAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newTestSite(t, siteNodes, siteEntries, few)
 		defer site.end()
@@ -400,8 +401,8 @@
 	})
 }
 
-// TestLossOfAllNodesIsMadeUpForInTime: all nodes are killed and start again at once.
-func TestLossOfAllNodesIsMadeUpForInTime(t *testing.T) {
+// TestSiteRecoversFromLossOfAllNodes restarts all nodes at once.
+func TestSiteRecoversFromLossOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newTestSite(t, siteNodes, siteEntries, few)
 		defer site.end()
@@ -416,9 +417,9 @@
 	})
 }
 
-// TestSiteThatStartsBeforeItsReplicas: the topics are empty when the nodes start, so that each
-// takes its site for a small one; the store is spared all the same.
-func TestSiteThatStartsBeforeItsReplicas(t *testing.T) {
+// TestSiteStartsBeforeItsReplicas guards against all nodes reading the store because its
+// topics are still empty when the nodes start, which makes the site look small.
+func TestSiteStartsBeforeItsReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newTestSite(t, siteNodes, 0, Policy{DirectEntries: siteNodes * 100, ReadEntries: 1})
 		defer site.end()
@@ -435,9 +436,9 @@
 	})
 }
 
-// TestNodesThatStartBeforeTheirSeedsLearnSoonAfterThem: the seeds of a small site start 0.3 s
-// later, as machines do after the loss of all.
-func TestNodesThatStartBeforeTheirSeedsLearnSoonAfterThem(t *testing.T) {
+// TestNodesStartBeforeTheirSeeds starts the seed of a small site 0.3 s after the other
+// nodes.
+func TestNodesStartBeforeTheirSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newTestSite(t, 60, 60, Policy{DirectEntries: 1 << 40, ReadEntries: 1})
 		defer site.end()
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// TopicStatus tells operators what a node knows of a topic and from whom.
+// TopicStatus describes a node's copy of a topic, for operators.
 type TopicStatus struct {
 	Topic string `json:"topic"`
-	// From is the node that it hears from; empty where it reads the store.
+	// From is the node that the topic was last pulled from; empty if this node reads the
+	// store.
 	From     string `json:"from,omitempty"`
 	Reads    bool   `json:"reads"`
 	Tier     int    `json:"tier"`
 	Position uint64 `json:"position"`
 	Keys     int    `json:"keys"`
-	// AgeMs is how old what it knows may be; -1 if nothing is known.
+	// AgeMs is the age of the topic; -1 if it is not known.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// Status returns what this node knows of each topic.
+// Status returns the status of each topic.
 func (s *Service) Status() []TopicStatus {
-	place := s.placed()
+	role := s.role()
 	var all []TopicStatus
-	for _, one := range s.followers {
-		topic := one.feed.Topic
+	for _, one := range s.pullers {
+		topic := one.subscription.Topic
 		position, _ := topic.Position()
 		status := TopicStatus{
-			Topic: topic.name, Reads: one.gate.open(), Tier: place.Tier, Position: uint64(position), Keys: topic.Size(), AgeMs: -1,
+			Topic: topic.name, Reads: one.gate.open(), Tier: role.Tier, Position: uint64(position), Keys: topic.Size(), AgeMs: -1,
 		}
 		if age, known := topic.Age(time.Now()); known {
 			status.AgeMs = age.Milliseconds()
--- a/internal/distribution/topic.go
+++ b/internal/distribution/topic.go
@@ -1,16 +1,17 @@
-// Package distribution lets a few nodes read the keyed topics of the store and the others
-// hear from them, so that what the store is asked does not grow with nodes times entries.
+// Package distribution spreads keyed topics of the store over all nodes while only a few of
+// them read the store, so that the store's load does not grow with nodes times entries.
 //
-// The nodes of a zone form a tree in the order of a rank that all compute alike (Plan). Its
-// first ones ask the readers, the others the node before them; a question is held until
-// something has changed. Whoever gets no fresh answer asks others, and in the end reads the
-// store itself (Duty). A position is the store's own offset, so any node can go on where
-// another one left off, and of two answers the one of the higher position is the newer.
+// The nodes of a zone form a tree in the order of a rank that all nodes compute (Plan). The
+// first nodes of a zone pull from the readers, the others from their parent; a request
+// waits until something has changed. A node without a fresh source tries other nodes, and
+// finally reads the store itself (ReadDecider). A position is an offset in the store, so a
+// node can continue from any other, and the response with the higher position is the newer
+// one.
 //
-// Topic, Plan and Duty do no I/O and read no clock. Service runs one goroutine a topic that
-// asks, and answers in the goroutines of package peer. The lock of a Topic guards what it
-// holds; a Service's lock guards the plan and whom it heard from. What a node holds may be
-// as old as Topic.Age says.
+// Topic, Plan and ReadDecider do no I/O and read no clock. Service runs one goroutine per
+// topic that pulls, and responds in the goroutines of package peer. The lock of a Topic
+// guards its content, the lock of a Service the plan and the members. Topic.Age bounds how
+// stale a topic is.
 package distribution
 
 import (
@@ -22,86 +23,87 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// historyLength is how many changes of a topic are remembered. Whoever is further behind
-// gets the whole in pages. Replacing all of 20,000 replicas within a minute makes 670
-// changes a second, so that a node may be six seconds behind; a change is 48 bytes.
+// historyLength is the number of changes of a topic that are retained. A peer that is
+// further behind gets a snapshot. At 670 changes a second, such as when 20,000 replicas are
+// replaced within a minute, it covers six seconds; a change takes 48 bytes.
 const historyLength = 4096
 
-// Topic is what a node holds of one keyed topic: the newest value of each key as nodes
-// tell it each other, and what has changed lately. It is safe for concurrent use.
+// Topic is a node's copy of a keyed topic: the newest value of each key and the recent
+// changes. It is safe for concurrent use.
 //
-// Invariant: items holds what all records before position leave, and history names every
+// Invariant: items is the result of all records before position, and history contains every
 // key that a record between complete and position has changed.
 type Topic struct {
 	name string
 
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex sync.Mutex
 	known bool
-	// position is the offset up to which the topic is known, confirmed the last time at
-	// which the store held nothing beyond what was known then.
+	// position is the offset up to which the topic is known; confirmed is the last time at
+	// which the store had nothing beyond it.
 	position  logstore.Offset
 	confirmed time.Time
 	items     map[string][]byte
-	// bytes is the length of all keys and values.
+	// bytes is the total length of all keys and values.
 	bytes int
-	// sorted holds the keys in order; nil where it has to be made anew.
+	// sorted contains the keys in order; nil if it must be rebuilt.
 	sorted []string
-	// history holds the newest changes, the oldest first. Of those up to complete some
-	// may be forgotten.
+	// history contains the newest changes in order. Changes up to complete may have been
+	// dropped.
 	history  []change
 	complete logstore.Offset
-	// changed is closed at the next change that matters.
+	// changed is closed when a value changes, and then replaced.
 	changed chan struct{}
 }
 
-// change names a key that changed, and the position from which on that is known.
+// change is a key that changed, and the position at which the change is visible.
 type change struct {
 	position logstore.Offset
 	key      string
 }
 
-// NewTopic returns a topic of which nothing is known. Its name is for logs and metrics.
+// NewTopic returns an unknown topic. The name is used in logs and metrics.
 func NewTopic(name string) *Topic {
 	return &Topic{name: name, items: map[string][]byte{}, changed: make(chan struct{})}
 }
 
-// Position returns the offset up to which the topic is known; false if it is not.
+// Position returns the offset up to which the topic is known; false if it is unknown.
 func (t *Topic) Position() (logstore.Offset, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.position, t.known
 }
 
-// Size returns how many keys it has.
+// Size returns the number of keys.
 func (t *Topic) Size() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return len(t.items)
 }
 
-// Bytes returns how long all keys and values are.
+// Bytes returns the total length of all keys and values.
 func (t *Topic) Bytes() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.bytes
 }
 
-// Age returns how long ago the store held nothing newer; false if that is not known.
+// Age returns the time since the topic was last confirmed to be the newest; false if it
+// never was.
 func (t *Topic) Age(now time.Time) (time.Duration, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return now.Sub(t.confirmed), t.known && !t.confirmed.IsZero()
 }
 
-// Confirmed returns the last time at which the store is known to have held nothing newer.
+// Confirmed returns the last time at which the store is known to have had nothing newer.
 func (t *Topic) Confirmed() time.Time {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.confirmed
 }
 
-// Confirm notes that the store held nothing newer at a time.
+// Confirm records that the store had nothing newer at the given time.
 func (t *Topic) Confirm(at time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -110,8 +112,8 @@
 	}
 }
 
-// Replace takes the whole topic at a position, which may lie before the last one where the
-// store says so.
+// Replace sets the content to a snapshot. Its position may be lower than the current one if
+// the store has gone back.
 func (t *Topic) Replace(items []logstore.Item, position logstore.Offset) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -131,10 +133,10 @@
 	for _, item := range items {
 		t.put(item)
 	}
-	t.wake()
+	t.notify()
 }
 
-// Apply takes changes up to a position. Items that change nothing may be left out.
+// Apply applies changes up to a position. Items that change no value may be omitted.
 func (t *Topic) Apply(items []logstore.Item, position logstore.Offset) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -143,11 +145,11 @@
 		t.put(item)
 	}
 	if len(items) > 0 {
-		t.wake()
+		t.notify()
 	}
 }
 
-// put needs the mutex.
+// put updates one item and the history; the caller must hold the mutex.
 func (t *Topic) put(item logstore.Item) {
 	before, found := t.items[item.Key]
 	switch {
@@ -173,21 +175,21 @@
 	t.history = append(t.history, change{position: t.position, key: item.Key})
 }
 
-// wake needs the mutex.
-func (t *Topic) wake() {
+// notify wakes the waiters of Changed; the caller must hold the mutex.
+func (t *Topic) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change that matters.
+// Changed returns a channel that is closed when a value changes.
 func (t *Topic) Changed() <-chan struct{} {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.changed
 }
 
-// Since returns the newest values of the keys that have changed since a position, and the
-// position up to which they hold; false where that is not known.
+// Since returns the current values of the keys that have changed since a position, and the
+// position of the result; false if the history does not reach back that far.
 func (t *Topic) Since(from logstore.Offset) ([]logstore.Item, logstore.Offset, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -206,18 +208,18 @@
 	return items, t.position, true
 }
 
-// Page is a part of a topic in the order of its keys.
+// Page is a part of a topic's snapshot, in key order.
 type Page struct {
 	Items []logstore.Item
-	// Position is what Since goes on from for the keys of this page and all after it.
+	// Position is where Since continues for the keys of this page and all after it.
 	Position logstore.Offset
-	// More tells that there are keys behind the last item.
+	// More is set if keys follow the last item.
 	More bool
 }
 
-// Page returns the keys behind after, as many as fit into a number of bytes; false where
-// nothing is known of the topic.
-func (t *Topic) Page(after string, most int) (Page, bool) {
+// Page returns the items after a key, up to maxBytes but at least one; false if the topic
+// is unknown.
+func (t *Topic) Page(after string, maxBytes int) (Page, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.known {
@@ -238,7 +240,7 @@
 	size := 0
 	for _, key := range t.sorted[begin:] {
 		value := t.items[key]
-		if size += len(key) + len(value); size > most && len(page.Items) > 0 {
+		if size += len(key) + len(value); size > maxBytes && len(page.Items) > 0 {
 			page.More = true
 			return page, true
 		}
--- a/internal/distribution/topic_test.go
+++ b/internal/distribution/topic_test.go
@@ -11,7 +11,7 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// contents returns what a topic holds.
+// contents returns the items of a topic.
 func contents(t *Topic) map[string]string {
 	held := map[string]string{}
 	page, _ := t.Page("", 1<<30)
@@ -21,11 +21,11 @@
 	return held
 }
 
-// TestListenersHoldWhatTheirSourceHolds: whatever changes come, a topic that hears of another
-// by changes and pages, with gaps and from any position, holds the same at the same position.
-func TestListenersHoldWhatTheirSourceHolds(t *testing.T) {
+// TestPulledTopicEqualsItsSource checks that a topic that is pulled through changes and
+// pages, with gaps and from any position, equals its source at the same position.
+func TestPulledTopicEqualsItsSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source, listener := NewTopic("source"), NewTopic("listener")
+		source, puller := NewTopic("source"), NewTopic("listener")
 		model := map[string]string{}
 		position := logstore.Offset(rapid.IntRange(0, 5).Draw(t, "first"))
 		source.Replace(nil, position)
@@ -42,25 +42,25 @@
 				}
 				source.Apply([]logstore.Item{item}, position)
 			case 2:
-				hear(listener, source, rapid.IntRange(1, 4).Draw(t, "page"))
+				pull(puller, source, rapid.IntRange(1, 4).Draw(t, "page"))
 			case 3:
 				if rapid.IntRange(0, 5).Draw(t, "forgets") == 0 {
 					source.history, source.complete = nil, source.position
 				}
 			}
 		}
-		hear(listener, source, 1)
-		if !maps.Equal(contents(listener), model) || !maps.Equal(contents(source), model) {
-			t.Fatalf("want %v, source holds %v, listener %v", model, contents(source), contents(listener))
+		pull(puller, source, 1)
+		if !maps.Equal(contents(puller), model) || !maps.Equal(contents(source), model) {
+			t.Fatalf("want %v, source holds %v, listener %v", model, contents(source), contents(puller))
 		}
 	})
 }
 
-// hear brings listener to where source is.
-func hear(listener, source *Topic, pageBytes int) {
-	if position, known := listener.Position(); known {
+// pull updates puller to the state of source.
+func pull(puller, source *Topic, pageBytes int) {
+	if position, known := puller.Position(); known {
 		if items, next, complete := source.Since(position); complete {
-			listener.Apply(items, next)
+			puller.Apply(items, next)
 			return
 		}
 	}
@@ -70,7 +70,7 @@
 		page, _ := source.Page(after, pageBytes)
 		items = append(items, page.Items...)
 		if !page.More {
-			listener.Replace(items, page.Position)
+			puller.Replace(items, page.Position)
 			return
 		}
 		after = page.Items[len(page.Items)-1].Key
@@ -90,10 +90,10 @@
 	items, position, complete := topic.Since(3*historyLength - 10)
 	is.True(complete)
 	is.Equal(position, logstore.Offset(3*historyLength))
-	is.Equal(len(items), 1) // a key that changed often is told once
+	is.Equal(len(items), 1) // a key that changed several times is included once
 }
 
-func TestUnchangedValuesWakeNobodyAndAreNotTold(t *testing.T) {
+func TestUnchangedValuesAreNotPropagated(t *testing.T) {
 	is := is.New(t)
 	topic := NewTopic("t")
 	topic.Replace([]logstore.Item{{Key: "a", Value: []byte("1")}}, 5)
