--- a/internal/distribution/plan_test.go
+++ b/internal/distribution/plan_test.go
@@ -89,7 +89,7 @@
 				}
 			}
 			if late, found := laterParent(known, readers); found {
-				t.Fatalf("%s hears from %s, which comes later", all[i].Node.Name, late.Node.Name)
+				t.Fatalf("%s pulls from %s, which has a lower rank", all[i].Node.Name, late.Node.Name)
 			}
 		}
 	})
--- a/internal/distribution/puller.go
+++ b/internal/distribution/puller.go
@@ -88,7 +88,7 @@
 		conditions := p.service.conditions(p.subscription.Topic)
 		reads := p.decider.ShouldRead(conditions)
 		if p.gate.set(reads) {
-			p.service.config.Logger.Info("topic read from the store", "topic", p.subscription.Topic.name, "reads", reads,
+			p.service.config.Logger.Info("reading of topic from the store changed", "topic", p.subscription.Topic.name, "reads", reads,
 				"tier", conditions.Role.Tier, "members", conditions.Members, "known", conditions.Known, "age_ms", conditions.Age.Milliseconds())
 		}
 		switch {
@@ -259,7 +259,7 @@
 	}
 	p.subscription.Replace(snapshot.items, snapshot.position)
 	p.confirm(source, snapshot.confirmed)
-	p.service.config.Logger.Info("topic heard whole", "topic", p.subscription.Topic.name, "from", source,
+	p.service.config.Logger.Info("topic snapshot received", "topic", p.subscription.Topic.name, "from", source,
 		"position", snapshot.position, "items", len(snapshot.items))
 }
 
--- a/internal/distribution/readdecider_test.go
+++ b/internal/distribution/readdecider_test.go
@@ -15,20 +15,20 @@
 		conditions ReadConditions
 		reads      bool
 	}{
-		{"a node without others", ReadConditions{Alone: true}, true},
-		{"a seed that starts", ReadConditions{Seed: true, Members: 1}, true},
-		{"a seed that has settled", ReadConditions{Now: seedStartupTime, Seed: true, Known: true, Members: 900, Role: Role{Tier: 2}}, false},
-		{"a node that starts beside living seeds", ReadConditions{Now: 2 * second, Members: 30, SeedsLive: true}, false},
-		{"a node that starts and misses the seeds", ReadConditions{Now: second, Members: 5}, true},
-		{"one of many that miss the seeds", ReadConditions{Now: second, Members: 900, Random: 0.5}, false},
-		{"the few of them that try", ReadConditions{Now: second, Members: 900, Random: 0.001}, true},
-		{"a node that takes its site for a small one just now", ReadConditions{Now: second, Known: true, Members: 9, Role: Role{Reads: true, All: true}}, false},
-		{"a node that takes itself for a reader just now", ReadConditions{Now: second, Known: true, Members: 9, Role: reader}, false},
-		{"a node that hears of the store", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: second, Role: Role{Tier: 2}}, false},
-		{"a head whose readers are gone", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 1600 * time.Millisecond, Role: Role{Tier: 1}}, true},
-		{"one of the many below them, later", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 9 * second, Role: Role{Tier: 2}, Random: 0.5}, false},
-		{"a few of those", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 9 * second, Role: Role{Tier: 2}, Random: 0.001}, true},
-		{"a node below it", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 1600 * time.Millisecond, Role: Role{Tier: 2}}, false},
+		{"a node without peers", ReadConditions{Alone: true}, true},
+		{"a starting seed", ReadConditions{Seed: true, Members: 1}, true},
+		{"a settled seed", ReadConditions{Now: seedStartupTime, Seed: true, Known: true, Members: 900, Role: Role{Tier: 2}}, false},
+		{"a starting node with live seeds", ReadConditions{Now: 2 * second, Members: 30, SeedsLive: true}, false},
+		{"a starting node without live seeds", ReadConditions{Now: second, Members: 5}, true},
+		{"one of many starting nodes without live seeds", ReadConditions{Now: second, Members: 900, Random: 0.5}, false},
+		{"a volunteer among them", ReadConditions{Now: second, Members: 900, Random: 0.001}, true},
+		{"a node whose site appears small since a moment ago", ReadConditions{Now: second, Known: true, Members: 9, Role: Role{Reads: true, All: true}}, false},
+		{"a node that became a reader a moment ago", ReadConditions{Now: second, Known: true, Members: 9, Role: reader}, false},
+		{"a node with a fresh source", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: second, Role: Role{Tier: 2}}, false},
+		{"a zone head without readers", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 1600 * time.Millisecond, Role: Role{Tier: 1}}, true},
+		{"a lower node with a very old topic", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 9 * second, Role: Role{Tier: 2}, Random: 0.5}, false},
+		{"a volunteer among those", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 9 * second, Role: Role{Tier: 2}, Random: 0.001}, true},
+		{"a lower node with a slightly old topic", ReadConditions{Now: 30 * second, Known: true, Members: 900, Age: 1600 * time.Millisecond, Role: Role{Tier: 2}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is.New(t).Equal((&ReadDecider{}).ShouldRead(c.conditions), c.reads)
--- a/internal/distribution/site_test.go
+++ b/internal/distribution/site_test.go
@@ -62,7 +62,7 @@
 
 func (c countedReads) refusal() error {
 	if c.node.rejected.Load() {
-		return fmt.Errorf("%w: turned away", logstore.ErrUnavailable)
+		return fmt.Errorf("%w: rejected", logstore.ErrUnavailable)
 	}
 	return nil
 }
@@ -344,19 +344,19 @@
 		name    string
 		trouble func(site *testSite)
 	}{
-		{"nothing", func(*testSite) {}},
+		{"no failure", func(*testSite) {}},
 		{"all readers are killed", func(site *testSite) {
 			reading := site.readers()
 			site.kill(func(number int) bool { return reading[number] })
 		}},
 		{"half of all nodes are killed", func(site *testSite) { site.kill(func(number int) bool { return number%2 == 0 && number != 7 }) }},
-		{"the store turns a third away, the readers among them", func(site *testSite) {
+		{"the store rejects a third, including the readers", func(site *testSite) {
 			reading := site.readers()
 			for _, node := range site.nodes {
 				node.rejected.Store(reading[node.number] || node.number%3 == 0)
 			}
 		}},
-		{"the store has forgotten its history", func(site *testSite) { site.log.Trim(replicas, siteEntries) }},
+		{"the store has trimmed its history", func(site *testSite) { site.log.Trim(replicas, siteEntries) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/distribution/topic_test.go
+++ b/internal/distribution/topic_test.go
@@ -51,7 +51,7 @@
 		}
 		pull(puller, source, 1)
 		if !maps.Equal(contents(puller), model) || !maps.Equal(contents(source), model) {
-			t.Fatalf("want %v, source holds %v, listener %v", model, contents(source), contents(puller))
+			t.Fatalf("want %v, source has %v, puller %v", model, contents(source), contents(puller))
 		}
 	})
 }
@@ -101,7 +101,7 @@
 	topic.Apply(nil, 9)
 	select {
 	case <-changed:
-		t.Fatal("woken by a beat")
+		t.Fatal("woken by an unchanged value")
 	default:
 	}
 	items, position, complete := topic.Since(5)
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -160,13 +160,13 @@
 		var trimmed *logstore.TrimmedError
 		switch {
 		case errors.As(err, &trimmed):
-			w.config.Logger.Info("history is gone", "dependency", w.config.Name, "from", next, "first", trimmed.First)
+			w.config.Logger.Info("changes were trimmed; reading a new snapshot", "dependency", w.config.Name, "from", next, "first", trimmed.First)
 			return false
 		case err != nil:
 			w.failed(ctx, err)
 			continue
 		case changed.Next < next:
-			w.config.Logger.Info("history went back", "dependency", w.config.Name, "from", next, "end", changed.Next)
+			w.config.Logger.Info("store offset went back; reading a new snapshot", "dependency", w.config.Name, "from", next, "end", changed.Next)
 			return false
 		}
 		w.succeeded()
@@ -199,7 +199,7 @@
 	if w.unavailable {
 		w.unavailable = false
 		w.config.OnRecovered()
-		w.config.Logger.Info("dependency regained", "dependency", w.config.Name)
+		w.config.Logger.Info("dependency recovered", "dependency", w.config.Name)
 	}
 }
 
@@ -210,7 +210,7 @@
 	if !w.unavailable {
 		w.unavailable = true
 		age, _ := w.Age()
-		w.config.Logger.Warn("dependency lost", "dependency", w.config.Name, "error", err, "age_ms", age.Milliseconds())
+		w.config.Logger.Warn("dependency unavailable", "dependency", w.config.Name, "error", err, "age_ms", age.Milliseconds())
 	}
 	_ = wait.For(ctx, w.pause/2+rand.N(w.pause)) // the caller checks ctx
 	w.pause = min(2*w.pause, w.longestPause())
