--- a/internal/distribution/plan_test.go
+++ b/internal/distribution/plan_test.go
@@ -55,7 +55,7 @@
 func TestTreesAreBalanced(t *testing.T) {
 	is := is.New(t)
 	all := members(1000)
-	asked := map[netip.AddrPort]int{}
+	children := map[netip.AddrPort]int{}
 	readers := map[identity.Zone]int{}
 	for _, one := range all {
 		role := NewPlan(one.Node.Name, all).Role(3)
@@ -64,12 +64,12 @@
 			continue
 		}
 		is.True(role.Tier <= 4)
-		asked[role.Parents[0]]++
+		children[role.Parents[0]]++
 	}
 	is.Equal(len(readers), 3)
 	for i, one := range all {
-		is.True(asked[address(i)] <= 2*fanOut)
-		if asked[address(i)] > 0 {
+		is.True(children[address(i)] <= 2*fanOut)
+		if children[address(i)] > 0 {
 			is.Equal(one.Load, uint32(800))
 		}
 	}
--- a/internal/distribution/site_test.go
+++ b/internal/distribution/site_test.go
@@ -273,8 +273,8 @@
 
 func (s *testSite) calls() int { return s.log.Calls("read") + s.log.Calls("newest") }
 
-// beat writes heartbeats, which change no value.
-func (s *testSite) beat(ctx context.Context, perSecond int) {
+// writeHeartbeats writes heartbeats, which change no value.
+func (s *testSite) writeHeartbeats(ctx context.Context, perSecond int) {
 	for ctx.Err() == nil {
 		for i := range perSecond / 10 {
 			s.log.Put(replicas, fmt.Sprintf("i-%05d", i), make([]byte, 70))
@@ -308,7 +308,7 @@
 			defer site.end()
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			go site.beat(ctx, siteEntries/5)
+			go site.writeHeartbeats(ctx, siteEntries/5)
 			site.start()
 			site.until(siteEntries, recoveryBound)
 			time.Sleep(10 * time.Second)
--- a/internal/evacuation/zones.go
+++ b/internal/evacuation/zones.go
@@ -94,9 +94,9 @@
 	return at, sent
 }
 
-// Replace sets the set from a snapshot of the operator topic. Zones in unclear have an
+// Replace sets the set from a snapshot of the operator topic. Zones in unreadable have an
 // unreadable record and keep their state.
-func (z *Zones) Replace(position uint64, evacuated, unclear []string, now time.Duration) []Event {
+func (z *Zones) Replace(position uint64, evacuated, unreadable []string, now time.Duration) []Event {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	before := z.current.Load()
@@ -107,7 +107,7 @@
 	for _, zone := range evacuated {
 		since[zone] = before.sinceOr(zone, now)
 	}
-	for _, zone := range unclear {
+	for _, zone := range unreadable {
 		if began, known := before.since[zone]; known {
 			since[zone] = began
 		}
--- a/internal/routednode/aggregators.go
+++ b/internal/routednode/aggregators.go
@@ -50,7 +50,7 @@
 // aggregatorMetrics counts queries to aggregators.
 type aggregatorMetrics struct {
 	seconds prometheus.Histogram
-	asked   *prometheus.CounterVec
+	queried *prometheus.CounterVec
 	bytes   *prometheus.CounterVec
 	// unreadable counts invalid datagrams.
 	unreadable prometheus.Counter
@@ -62,7 +62,7 @@
 			Name: "stepseam_keeper_question_seconds", Help: "Time until the keepers of replicas had answered, or were given up.",
 			Buckets: []float64{.0005, .001, .002, .004, .008, .016},
 		}),
-		asked: prometheus.NewCounterVec(prometheus.CounterOpts{
+		queried: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "stepseam_keepers_asked_total", Help: "Keepers asked, by whether they answered in time.",
 		}, []string{"outcome"}),
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -72,15 +72,15 @@
 			Name: "stepseam_keeper_datagrams_unreadable_total", Help: "Datagrams to keepers that were refused.",
 		}),
 	}
-	registerer.MustRegister(made.seconds, made.asked, made.bytes, made.unreadable)
+	registerer.MustRegister(made.seconds, made.queried, made.bytes, made.unreadable)
 	return made
 }
 
 // QueryDone implements aggregator.Observer.
-func (m *aggregatorMetrics) QueryDone(took time.Duration, asked, answered int) {
+func (m *aggregatorMetrics) QueryDone(took time.Duration, queried, responded int) {
 	m.seconds.Observe(took.Seconds())
-	m.asked.WithLabelValues("answered").Add(float64(answered))
-	m.asked.WithLabelValues("silent").Add(float64(asked - answered))
+	m.queried.WithLabelValues("answered").Add(float64(responded))
+	m.queried.WithLabelValues("silent").Add(float64(queried - responded))
 }
 
 // Sent implements aggregator.Observer.
--- a/internal/routednode/distances_test.go
+++ b/internal/routednode/distances_test.go
@@ -22,14 +22,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var mutex sync.Mutex // zones are measured concurrently
-		asked := map[netip.Addr]int{}
+		measurements := map[netip.Addr]int{}
 		measured := &distances{
 			paths: distance.NewMap("a", map[string]string{"a": "r1", "b": "r2", "dead": "r2"}), now: newClock(),
 			logger: slog.New(slog.DiscardHandler),
 			measure: func(_ context.Context, node netip.Addr) (time.Duration, bool) {
 				mutex.Lock()
 				defer mutex.Unlock()
-				asked[node]++
+				measurements[node]++
 				return 60 * time.Millisecond, node.As4()[2] != 9
 			},
 		}
@@ -51,7 +51,7 @@
 		is.Equal(measured.paths.PathTo("b"), distance.Path{Zone: "b", RoundTrip: 60 * time.Millisecond, OtherRegion: true, Measured: true})
 		is.True(!measured.paths.PathTo("dead").Measured)
 		total := 0
-		for node, count := range asked {
+		for node, count := range measurements {
 			is.True(node.As4()[2] != 0) // no node of its own zone
 			if node.As4()[2] == 1 {
 				total += count
--- a/internal/routednode/evacuations.go
+++ b/internal/routednode/evacuations.go
@@ -46,19 +46,19 @@
 
 // replace applies a snapshot of the operator topic at position next.
 func (e *evacuations) replace(items []logstore.Item, next logstore.Offset) {
-	var evacuated, unclear []string
+	var evacuated, unreadable []string
 	for _, item := range items {
 		change, matches, err := e.decode(item)
 		switch {
 		case !matches:
 		case err != nil:
 			e.recordUnreadable(item, err)
-			unclear = append(unclear, change.Zone)
+			unreadable = append(unreadable, change.Zone)
 		case change.Evacuated:
 			evacuated = append(evacuated, change.Zone)
 		}
 	}
-	e.report(e.zones.Replace(uint64(next), evacuated, unclear, e.now()), "store")
+	e.report(e.zones.Replace(uint64(next), evacuated, unreadable, e.now()), "store")
 }
 
 // apply applies records in topic order, up to position next.
--- a/internal/routednode/freshness_test.go
+++ b/internal/routednode/freshness_test.go
@@ -61,7 +61,7 @@
 func TestViewsResponseRoundTrip(t *testing.T) {
 	is := is.New(t)
 	response := &viewsResponse{
-		Configuration: []byte("c"), Version: 9, ConfigurationKnown: true, ConfigurationAge: time.Second, StoreAnswers: true, ReplicasKnown: true, ReplicasAge: time.Minute,
+		Configuration: []byte("c"), Version: 9, ConfigurationKnown: true, ConfigurationAge: time.Second, StoreAvailable: true, ReplicasKnown: true, ReplicasAge: time.Minute,
 		Evacuations: evacuation.Snapshot{Position: 7, Zones: map[string]time.Duration{"a": time.Second, "b": time.Minute}},
 	}
 	encoder := wire.NewEncoder(nil)
@@ -84,28 +84,28 @@
 
 func TestStoreIsUnavailableForAllOnlyIfPeersReportIt(t *testing.T) {
 	is := is.New(t)
-	one, other := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
+	first, other := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 	for _, c := range []struct {
 		first, second *viewsResponse
-		away          bool
+		unavailable   bool
 	}{
 		{&viewsResponse{}, &viewsResponse{}, true},
-		{&viewsResponse{}, &viewsResponse{StoreAnswers: true}, false},
+		{&viewsResponse{}, &viewsResponse{StoreAvailable: true}, false},
 		{&viewsResponse{}, nil, true},
 		{nil, nil, false}, // no peer responded, so the others' state is unknown
 	} {
-		answered := false
+		served := false
 		v := &views{
 			router: router.New(router.Config{Registerer: prometheus.NewRegistry()}), freshness: &freshness{},
 			evacuations: testEvacuations(nil), logger: slog.New(slog.DiscardHandler),
 		}
 		r := &relay{
-			views: v, configurations: v.freshness, peers: fakePeers{one: c.first, other: c.second},
-			others: func() []netip.AddrPort { return []netip.AddrPort{one, other} }, logger: v.logger, storeAvailable: func() bool { return false },
-			peerServed: func() { answered = true },
+			views: v, configurations: v.freshness, peers: fakePeers{first: c.first, other: c.second},
+			others: func() []netip.AddrPort { return []netip.AddrPort{first, other} }, logger: v.logger, storeAvailable: func() bool { return false },
+			peerServed: func() { served = true },
 		}
 		r.queryPeers(t.Context())
-		is.Equal(v.freshness.UnavailableForAll(), c.away)
-		is.Equal(answered, c.second != nil && c.second.StoreAnswers) // this node then probes the store immediately
+		is.Equal(v.freshness.UnavailableForAll(), c.unavailable)
+		is.Equal(served, c.second != nil && c.second.StoreAvailable) // this node then probes the store immediately
 	}
 }
--- a/internal/routednode/providers.go
+++ b/internal/routednode/providers.go
@@ -147,13 +147,13 @@
 }
 
 func provideRouter(injector do.Injector) (*router.Router, error) {
-	keepers, err := do.Invoke[*aggregator.Service](injector)
+	aggregatorService, err := do.Invoke[*aggregator.Service](injector)
 	if err != nil {
 		return nil, err
 	}
 	fresh := do.MustInvoke[*freshness](injector)
 	return router.New(router.Config{
-		Keepers: keepers, Now: do.MustInvoke[clock](injector),
+		Keepers: aggregatorService, Now: do.MustInvoke[clock](injector),
 		Names:      do.MustInvoke[Adapter](injector).Names,
 		Zone:       string(do.MustInvoke[settings.Routed](injector).Node.Zone),
 		ScanUpTo:   do.MustInvoke[settings.Routed](injector).Choice.ScanUpTo,
--- a/internal/routednode/relay.go
+++ b/internal/routednode/relay.go
@@ -70,8 +70,8 @@
 	ConfigurationKnown bool
 	ConfigurationAge   time.Duration
 	Evacuations        evacuation.Snapshot
-	// StoreAnswers reports whether the store is available to the responding node.
-	StoreAnswers bool
+	// StoreAvailable reports whether the store is available to the responding node.
+	StoreAvailable bool
 	// ReplicasKnown is set if Replicas contains all entries, as received ReplicasAge ago.
 	// Only builds without package distribution set it.
 	ReplicasKnown bool
@@ -94,7 +94,7 @@
 		e.String(zone)
 		e.Duration(age)
 	}
-	e.Bool(m.StoreAnswers)
+	e.Bool(m.StoreAvailable)
 	e.Bool(m.ReplicasKnown)
 	e.Duration(m.ReplicasAge)
 	e.Uint32(uint32(len(m.Replicas)))
@@ -122,7 +122,7 @@
 		zone := d.String()
 		m.Evacuations.Zones[zone] = d.Duration()
 	}
-	m.StoreAnswers, m.ReplicasKnown, m.ReplicasAge = d.Bool(), d.Bool(), d.Duration()
+	m.StoreAvailable, m.ReplicasKnown, m.ReplicasAge = d.Bool(), d.Bool(), d.Duration()
 	for range d.Count(minItemBytes) {
 		m.Replicas = append(m.Replicas, logstore.Item{Key: d.String(), Value: d.Blob()})
 	}
@@ -165,7 +165,7 @@
 	if !ok {
 		return nil, fmt.Errorf("routednode: unexpected %T", request)
 	}
-	response := &viewsResponse{StoreAnswers: r.storeAvailable()}
+	response := &viewsResponse{StoreAvailable: r.storeAvailable()}
 	// Read the age before the version and the zones: an update in between makes them newer
 	// than the age claims, never older.
 	response.ConfigurationAge, response.ConfigurationKnown = r.views.freshness.Age()
@@ -234,7 +234,7 @@
 		result := <-results
 		r.applyResult(result)
 		responded = responded || result.response != nil
-		served = served || result.response != nil && result.response.StoreAnswers
+		served = served || result.response != nil && result.response.StoreAvailable
 	}
 	r.views.freshness.setPeersServed(served || !responded)
 	if served && !r.storeAvailable() {
--- a/internal/routednode/replicaview_test.go
+++ b/internal/routednode/replicaview_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-func entry(instance string, born int64, sequence uint64) logstore.Item {
+func entry(instance string, startedAtMs int64, sequence uint64) logstore.Item {
 	encoded, _ := json.Marshal(fleet.Replica{
-		Instance: instance, StartedAtMs: born, Service: "s", Zone: "z", Slots: 4, State: fleet.StateReady, Sequence: sequence,
+		Instance: instance, StartedAtMs: startedAtMs, Service: "s", Zone: "z", Slots: 4, State: fleet.StateReady, Sequence: sequence,
 	})
 	return logstore.Item{Key: instance, Value: encoded}
 }
--- a/internal/routednode/views.go
+++ b/internal/routednode/views.go
@@ -86,7 +86,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	position, known := h.Position()
-	if age, aged := h.Age(time.Now()); known && next < position && aged && age <= outageAge {
+	if age, ageKnown := h.Age(time.Now()); known && next < position && ageKnown && age <= outageAge {
 		return
 	}
 	update()
--- a/internal/routednode/watchers_test.go
+++ b/internal/routednode/watchers_test.go
@@ -24,23 +24,23 @@
 		is := is.New(t)
 		const members, calls = 900, 1000 // each node probes every 18 s
 		log := store.New()
-		gated := guardedstore.New(guardedstore.Config{Store: log, CallsPerSecond: calls, Logger: slog.New(slog.DiscardHandler)})
-		gated.SetMembers(func() int { return members })
-		followed := &topicWatchers{store: gated, members: func() int { return members }}
-		followed.cfg = settings.Routed{}
-		place := logstore.Partition{Topic: "keyed.work"}
-		is.Equal(followed.maxPause(place)(), baseMaxPause)
-		followed.cfg.Store.ReadsPerSecond = calls
-		is.Equal(followed.maxPause(place)(), 9*time.Second)
-		wait := followed.await(configurationTopic, place)
+		guarded := guardedstore.New(guardedstore.Config{Store: log, CallsPerSecond: calls, Logger: slog.New(slog.DiscardHandler)})
+		guarded.SetMembers(func() int { return members })
+		watchers := &topicWatchers{store: guarded, members: func() int { return members }}
+		watchers.cfg = settings.Routed{}
+		partition := logstore.Partition{Topic: "keyed.work"}
+		is.Equal(watchers.maxPause(partition)(), baseMaxPause)
+		watchers.cfg.Store.ReadsPerSecond = calls
+		is.Equal(watchers.maxPause(partition)(), 9*time.Second)
+		wait := watchers.await(configurationTopic, partition)
 		is.NoErr(wait(t.Context()))
 
 		log.Fail(store.Fault{Busy: true})
 		for range 5 {
-			_, _ = gated.Changes(t.Context(), logstore.ReadRequest{Partition: place})
+			_, _ = guarded.Changes(t.Context(), logstore.ReadRequest{Partition: partition})
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.Equal(followed.maxPause(place)(), probingMaxPause)
+		is.Equal(watchers.maxPause(partition)(), probingMaxPause)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		is.True(errors.Is(wait(ctx), context.DeadlineExceeded))
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -21,8 +21,8 @@
 	values    map[string]string
 	snapshots int
 	// next is the offset up to which the partition is known.
-	next     logstore.Offset
-	regained int
+	next       logstore.Offset
+	recoveries int
 	// confirmed is the time of the newest confirmed read; confirmedValues is a copy of the
 	// values at that point.
 	confirmed       time.Time
@@ -34,10 +34,10 @@
 func (v *view) snapshot(items []logstore.Item, next logstore.Offset) {
 	v.values = map[string]string{}
 	v.snapshots++
-	v.change(items, next)
+	v.apply(items, next)
 }
 
-func (v *view) change(items []logstore.Item, next logstore.Offset) {
+func (v *view) apply(items []logstore.Item, next logstore.Offset) {
 	v.next = next
 	for _, item := range items {
 		if item.Value == nil {
@@ -49,10 +49,10 @@
 }
 
 func startWatcher(t *testing.T, log *store.Store) (*view, *Watcher) {
-	seen := &view{}
+	recorded := &view{}
 	watcher := New(Config{
 		Name: "test", Store: log, Partition: partition, Pause: func() time.Duration { return 100 * time.Millisecond }, Wait: func() time.Duration { return time.Second },
-		OnSnapshot: seen.snapshot, OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { seen.change(items, next) }, OnRecovered: func() { seen.regained++ }, OnConfirmed: seen.confirm, Logger: slog.New(slog.DiscardHandler),
+		OnSnapshot: recorded.snapshot, OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { recorded.apply(items, next) }, OnRecovered: func() { recorded.recoveries++ }, OnConfirmed: recorded.confirm, Logger: slog.New(slog.DiscardHandler),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -64,7 +64,7 @@
 		cancel()
 		<-done
 	})
-	return seen, watcher
+	return recorded, watcher
 }
 
 func TestChangesAreDelivered(t *testing.T) {
@@ -72,15 +72,15 @@
 		is := is.New(t)
 		log := store.New()
 		log.Put(partition, "a", []byte("1"))
-		seen, _ := startWatcher(t, log)
+		recorded, _ := startWatcher(t, log)
 		time.Sleep(200 * time.Millisecond)
-		is.Equal(seen.values, map[string]string{"a": "1"})
+		is.Equal(recorded.values, map[string]string{"a": "1"})
 		log.Put(partition, "a", nil)
 		log.Put(partition, "b", []byte("2"))
 		time.Sleep(200 * time.Millisecond)
-		is.Equal(seen.values, map[string]string{"b": "2"})
-		is.Equal(seen.next, logstore.Offset(3))
-		is.Equal(seen.snapshots, 1)
+		is.Equal(recorded.values, map[string]string{"b": "2"})
+		is.Equal(recorded.next, logstore.Offset(3))
+		is.Equal(recorded.snapshots, 1)
 	})
 }
 
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		seen, _ := startWatcher(t, log)
+		recorded, _ := startWatcher(t, log)
 		time.Sleep(200 * time.Millisecond)
 		log.Fail(store.Fault{Busy: true})
 		time.Sleep(3 * time.Second)
@@ -97,9 +97,9 @@
 		log.Trim(partition, 2)
 		log.Fail(store.Fault{})
 		time.Sleep(time.Second)
-		is.Equal(seen.values, map[string]string{"a": "2"})
-		is.Equal(seen.snapshots, 2)
-		is.Equal(seen.regained, 1)
+		is.Equal(recorded.values, map[string]string{"a": "2"})
+		is.Equal(recorded.snapshots, 2)
+		is.Equal(recorded.recoveries, 1)
 	})
 }
 
@@ -109,7 +109,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := store.New()
-		seen, watcher := startWatcher(t, log)
+		recorded, watcher := startWatcher(t, log)
 		time.Sleep(200 * time.Millisecond)
 		log.Fail(store.Fault{Silent: true})
 		log.Put(partition, "a", []byte("1"))
@@ -118,7 +118,7 @@
 		is.True(known && age > 8*time.Second)
 		log.Fail(store.Fault{})
 		time.Sleep(1900 * time.Millisecond)
-		is.Equal(seen.values, map[string]string{"a": "1"})
+		is.Equal(recorded.values, map[string]string{"a": "1"})
 	})
 }
 
@@ -130,19 +130,19 @@
 		is := is.New(t)
 		log := store.New()
 		log.Put(partition, "a", []byte("1"))
-		seen, _ := startWatcher(t, log)
+		recorded, _ := startWatcher(t, log)
 		time.Sleep(3500 * time.Millisecond)
 		synctest.Wait()
-		is.True(time.Since(seen.confirmed) <= 2*time.Second+200*time.Millisecond)
+		is.True(time.Since(recorded.confirmed) <= 2*time.Second+200*time.Millisecond)
 		for number := range 20 {
 			value := string(rune('b' + number))
 			changed := time.Now()
 			log.Put(partition, "a", []byte(value))
-			for seen.confirmed.Before(changed) {
+			for recorded.confirmed.Before(changed) {
 				time.Sleep(time.Millisecond)
 				synctest.Wait()
 			}
-			is.Equal(seen.confirmedValues["a"], value)
+			is.Equal(recorded.confirmedValues["a"], value)
 			time.Sleep(137 * time.Millisecond)
 		}
 	})
@@ -153,13 +153,13 @@
 		is := is.New(t)
 		log := store.New()
 		log.Put(partition, "a", []byte("1"))
-		seen, _ := startWatcher(t, log)
+		recorded, _ := startWatcher(t, log)
 		time.Sleep(2 * time.Second)
 		log.Fail(store.Fault{Busy: true})
 		failing := time.Now()
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		is.True(!seen.confirmed.After(failing))
+		is.True(!recorded.confirmed.After(failing))
 	})
 }
 
@@ -168,7 +168,7 @@
 		is := is.New(t)
 		log := store.New()
 		log.Put(partition, "a", []byte("1"))
-		seen, _ := startWatcher(t, log)
+		recorded, _ := startWatcher(t, log)
 		time.Sleep(2 * time.Second)
 		log.Fail(store.Fault{Busy: true})
 		time.Sleep(3 * time.Second)
@@ -176,7 +176,7 @@
 		back := time.Now()
 		time.Sleep(500 * time.Millisecond) // shorter than the wait of a read
 		synctest.Wait()
-		is.True(seen.confirmed.After(back))
+		is.True(recorded.confirmed.After(back))
 	})
 }
 
@@ -192,12 +192,12 @@
 			log.Put(partition, string(rune('a'+i)), []byte("1"))
 		}
 		log.LimitReads(2)
-		seen, _ := startWatcher(t, log)
+		recorded, _ := startWatcher(t, log)
 		time.Sleep(5 * time.Second) // longer than a whole snapshot could be retried for
-		is.Equal(seen.snapshots, 0)
+		is.Equal(recorded.snapshots, 0)
 		time.Sleep(15 * time.Second)
-		is.Equal(len(seen.values), keys)
-		is.Equal(seen.snapshots, 1)
+		is.Equal(len(recorded.values), keys)
+		is.Equal(recorded.snapshots, 1)
 	})
 }
 
@@ -210,13 +210,13 @@
 		for _, key := range []string{"a", "b", "c"} {
 			log.Put(partition, key, []byte("1"))
 		}
-		seen := &view{values: map[string]string{}}
+		recorded := &view{values: map[string]string{}}
 		open := make(chan struct{})
 		watcher := New(Config{
 			Name: "test", Store: log, Partition: partition, Wait: func() time.Duration { return time.Second },
 			Pause:      func() time.Duration { return 100 * time.Millisecond },
-			OnSnapshot: seen.snapshot, OnRecovered: func() {}, OnConfirmed: seen.confirm, Logger: slog.New(slog.DiscardHandler),
-			OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { seen.change(items, next) },
+			OnSnapshot: recorded.snapshot, OnRecovered: func() {}, OnConfirmed: recorded.confirm, Logger: slog.New(slog.DiscardHandler),
+			OnChanges: func(_ logstore.Offset, items []logstore.Item, next logstore.Offset) { recorded.apply(items, next) },
 			Await: func(ctx context.Context) error {
 				select {
 				case <-open:
@@ -225,7 +225,7 @@
 					return ctx.Err()
 				}
 			},
-			Position: func() (logstore.Offset, bool) { return max(2, seen.next), true },
+			Position: func() (logstore.Offset, bool) { return max(2, recorded.next), true },
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -238,7 +238,7 @@
 		close(open)
 		time.Sleep(time.Second)
 		is.Equal(log.Calls("newest"), 0)
-		is.Equal(seen.values, map[string]string{"c": "1"})
+		is.Equal(recorded.values, map[string]string{"c": "1"})
 		cancel()
 		<-done
 	})
