--- a/internal/distribution/site_test.go
+++ b/internal/distribution/site_test.go
@@ -267,7 +267,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.t.Fatalf("not all nodes hold %d entries after %v", entries, limit)
+	s.t.Fatalf("not all nodes have %d entries after %v", entries, limit)
 	return limit
 }
 
--- a/internal/distribution/topic_test.go
+++ b/internal/distribution/topic_test.go
@@ -25,7 +25,7 @@
 // pages, with gaps and from any position, equals its source at the same position.
 func TestPulledTopicEqualsItsSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source, puller := NewTopic("source"), NewTopic("listener")
+		source, puller := NewTopic("source"), NewTopic("puller")
 		model := map[string]string{}
 		position := logstore.Offset(rapid.IntRange(0, 5).Draw(t, "first"))
 		source.Replace(nil, position)
