--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// sample returns a random fanout of the targets; it may reorder them.
+// sample returns fanout random targets, or all if there are fewer. It may reorder targets.
 func sample(targets []netip.AddrPort) []netip.AddrPort {
 	if len(targets) <= fanout {
 		return targets
--- a/internal/routednode/stop.go
+++ b/internal/routednode/stop.go
@@ -7,7 +7,7 @@
 
 const (
 	// acceptPeriod is how long new connections are accepted after a shutdown begins, since
-	// load balancers need time to notice.
+	// senders need time to notice it.
 	acceptPeriod = 3 * time.Second
 	// exitMargin is how long before the end of the grace period the process exits.
 	exitMargin = 400 * time.Millisecond
--- a/internal/routednode/watchers.go
+++ b/internal/routednode/watchers.go
@@ -101,7 +101,8 @@
 	return f.cfg.Follow.ReplicasPause
 }
 
-// maxPause keeps the retries of all nodes within a fraction of the store's capacity.
+// maxPause returns the maximum pause after failed reads of a partition. It keeps the retries
+// of all nodes within retryFraction of the store's read capacity.
 func (f *topicWatchers) maxPause(partition logstore.Partition) func() time.Duration {
 	return func() time.Duration {
 		allowed := f.cfg.Store.ReadsPerSecond * retryFraction
