--- a/internal/aggregator/message.go
+++ b/internal/aggregator/message.go
@@ -8,114 +8,114 @@
 	"stepseam.example/stepseam/internal/loads"
 )
 
-// form tells datagrams of this version from others.
-const form uint16 = 0x6b01
+// magic identifies the protocol and its version.
+const magic uint16 = 0x6b01
 
-// kind tells what a datagram holds.
+// kind is the type of a datagram.
 type kind uint8
 
 // The kinds of datagrams.
 const (
 	kindReport kind = 1 + iota
-	kindQuestion
-	kindAnswer
+	kindQuery
+	kindResponse
 	kindOutcome
-	// kindJudged is an answer that tells of ejected replicas too.
-	kindJudged
+	// kindEjectionResponse is a response that includes the ejection state.
+	kindEjectionResponse
 )
 
 const (
-	// maxParts is how many parts of a prompt are told; the first ones count, since a
-	// part is of use only with all before it.
-	maxParts = 32
-	// maxAsked is how many replicas one question names.
-	maxAsked = 16
-	// datagramBytes is more than any datagram of this package has.
-	datagramBytes = 2048
-
-	headBytes     = 2 + 1
-	partBytes     = 4 + 4
+	// maxSegments bounds the segments in a datagram. The first ones are sent, since a
+	// segment is useful only together with the preceding ones.
+	maxSegments = 32
+	// maxQueriedReplicas bounds the replicas in one query.
+	maxQueriedReplicas = 16
+	// maxDatagramBytes is an upper bound on the size of a datagram.
+	maxDatagramBytes = 2048
+
+	headerBytes   = 2 + 1
+	segmentBytes  = 4 + 4
 	stateBytes    = 4 + loads.EncodedSize + 4 + 1
-	settledFlag   = 1
+	completeFlag  = 1
 	maxWireTokens = 1<<32 - 1
 )
 
-// errForm tells that a datagram is not of this package.
-var errForm = errors.New("keeper: unreadable datagram")
+// errInvalidDatagram is returned for a datagram that cannot be decoded.
+var errInvalidDatagram = errors.New("keeper: unreadable datagram")
 
-// question asks for the states of replicas, for a request with the given prompt.
-type question struct {
-	number uint32
-	keys   []ReplicaKey
-	parts  []Segment
+// query requests the states of replicas for a prompt.
+type query struct {
+	number   uint32
+	keys     []ReplicaKey
+	segments []Segment
 }
 
-// answer answers the question of the same number.
-type answer struct {
+// response is the reply to the query with the same number.
+type response struct {
 	number uint32
 	states []State
-	// judged tells that it says which replicas are ejected.
-	judged bool
+	// withEjections reports whether the states include the ejection state.
+	withEjections bool
 }
 
-// datagram is one decoded message; the field of its kind is set.
+// datagram is a decoded message; only the field of its kind is set.
 type datagram struct {
-	kind     kind
-	report   Report
-	question question
-	answer   answer
-	outcome  outcome
+	kind          kind
+	report        Report
+	query         query
+	response      response
+	outcomeReport outcomeReport
 }
 
-func appendHead(of kind) []byte {
-	return append(binary.BigEndian.AppendUint16(make([]byte, 0, 64), form), byte(of))
+func appendHeader(of kind) []byte {
+	return append(binary.BigEndian.AppendUint16(make([]byte, 0, 64), magic), byte(of))
 }
 
 func appendTokens(encoded []byte, tokens int) []byte {
 	return binary.BigEndian.AppendUint32(encoded, uint32(min(max(tokens, 0), maxWireTokens)))
 }
 
-func appendParts(encoded []byte, parts []Segment) []byte {
-	parts = parts[:min(len(parts), maxParts)]
-	encoded = append(encoded, byte(len(parts)))
-	for _, part := range parts {
-		encoded = binary.BigEndian.AppendUint32(encoded, part.ID)
-		encoded = appendTokens(encoded, part.Tokens)
+func appendSegments(encoded []byte, segments []Segment) []byte {
+	segments = segments[:min(len(segments), maxSegments)]
+	encoded = append(encoded, byte(len(segments)))
+	for _, segment := range segments {
+		encoded = binary.BigEndian.AppendUint32(encoded, segment.ID)
+		encoded = appendTokens(encoded, segment.Tokens)
 	}
 	return encoded
 }
 
 // encodeReport returns the datagram of a report.
 func encodeReport(report Report) []byte {
-	encoded := appendHead(kindReport)
+	encoded := appendHeader(kindReport)
 	encoded = binary.BigEndian.AppendUint32(encoded, uint32(report.Key))
 	encoded = binary.BigEndian.AppendUint64(encoded, report.Sequence)
 	encoded = report.Load.Append(encoded)
 	encoded = appendTokens(encoded, report.CapacityTokens)
-	return appendParts(encoded, report.Segments)
+	return appendSegments(encoded, report.Segments)
 }
 
-// encodeQuestion returns the datagram of a question.
-func encodeQuestion(asked question) []byte {
-	keys := asked.keys[:min(len(asked.keys), maxAsked)]
-	encoded := appendHead(kindQuestion)
-	encoded = binary.BigEndian.AppendUint32(encoded, asked.number)
+// encodeQuery returns the datagram of a query.
+func encodeQuery(q query) []byte {
+	keys := q.keys[:min(len(q.keys), maxQueriedReplicas)]
+	encoded := appendHeader(kindQuery)
+	encoded = binary.BigEndian.AppendUint32(encoded, q.number)
 	encoded = append(encoded, byte(len(keys)))
 	for _, key := range keys {
 		encoded = binary.BigEndian.AppendUint32(encoded, uint32(key))
 	}
-	return appendParts(encoded, asked.parts)
+	return appendSegments(encoded, q.segments)
 }
 
-// encodeAnswer returns the datagram of an answer.
-func encodeAnswer(told answer) []byte {
-	states := told.states[:min(len(told.states), maxAsked)]
-	form := kindAnswer
-	if told.judged {
-		form = kindJudged
+// encodeResponse returns the datagram of a response.
+func encodeResponse(resp response) []byte {
+	states := resp.states[:min(len(resp.states), maxQueriedReplicas)]
+	messageKind := kindResponse
+	if resp.withEjections {
+		messageKind = kindEjectionResponse
 	}
-	encoded := appendHead(form)
-	encoded = binary.BigEndian.AppendUint32(encoded, told.number)
+	encoded := appendHeader(messageKind)
+	encoded = binary.BigEndian.AppendUint32(encoded, resp.number)
 	encoded = append(encoded, byte(len(states)))
 	for _, state := range states {
 		encoded = binary.BigEndian.AppendUint32(encoded, uint32(state.Key))
@@ -123,18 +123,18 @@
 		encoded = appendTokens(encoded, state.CachedTokens)
 		flags := byte(0)
 		if state.Complete {
-			flags = settledFlag
+			flags = completeFlag
 		}
-		if told.judged {
-			flags |= judgedFlags(state)
+		if resp.withEjections {
+			flags |= ejectionFlags(state)
 		}
 		encoded = append(encoded, flags)
 	}
 	return encoded
 }
 
-// reader takes fields from the front of a datagram; a datagram that ends early makes
-// every further field zero and short true.
+// reader decodes fields from the front of a datagram. After the end of the datagram all
+// further fields are zero and short is true.
 type reader struct {
 	rest  []byte
 	short bool
@@ -156,82 +156,82 @@
 func (r *reader) tokens() int      { return int(r.uint32()) }
 func (r *reader) load() loads.Load { return loads.DecodeLoad(r.take(loads.EncodedSize)) }
 
-func (r *reader) parts() []Segment {
+func (r *reader) segments() []Segment {
 	count := r.byte()
-	if count > maxParts || len(r.rest) != count*partBytes {
+	if count > maxSegments || len(r.rest) != count*segmentBytes {
 		r.short = true
 		return nil
 	}
-	parts := make([]Segment, 0, count)
+	segments := make([]Segment, 0, count)
 	for range count {
-		parts = append(parts, Segment{ID: r.uint32(), Tokens: r.tokens()})
+		segments = append(segments, Segment{ID: r.uint32(), Tokens: r.tokens()})
 	}
-	return parts
+	return segments
 }
 
 func (r *reader) report() Report {
 	return Report{
 		Key: ReplicaKey(r.uint32()), Sequence: r.uint64(), Load: r.load(),
-		CapacityTokens: r.tokens(), Segments: r.parts(),
+		CapacityTokens: r.tokens(), Segments: r.segments(),
 	}
 }
 
-func (r *reader) question() question {
-	asked := question{number: r.uint32()}
+func (r *reader) query() query {
+	q := query{number: r.uint32()}
 	count := r.byte()
-	if count > maxAsked {
+	if count > maxQueriedReplicas {
 		r.short = true
-		return question{}
+		return query{}
 	}
 	for range count {
-		asked.keys = append(asked.keys, ReplicaKey(r.uint32()))
+		q.keys = append(q.keys, ReplicaKey(r.uint32()))
 	}
-	asked.parts = r.parts()
-	return asked
+	q.segments = r.segments()
+	return q
 }
 
-func (r *reader) answer() answer {
-	return r.answerOf(func(state *State, flags int) { state.Complete = flags&settledFlag != 0 })
+func (r *reader) response() response {
+	return r.responseWith(func(state *State, flags int) { state.Complete = flags&completeFlag != 0 })
 }
 
-func (r *reader) answerOf(read func(state *State, flags int)) answer {
-	told := answer{number: r.uint32()}
+func (r *reader) responseWith(readFlags func(state *State, flags int)) response {
+	resp := response{number: r.uint32()}
 	count := r.byte()
-	if count > maxAsked || len(r.rest) != count*stateBytes {
+	if count > maxQueriedReplicas || len(r.rest) != count*stateBytes {
 		r.short = true
-		return answer{}
+		return response{}
 	}
 	for range count {
 		state := State{Key: ReplicaKey(r.uint32()), Load: r.load(), CachedTokens: r.tokens()}
-		read(&state, r.byte())
-		told.states = append(told.states, state)
+		readFlags(&state, r.byte())
+		resp.states = append(resp.states, state)
 	}
-	return told
+	return resp
 }
 
-// decode reads a datagram.
+// decode decodes a datagram.
 func decode(encoded []byte) (datagram, error) {
-	if len(encoded) < headBytes || binary.BigEndian.Uint16(encoded) != form {
-		return datagram{}, errForm
+	if len(encoded) < headerBytes || binary.BigEndian.Uint16(encoded) != magic {
+		return datagram{}, errInvalidDatagram
 	}
 	read := datagram{kind: kind(encoded[2])}
-	fields := &reader{rest: encoded[headBytes:]}
+	fields := &reader{rest: encoded[headerBytes:]}
 	switch read.kind {
 	case kindReport:
 		read.report = fields.report()
-	case kindQuestion:
-		read.question = fields.question()
-	case kindAnswer:
-		read.answer = fields.answer()
+	case kindQuery:
+		read.query = fields.query()
+	case kindResponse:
+		read.response = fields.response()
 	case kindOutcome:
-		read.outcome = fields.outcome()
-	case kindJudged:
-		read.answer = fields.judgedAnswer()
+		read.outcomeReport = fields.outcomeReport()
+	case kindEjectionResponse:
+		read.response = fields.ejectionResponse()
 	default:
-		return datagram{}, fmt.Errorf("%w: kind %d", errForm, read.kind)
+		return datagram{}, fmt.Errorf("%w: kind %d", errInvalidDatagram, read.kind)
 	}
 	if fields.short || len(fields.rest) > 0 {
-		return datagram{}, fmt.Errorf("%w: %d bytes of kind %d", errForm, len(encoded), read.kind)
+		return datagram{}, fmt.Errorf("%w: %d bytes of kind %d", errInvalidDatagram, len(encoded), read.kind)
 	}
 	return read, nil
 }
--- a/internal/aggregator/message_test.go
+++ b/internal/aggregator/message_test.go
@@ -9,24 +9,24 @@
 	"stepseam.example/stepseam/internal/loads"
 )
 
-// unreadUnit is the unit in which loads tell tokens.
-const unreadUnit = 64
+// pendingUnit is the unit in which loads encode pending tokens.
+const pendingUnit = 64
 
-func drawParts(t *rapid.T) []Segment {
+func drawSegments(t *rapid.T) []Segment {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Segment {
-		return Segment{ID: rapid.Uint32().Draw(t, "id"), Tokens: rapid.IntRange(0, maxPartTokens).Draw(t, "tokens")}
-	}), 0, maxParts).Draw(t, "parts")
+		return Segment{ID: rapid.Uint32().Draw(t, "id"), Tokens: rapid.IntRange(0, maxSegmentTokens).Draw(t, "tokens")}
+	}), 0, maxSegments).Draw(t, "parts")
 }
 
 func drawLoad(t *rapid.T) loads.Load {
 	return loads.Load{
 		InFlight: rapid.IntRange(0, 1000).Draw(t, "under way"), Failing: rapid.Bool().Draw(t, "failing"),
-		PendingTokens: unreadUnit * rapid.IntRange(0, 1000).Draw(t, "unread"),
+		PendingTokens: pendingUnit * rapid.IntRange(0, 1000).Draw(t, "unread"),
 	}
 }
 
 func decoded(t *rapid.T, encoded []byte) datagram {
-	if len(encoded) > datagramBytes {
+	if len(encoded) > maxDatagramBytes {
 		t.Fatalf("%d bytes", len(encoded))
 	}
 	read, err := decode(encoded)
@@ -36,45 +36,45 @@
 	return read
 }
 
-func TestMessagesSurviveADatagram(t *testing.T) {
+func TestDatagramRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := Report{
 			Key: ReplicaKey(rapid.Uint32().Draw(t, "key")), Sequence: rapid.Uint64().Draw(t, "sequence"), Load: drawLoad(t),
-			CapacityTokens: rapid.IntRange(0, 1<<30).Draw(t, "capacity"), Segments: drawParts(t),
+			CapacityTokens: rapid.IntRange(0, 1<<30).Draw(t, "capacity"), Segments: drawSegments(t),
 		}
 		if read := decoded(t, encodeReport(report)); !reflect.DeepEqual(read.report, report) {
 			t.Fatalf("%+v is not %+v", read.report, report)
 		}
-		asked := question{number: rapid.Uint32().Draw(t, "number"), keys: []ReplicaKey{1, 2}, parts: drawParts(t)}
-		if read := decoded(t, encodeQuestion(asked)); !reflect.DeepEqual(read.question, asked) {
-			t.Fatalf("%+v is not %+v", read.question, asked)
+		q := query{number: rapid.Uint32().Draw(t, "number"), keys: []ReplicaKey{1, 2}, segments: drawSegments(t)}
+		if read := decoded(t, encodeQuery(q)); !reflect.DeepEqual(read.query, q) {
+			t.Fatalf("%+v is not %+v", read.query, q)
 		}
-		told := answer{number: asked.number, states: []State{{Key: 2, Load: drawLoad(t), CachedTokens: 9, Complete: true}}}
-		if read := decoded(t, encodeAnswer(told)); !reflect.DeepEqual(read.answer, told) {
-			t.Fatalf("%+v is not %+v", read.answer, told)
+		resp := response{number: q.number, states: []State{{Key: 2, Load: drawLoad(t), CachedTokens: 9, Complete: true}}}
+		if read := decoded(t, encodeResponse(resp)); !reflect.DeepEqual(read.response, resp) {
+			t.Fatalf("%+v is not %+v", read.response, resp)
 		}
 	})
 }
 
-func TestLongListsAreCutToADatagram(t *testing.T) {
-	parts, keys, states := make([]Segment, 1000), make([]ReplicaKey, 1000), make([]State, 1000)
+func TestLongListsAreTruncated(t *testing.T) {
+	segments, keys, states := make([]Segment, 1000), make([]ReplicaKey, 1000), make([]State, 1000)
 	for _, encoded := range [][]byte{
-		encodeReport(Report{Segments: parts}), encodeQuestion(question{keys: keys, parts: parts}), encodeAnswer(answer{states: states}),
+		encodeReport(Report{Segments: segments}), encodeQuery(query{keys: keys, segments: segments}), encodeResponse(response{states: states}),
 	} {
-		if _, err := decode(encoded); err != nil || len(encoded) > datagramBytes {
+		if _, err := decode(encoded); err != nil || len(encoded) > maxDatagramBytes {
 			t.Fatalf("%d bytes: %v", len(encoded), err)
 		}
 	}
 }
 
-func TestUnreadableDatagramsAreRefused(t *testing.T) {
+func TestInvalidDatagramsAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		valid := encodeQuestion(question{number: 1, keys: []ReplicaKey{1}, parts: []Segment{{ID: 1, Tokens: 1}}})
+		valid := encodeQuery(query{number: 1, keys: []ReplicaKey{1}, segments: []Segment{{ID: 1, Tokens: 1}}})
 		cut := rapid.IntRange(0, len(valid)-1).Draw(t, "cut")
 		if _, err := decode(valid[:cut]); err == nil {
 			t.Fatalf("%d of %d bytes were read", cut, len(valid))
 		}
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "noise")
-		_, _ = decode(append(append([]byte(nil), valid[:headBytes]...), noise...)) // must not panic
+		_, _ = decode(append(append([]byte(nil), valid[:headerBytes]...), noise...)) // must not panic
 	})
 }
--- a/internal/aggregator/outcome_message.go
+++ b/internal/aggregator/outcome_message.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// maxInstance bounds the name of a replica in a datagram.
-	maxInstance = 255
-	// shareUnit is the share 1 in a datagram.
-	shareUnit = math.MaxUint16
+	// maxInstanceBytes bounds the name of a replica in a datagram.
+	maxInstanceBytes = 255
+	// rateUnit encodes a rate of 1 in a datagram.
+	rateUnit = math.MaxUint16
 
-	// readsJudged is set in the numbers of questions of nodes that read answers of
-	// kindJudged. Keepers that don't know these give the number back as it is.
-	readsJudged uint32 = 1 << 31
+	// acceptsEjections is set in the query numbers of nodes that can decode
+	// kindEjectionResponse. Aggregators that don't know the flag return the number
+	// unchanged.
+	acceptsEjections uint32 = 1 << 31
 
-	// Flags of a state in an answer of kindJudged, beside settledFlag.
+	// Flags of a state in a kindEjectionResponse, in addition to completeFlag.
 	ejectedFlag   = 2
 	safeProbeFlag = 4
 	anyProbeFlag  = 8
 )
 
 // encodeOutcome returns the datagram of an outcome.
-func encodeOutcome(told outcome) []byte {
-	name := told.instance[:min(len(told.instance), maxInstance)]
-	encoded := appendHead(kindOutcome)
-	encoded = binary.BigEndian.AppendUint32(encoded, uint32(told.key))
-	encoded = append(encoded, byte(told.became))
-	encoded = binary.BigEndian.AppendUint16(encoded, uint16(min(max(told.usual, 0), 1)*shareUnit))
+func encodeOutcome(report outcomeReport) []byte {
+	name := report.instance[:min(len(report.instance), maxInstanceBytes)]
+	encoded := appendHeader(kindOutcome)
+	encoded = binary.BigEndian.AppendUint32(encoded, uint32(report.key))
+	encoded = append(encoded, byte(report.result))
+	encoded = binary.BigEndian.AppendUint16(encoded, uint16(min(max(report.baseline, 0), 1)*rateUnit))
 	encoded = append(encoded, byte(len(name)))
 	return append(encoded, name...)
 }
 
-func (r *reader) outcome() outcome {
-	told := outcome{key: ReplicaKey(r.uint32()), became: outlier.Outcome(r.byte())}
-	told.usual = float64(binary.BigEndian.Uint16(r.take(2))) / shareUnit
-	told.instance = string(r.take(r.byte()))
-	return told
+func (r *reader) outcomeReport() outcomeReport {
+	report := outcomeReport{key: ReplicaKey(r.uint32()), result: outlier.Outcome(r.byte())}
+	report.baseline = float64(binary.BigEndian.Uint16(r.take(2))) / rateUnit
+	report.instance = string(r.take(r.byte()))
+	return report
 }
 
-// judgedFlags returns what an answer of kindJudged tells of a replica beside the others.
-func judgedFlags(state State) byte {
+// ejectionFlags returns the flags that only a kindEjectionResponse carries.
+func ejectionFlags(state State) byte {
 	flags := byte(0)
 	if state.Ejected {
 		flags = ejectedFlag
@@ -57,9 +58,9 @@
 	return flags
 }
 
-func (r *reader) judgedAnswer() answer {
-	told := r.answerOf(func(state *State, flags int) {
-		state.Complete, state.Ejected = flags&settledFlag != 0, flags&ejectedFlag != 0
+func (r *reader) ejectionResponse() response {
+	resp := r.responseWith(func(state *State, flags int) {
+		state.Complete, state.Ejected = flags&completeFlag != 0, flags&ejectedFlag != 0
 		switch {
 		case flags&anyProbeFlag != 0:
 			state.Probe = outlier.AnyProbe
@@ -67,6 +68,6 @@
 			state.Probe = outlier.SafeProbe
 		}
 	})
-	told.judged = true
-	return told
+	resp.withEjections = true
+	return resp
 }
--- a/internal/aggregator/outcomes.go
+++ b/internal/aggregator/outcomes.go
@@ -9,57 +9,57 @@
 	"stepseam.example/stepseam/internal/outlier"
 )
 
-// outcome is what became of one node's request at a replica. Datagrams that are lost only
-// make the keeper judge by fewer outcomes.
-type outcome struct {
+// outcomeReport reports the outcome of one request at a replica. A lost datagram only means
+// that the aggregator decides on fewer outcomes.
+type outcomeReport struct {
 	key ReplicaKey
-	// became is what it became, usual the share of failures at the service's other replicas
-	// as the node has learned it.
-	became outlier.Outcome
-	usual  float64
-	// instance names the replica for the log; empty where it was served.
+	// result is the outcome, baseline the failure rate of the service's replicas as learned
+	// by the reporting node.
+	result   outlier.Outcome
+	baseline float64
+	// instance is the replica's name for the log; empty if the request succeeded.
 	instance string
 }
 
-// EjectionChange is that a replica was ejected or has returned, and by what.
+// EjectionChange is an ejection or reinstatement of a replica.
 type EjectionChange struct {
-	// Instance is the life of the replica, empty where no failure has named it.
+	// Instance is the replica's incarnation ID; empty if no failed request has named it.
 	Instance string
 	Key      ReplicaKey
 	outlier.Transition
 }
 
-// judge counts an outcome and tells what it has changed.
-func (b *Aggregates) judge(told outcome, now time.Duration) EjectionChange {
-	shard := b.shard(told.key)
+// observe passes an outcome to the replica's detector and returns the resulting transition.
+func (a *Aggregates) observe(report outcomeReport, now time.Duration) EjectionChange {
+	shard := a.shard(report.key)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	known := shard.account(told.key, now)
-	if told.instance != "" {
-		known.instance = told.instance
+	entry := shard.aggregate(report.key, now)
+	if report.instance != "" {
+		entry.instance = report.instance
 	}
-	return EjectionChange{Instance: known.instance, Key: told.key, Transition: known.outcomes.Observe(told.became, told.usual, now)}
+	return EjectionChange{Instance: entry.instance, Key: report.key, Transition: entry.detector.Observe(report.result, report.baseline, now)}
 }
 
-// grant gives the asking node the right to probe an ejected replica, if it may be probed.
-// elsewhere is what the other nodes have there.
-func (a *account) grant(asking netip.AddrPort, elsewhere int, now time.Duration) outlier.Probe {
-	right := a.outcomes.Probe(elsewhere+a.reporters[asking].load.InFlight, now)
-	if right != outlier.NoProbe {
-		a.outcomes.StartProbe(now)
+// grantProbe permits the querying node to probe an ejected replica if a probe is due.
+// inFlightElsewhere counts the requests of all other nodes there.
+func (a *aggregate) grantProbe(requester netip.AddrPort, inFlightElsewhere int, now time.Duration) outlier.Probe {
+	probe := a.detector.Probe(inFlightElsewhere+a.reporters[requester].load.InFlight, now)
+	if probe != outlier.NoProbe {
+		a.detector.StartProbe(now)
 	}
-	return right
+	return probe
 }
 
-// Ejected counts the ejected replicas by the kind of the failure that ejected them.
-func (b *Aggregates) Ejected(now time.Duration) map[outlier.Outcome]int {
+// Ejected counts the ejected replicas by the kind of failure that caused the ejection.
+func (a *Aggregates) Ejected(now time.Duration) map[outlier.Outcome]int {
 	counts := map[outlier.Outcome]int{}
-	for i := range b.shards {
-		shard := &b.shards[i]
+	for i := range a.shards {
+		shard := &a.shards[i]
 		shard.mutex.Lock()
-		for _, known := range shard.accounts {
-			if known.outcomes.Ejected() && now-known.touched <= idleLife {
-				counts[known.outcomes.Reason()]++
+		for _, entry := range shard.byKey {
+			if entry.detector.Ejected() && now-entry.updatedAt <= idleTTL {
+				counts[entry.detector.Reason()]++
 			}
 		}
 		shard.mutex.Unlock()
@@ -67,31 +67,31 @@
 	return counts
 }
 
-// ReportOutcome tells a replica's keeper what became of a request there. usual is the share of
-// failures at the service's other replicas.
-func (e *Service) ReportOutcome(replica Replica, became outlier.Outcome, usual float64) {
-	told := outcome{key: loads.HashReplica(replica.Instance), became: became, usual: usual}
-	if became.Failed() {
-		told.instance = replica.Instance
+// ReportOutcome sends the outcome of a request to the replica's aggregator. baseline is the
+// failure rate of the service's replicas.
+func (s *Service) ReportOutcome(replica Replica, result outlier.Outcome, baseline float64) {
+	report := outcomeReport{key: loads.HashReplica(replica.Instance), result: result, baseline: baseline}
+	if result.Failed() {
+		report.instance = replica.Instance
 	}
-	keeper, self := e.keeper(replica)
+	aggregator, self := s.aggregator(replica)
 	if !self {
-		e.send(encodeOutcome(told), keeper)
+		s.send(encodeOutcome(report), aggregator)
 		return
 	}
-	e.judge(told)
+	s.observe(report)
 }
 
-func (e *Service) judge(told outcome) {
-	changed := e.book.judge(told, e.config.Now())
-	if changed.Change != outlier.Unchanged && e.config.OnEjectionChange != nil {
-		e.config.OnEjectionChange(changed)
+func (s *Service) observe(report outcomeReport) {
+	changed := s.aggregates.observe(report, s.config.Now())
+	if changed.Change != outlier.Unchanged && s.config.OnEjectionChange != nil {
+		s.config.OnEjectionChange(changed)
 	}
 }
 
-// answerTo returns the answer to a question: one that tells of ejected replicas only to nodes
-// that read it.
-func answerTo(asked question, states []State) answer {
-	judged := asked.number&readsJudged != 0 && slices.ContainsFunc(states, func(state State) bool { return state.Ejected })
-	return answer{number: asked.number, states: states, judged: judged}
+// responseTo returns the response to a query. It includes the ejection state only if a
+// replica is ejected and the querying node can decode it.
+func responseTo(q query, states []State) response {
+	withEjections := q.number&acceptsEjections != 0 && slices.ContainsFunc(states, func(state State) bool { return state.Ejected })
+	return response{number: q.number, states: states, withEjections: withEjections}
 }
--- a/internal/aggregator/placement.go
+++ b/internal/aggregator/placement.go
@@ -8,29 +8,28 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// Placement tells which node keeps a replica: of the members that live in the
-// replica's zone, or of all where none does, the one of the highest hash together
-// with the replica (rendezvous hashing), so that a member that comes or goes moves
-// only its own share. It is safe for concurrent use.
+// Placement maps replicas to their aggregators by rendezvous hashing over the alive members
+// in the replica's zone, or over all alive members if there are none in the zone. A member
+// that joins or leaves moves only its own replicas. It is safe for concurrent use.
 type Placement struct {
 	self identity.NodeName
 
-	// mutex guards all below.
+	// mutex guards all fields below.
 	mutex   sync.Mutex
 	members []membership.Member
-	// zones holds the members by zone, so that a look-up ranks those of one zone alone.
+	// zones holds the members by zone, so that a lookup ranks only those of one zone.
 	zones map[string][]membership.Member
-	// known remembers the keepers by replica until the members change.
-	known map[string]identity.Node
+	// cached holds the aggregators by replica until the members change.
+	cached map[string]identity.Node
 }
 
-// NewPlacement returns a placement by which this node keeps all replicas, until
-// SetView.
+// NewPlacement returns a placement that maps all replicas to this node until SetView is
+// called.
 func NewPlacement(self identity.NodeName) *Placement {
-	return &Placement{self: self, known: map[string]identity.Node{}}
+	return &Placement{self: self, cached: map[string]identity.Node{}}
 }
 
-// SetView tells which nodes live.
+// SetView sets the members.
 func (p *Placement) SetView(view membership.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -42,23 +41,23 @@
 			p.zones[zone] = append(p.zones[zone], member)
 		}
 	}
-	clear(p.known)
+	clear(p.cached)
 }
 
-// AggregatorOf returns the address of the node that keeps a replica; self where it is this
-// node.
+// AggregatorOf returns the address of a replica's aggregator. self reports whether it is
+// this node.
 func (p *Placement) AggregatorOf(instance, zone string) (address netip.Addr, self bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	node, found := p.known[instance]
+	node, found := p.cached[instance]
 	if !found {
 		node = p.choose(instance, zone)
-		p.known[instance] = node
+		p.cached[instance] = node
 	}
 	return node.PeerAddress.Addr(), node.Name == p.self || node.Name == ""
 }
 
-// choose needs the mutex.
+// choose returns the aggregator of a replica. The caller must hold the mutex.
 func (p *Placement) choose(instance, zone string) identity.Node {
 	all := func(membership.Member) bool { return true }
 	if node, found := membership.Highest(instance, p.zones[zone], all); found {
--- a/internal/aggregator/recorded_test.go
+++ b/internal/aggregator/wire_format_test.go
@@ -9,19 +9,19 @@
 	"stepseam.example/stepseam/internal/loads"
 )
 
-// TestRecordedBytesOfDatagrams: what builds tell each other of replicas stays as it is.
-func TestRecordedBytesOfDatagrams(t *testing.T) {
+// The wire format must stay compatible with other versions.
+func TestDatagramWireFormat(t *testing.T) {
 	report := Report{Key: 5, Sequence: 9, Load: loads.Load{InFlight: 3, PendingTokens: 128, Failing: true}, CapacityTokens: 1000, Segments: []Segment{{ID: 8, Tokens: 12600}}}
-	asked := question{number: 4, keys: []ReplicaKey{5, 6}, parts: []Segment{{ID: 8, Tokens: 12600}}}
-	told := answer{number: 4, states: []State{{Key: 5, Load: loads.Load{InFlight: 2}, CachedTokens: 12600, Complete: true}}}
+	q := query{number: 4, keys: []ReplicaKey{5, 6}, segments: []Segment{{ID: 8, Tokens: 12600}}}
+	resp := response{number: 4, states: []State{{Key: 5, Load: loads.Load{InFlight: 2}, CachedTokens: 12600, Complete: true}}}
 	for name, c := range map[string]struct {
 		encoded []byte
 		written string
 		read    datagram
 	}{
 		"report":   {encodeReport(report), "6b010100000005000000000000000980030002000003e8010000000800003138", datagram{kind: kindReport, report: report}},
-		"question": {encodeQuestion(asked), "6b010200000004020000000500000006010000000800003138", datagram{kind: kindQuestion, question: asked}},
-		"answer":   {encodeAnswer(told), "6b0103000000040100000005000200000000313801", datagram{kind: kindAnswer, answer: told}},
+		"question": {encodeQuery(q), "6b010200000004020000000500000006010000000800003138", datagram{kind: kindQuery, query: q}},
+		"answer":   {encodeResponse(resp), "6b0103000000040100000005000200000000313801", datagram{kind: kindResponse, response: resp}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checkRecorded(t, c.encoded, c.written, c.read)
@@ -29,8 +29,8 @@
 	}
 }
 
-// checkRecorded checks that a datagram is written as recorded, in hexadecimal, and reads as
-// what it was. It returns its recorded bytes.
+// checkRecorded checks that a datagram is encoded as recorded in hexadecimal and decoded to
+// its original. It returns the recorded bytes.
 func checkRecorded(t *testing.T, encoded []byte, recorded string, reads datagram) []byte {
 	t.Helper()
 	is := is.New(t)
@@ -45,7 +45,7 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(encodeReport(Report{Key: 5, Segments: []Segment{{ID: 8, Tokens: 12600}}}))
-	f.Add(encodeAnswer(answer{number: 4, states: []State{{Key: 5}}}))
+	f.Add(encodeResponse(response{number: 4, states: []State{{Key: 5}}}))
 	f.Add([]byte{0x6b, 1, 9})
 	f.Fuzz(func(_ *testing.T, encoded []byte) { _, _ = decode(encoded) })
 }
