--- a/internal/aggregator/aggregates_test.go
+++ b/internal/aggregator/aggregates_test.go
@@ -97,7 +97,7 @@
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * time.Millisecond
 			sender := rapid.IntRange(0, nodes-1).Draw(t, "sender")
-			newest[sender] = loadReport(uint64(step+1), rapid.IntRange(0, 9).Draw(t, "under way"), 0)
+			newest[sender] = loadReport(uint64(step+1), rapid.IntRange(0, 9).Draw(t, "in flight"), 0)
 			sent, senders = append(sent, newest[sender]), append(senders, sender)
 			for range rapid.IntRange(0, 3).Draw(t, "arrivals") {
 				arrival := rapid.IntRange(0, len(sent)-1).Draw(t, "arrival")
@@ -113,7 +113,7 @@
 		}
 		state, _ := aggregates.State(node(nodes), 1, nil, now)
 		if state.Load.InFlight != truth {
-			t.Fatalf("%d is not %d", state.Load.InFlight, truth)
+			t.Fatalf("sum of requests in flight: got %d, want %d", state.Load.InFlight, truth)
 		}
 	})
 }
@@ -167,7 +167,7 @@
 	fair := (300+19*10)/20 + 1
 	old, exact := maxLoadAfterBurst(200*time.Millisecond), maxLoadAfterBurst(0)
 	if old < 4*fair {
-		t.Fatalf("no herd to prevent: %d of %d", old, fair)
+		t.Fatalf("stale loads cause no herding: maximum %d, fair share %d", old, fair)
 	}
 	is.True(exact <= fair+3)
 }
@@ -192,7 +192,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "prompts") {
 			segments := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Segment {
 				return Segment{ID: rapid.Uint32Range(1, 12).Draw(t, "id"), Tokens: rapid.IntRange(-5, 200).Draw(t, "tokens")}
-			}), 0, 4).Draw(t, "parts")
+			}), 0, 4).Draw(t, "segments")
 			cache.Insert(segments)
 			total, listed := 0, 0
 			for _, segment := range cache.entries {
@@ -202,17 +202,17 @@
 				listed++
 			}
 			if total != cache.total || listed != len(cache.entries) {
-				t.Fatalf("%d tokens counted as %d, %d parts listed as %d", total, cache.total, len(cache.entries), listed)
+				t.Fatalf("%d tokens counted as %d, %d entries listed as %d", total, cache.total, len(cache.entries), listed)
 			}
 			if total > capacity && len(cache.entries) > 1 {
-				t.Fatalf("%d tokens of %d", total, capacity)
+				t.Fatalf("%d tokens cached, capacity %d", total, capacity)
 			}
 			prompt := 0
 			for _, segment := range segments {
 				prompt += max(segment.Tokens, 0)
 			}
 			if cached := cache.Cached(segments); cached > prompt {
-				t.Fatalf("%d cached of %d", cached, prompt)
+				t.Fatalf("%d tokens cached of a prompt of %d", cached, prompt)
 			}
 		}
 	})
--- a/internal/aggregator/message.go
+++ b/internal/aggregator/message.go
@@ -41,7 +41,7 @@
 )
 
 // errInvalidDatagram is returned for a datagram that cannot be decoded.
-var errInvalidDatagram = errors.New("keeper: unreadable datagram")
+var errInvalidDatagram = errors.New("aggregator: invalid datagram")
 
 // query requests the states of replicas for a prompt.
 type query struct {
--- a/internal/aggregator/message_test.go
+++ b/internal/aggregator/message_test.go
@@ -15,13 +15,13 @@
 func drawSegments(t *rapid.T) []Segment {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Segment {
 		return Segment{ID: rapid.Uint32().Draw(t, "id"), Tokens: rapid.IntRange(0, maxSegmentTokens).Draw(t, "tokens")}
-	}), 0, maxSegments).Draw(t, "parts")
+	}), 0, maxSegments).Draw(t, "segments")
 }
 
 func drawLoad(t *rapid.T) loads.Load {
 	return loads.Load{
-		InFlight: rapid.IntRange(0, 1000).Draw(t, "under way"), Failing: rapid.Bool().Draw(t, "failing"),
-		PendingTokens: pendingUnit * rapid.IntRange(0, 1000).Draw(t, "unread"),
+		InFlight: rapid.IntRange(0, 1000).Draw(t, "in flight"), Failing: rapid.Bool().Draw(t, "failing"),
+		PendingTokens: pendingUnit * rapid.IntRange(0, 1000).Draw(t, "pending tokens"),
 	}
 }
 
@@ -43,15 +43,15 @@
 			CapacityTokens: rapid.IntRange(0, 1<<30).Draw(t, "capacity"), Segments: drawSegments(t),
 		}
 		if read := decoded(t, encodeReport(report)); !reflect.DeepEqual(read.report, report) {
-			t.Fatalf("%+v is not %+v", read.report, report)
+			t.Fatalf("got %+v, want %+v", read.report, report)
 		}
 		q := query{number: rapid.Uint32().Draw(t, "number"), keys: []ReplicaKey{1, 2}, segments: drawSegments(t)}
 		if read := decoded(t, encodeQuery(q)); !reflect.DeepEqual(read.query, q) {
-			t.Fatalf("%+v is not %+v", read.query, q)
+			t.Fatalf("got %+v, want %+v", read.query, q)
 		}
 		resp := response{number: q.number, states: []State{{Key: 2, Load: drawLoad(t), CachedTokens: 9, Complete: true}}}
 		if read := decoded(t, encodeResponse(resp)); !reflect.DeepEqual(read.response, resp) {
-			t.Fatalf("%+v is not %+v", read.response, resp)
+			t.Fatalf("got %+v, want %+v", read.response, resp)
 		}
 	})
 }
@@ -62,7 +62,7 @@
 		encodeReport(Report{Segments: segments}), encodeQuery(query{keys: keys, segments: segments}), encodeResponse(response{states: states}),
 	} {
 		if _, err := decode(encoded); err != nil || len(encoded) > maxDatagramBytes {
-			t.Fatalf("%d bytes: %v", len(encoded), err)
+			t.Fatalf("datagram of %d bytes: %v", len(encoded), err)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 		valid := encodeQuery(query{number: 1, keys: []ReplicaKey{1}, segments: []Segment{{ID: 1, Tokens: 1}}})
 		cut := rapid.IntRange(0, len(valid)-1).Draw(t, "cut")
 		if _, err := decode(valid[:cut]); err == nil {
-			t.Fatalf("%d of %d bytes were read", cut, len(valid))
+			t.Fatalf("decoded a datagram truncated to %d of %d bytes", cut, len(valid))
 		}
 		noise := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "noise")
 		_, _ = decode(append(append([]byte(nil), valid[:headerBytes]...), noise...)) // must not panic
--- a/internal/aggregator/outcomes_test.go
+++ b/internal/aggregator/outcomes_test.go
@@ -26,7 +26,7 @@
 		read    datagram
 	}{
 		"outcome": {encodeOutcome(report), "6b01040000000502ffff03692d31", datagram{kind: kindOutcome, outcomeReport: report}},
-		"judged": {
+		"response with ejections": {
 			encodeResponse(resp), "6b01050000000403" + "00000005000200000000313807" + "0000000600000000000000000a" + "00000007000000000000000001",
 			datagram{kind: kindEjectionResponse, response: resp},
 		},
@@ -71,7 +71,7 @@
 		is.Equal(changed.Instance, replica.Instance)
 		is.Equal(changed.Failures, 3)
 	case <-time.After(soon):
-		t.Fatal("the replica is not ejected")
+		t.Fatal("the replica was not ejected in time")
 	}
 	for number := range s.services {
 		s.queryUntil(number, replica, nil, func(state State) bool { return state.Ejected })
@@ -172,8 +172,8 @@
 // Faulty replicas must be ejected whatever fraction of the datagrams is lost.
 func TestFaultyReplicasGetFewRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		loss, failureRate := rapid.Float64Range(0, 0.2).Draw(t, "loss"), rapid.SampledFrom([]float64{0.45, 1}).Draw(t, "failing")
-		runClientModel(t, loss, failureRate, rapid.IntRange(1, 4).Draw(t, "bad"), rapid.Uint64().Draw(t, "seed"))
+		loss, failureRate := rapid.Float64Range(0, 0.2).Draw(t, "loss"), rapid.SampledFrom([]float64{0.45, 1}).Draw(t, "failure rate")
+		runClientModel(t, loss, failureRate, rapid.IntRange(1, 4).Draw(t, "faulty replicas"), rapid.Uint64().Draw(t, "seed"))
 	})
 }
 
@@ -202,9 +202,9 @@
 	const detectionBudget = 12 // failures per faulty replica for detection, probes and early reinstatement
 	offered := float64(requests*c.faulty) / modelReplicas * c.failureRate
 	if most := float64(detectionBudget*c.faulty) + (0.2+c.loss)*offered; float64(c.failures) > most {
-		t.Fatalf("%d failures, more than %.0f of about %.0f that would be", c.failures, most, offered)
+		t.Fatalf("%d failures exceed the bound of %.0f; about %.0f are expected without ejection", c.failures, most, offered)
 	}
 	if len(c.healthyEjected) > 1 {
-		t.Fatalf("sound replicas are ejected: %v", c.healthyEjected)
+		t.Fatalf("healthy replicas were ejected: %v", c.healthyEjected)
 	}
 }
--- a/internal/aggregator/service_test.go
+++ b/internal/aggregator/service_test.go
@@ -90,7 +90,7 @@
 			return replica
 		}
 	}
-	s.t.Fatal("no replica falls to the node")
+	s.t.Fatal("no replica is assigned to the node")
 	return Replica{}
 }
 
@@ -103,7 +103,7 @@
 			return state
 		}
 	}
-	s.t.Fatalf("node %d is told %+v of %s", number, state, replica.Instance)
+	s.t.Fatalf("node %d received state %+v of %s", number, state, replica.Instance)
 	return state
 }
 
@@ -160,7 +160,7 @@
 	defer func() { _ = foreign.Close() }()
 	seen, _ := site.services[1].config.Observer.(*testObserver)
 	for seen.invalid.Load() == 0 {
-		_, err = foreign.Write([]byte("not of this package"))
+		_, err = foreign.Write([]byte("invalid datagram"))
 		is.NoErr(err)
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/aggregator/wire_format_test.go
+++ b/internal/aggregator/wire_format_test.go
@@ -20,8 +20,8 @@
 		read    datagram
 	}{
 		"report":   {encodeReport(report), "6b010100000005000000000000000980030002000003e8010000000800003138", datagram{kind: kindReport, report: report}},
-		"question": {encodeQuery(q), "6b010200000004020000000500000006010000000800003138", datagram{kind: kindQuery, query: q}},
-		"answer":   {encodeResponse(resp), "6b0103000000040100000005000200000000313801", datagram{kind: kindResponse, response: resp}},
+		"query":    {encodeQuery(q), "6b010200000004020000000500000006010000000800003138", datagram{kind: kindQuery, query: q}},
+		"response": {encodeResponse(resp), "6b0103000000040100000005000200000000313801", datagram{kind: kindResponse, response: resp}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checkRecorded(t, c.encoded, c.written, c.read)
