--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,11 +1,11 @@
-// Package limits keeps tenants' requests at all nodes together within their limits. One
-// node a tenant, its allocator, hands out tokens; the others ask it a little ahead of
-// their need, so that a request seldom waits for an answer. The rules are in package
-// quota; this one finds the allocator, carries the messages and takes an account over
-// when the allocator changes.
+// Package limits enforces tenants' request limits across all nodes. One node per tenant,
+// its allocator, grants tokens. The other nodes request them slightly ahead of demand, so
+// that a request rarely waits for a response. Package quota has the token accounting; this
+// package locates the allocator, carries the messages, and transfers an account when the
+// allocator changes.
 //
-// A node that gets no answer spends at its own pace for a short time, see
-// quota.Stock.TakeAlone. Nothing here is durable.
+// A node that gets no response continues at its own request rate for a short time, see
+// quota.TokenCache.TakeWithoutAllocator. All state is volatile.
 package limits
 
 import (
@@ -27,39 +27,39 @@
 )
 
 const (
-	// askPatience is how long a request waits for tokens; restartPatience is that for
-	// changingFor after members have come or gone, when it may take a while until nodes
-	// agree on who allots.
-	askPatience     = 120 * time.Millisecond
-	restartPatience = 500 * time.Millisecond
-	changingFor     = 3 * time.Second
-	// askTimeout bounds one question to an allocator, askTries how many nodes one
-	// question may lead to. Machines that refuse connections do so at once.
-	askTimeout = 80 * time.Millisecond
-	askTries   = 24
-	// sweepPause is the time between two looks for tokens to give back.
-	sweepPause = 250 * time.Millisecond
-	// stockIdle is how long a stock without use is kept.
-	stockIdle = 10 * time.Second
-	// unansweredPause is how long requests don't wait for an allocator again that has
-	// not answered.
-	unansweredPause = 100 * time.Millisecond
+	// defaultWaitTimeout bounds the wait of a request for tokens. unstableWaitTimeout
+	// replaces it for unstablePeriod after a membership change, since nodes may need longer
+	// to agree on the allocator.
+	defaultWaitTimeout  = 120 * time.Millisecond
+	unstableWaitTimeout = 500 * time.Millisecond
+	unstablePeriod      = 3 * time.Second
+	// callTimeout bounds one call to an allocator, maxAttempts the number of nodes called
+	// for one token request. Machines that refuse connections do so immediately.
+	callTimeout = 80 * time.Millisecond
+	maxAttempts = 24
+	// sweepInterval is the time between two checks for tokens to return.
+	sweepInterval = 250 * time.Millisecond
+	// idleTTL is how long an unused token cache is kept.
+	idleTTL = 10 * time.Second
+	// allocatorRetryDelay is how long requests do not wait for an allocator that has not
+	// responded.
+	allocatorRetryDelay = 100 * time.Millisecond
 )
 
-// ErrNoAllocator tells that nobody could be asked for a token and that this node has
-// none of its own.
+// ErrNoAllocator is returned if no allocator responds and this node may not grant a token
+// by itself.
 var ErrNoAllocator = errors.New("limits: no node answers that allots the tenant's limit")
 
-// OverLimitError tells that a tenant's limit holds no more for now.
+// OverLimitError is returned if a tenant has reached its limit.
 type OverLimitError struct {
 	Tenant string
-	// RetryAfter is when there may be room again.
+	// RetryAfter is the time until tokens may be available.
 	RetryAfter time.Duration
-	// ProgramStart tells that only requests that begin a program are refused.
+	// ProgramStart means that only requests that start a program are rejected.
 	ProgramStart bool
 }
 
-// Error gives the tenant and when there may be room.
+// Error names the tenant and the time to wait.
 func (e *OverLimitError) Error() string {
 	what := "requests"
 	if e.ProgramStart {
@@ -68,182 +68,185 @@
 	return fmt.Sprintf("limits: tenant %s is at its limit of %s, room in %s", e.Tenant, what, e.RetryAfter)
 }
 
-// Strategy is how a limit is shared among the nodes.
+// Strategy is how tenants' limits are divided among nodes.
 type Strategy string
 
-// The ways.
+// The strategies.
 const (
-	// StrategyAllocator lets one node a tenant hand out tokens.
+	// StrategyAllocator has one node per tenant grant tokens to the others.
 	StrategyAllocator Strategy = "allocator"
-	// StrategyStaticShares gives each node an equal part of every limit. It needs no messages and
-	// refuses what is under the limit where a tenant's clients are at few nodes.
+	// StrategyStaticShares gives each node an equal fraction of every limit. It needs no
+	// messages, but rejects requests below the limit if a tenant's clients use only a few
+	// nodes.
 	StrategyStaticShares Strategy = "shares"
 )
 
-// Config is what a Service is made from. Peers is nil where there are no other nodes.
+// Config configures a Service. Peers is nil if there are no other nodes.
 type Config struct {
 	Self     identity.NodeName
 	Policy   quota.Policy
 	Strategy Strategy
 	Peers    peer.Client
-	// Now is a monotonic reading.
+	// Now returns a monotonic reading.
 	Now        func() time.Duration
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
 }
 
-// Service grants and asks for tokens. It is safe for concurrent use.
+// Service requests and grants tokens. It is safe for concurrent use.
 type Service struct {
-	config    Config
-	source    quota.AllocatorID
-	placement *placement
-	metrics   *metrics
-	startedAt time.Duration
+	config      Config
+	allocatorID quota.AllocatorID
+	placement   *placement
+	metrics     *metrics
+	startedAt   time.Duration
 	// limit is set before the first request.
 	limit func(tenant string) (quota.Limit, bool)
 
-	// stocksMutex guards stocks; each has a lock of its own, which is taken after it.
-	stocksMutex sync.Mutex
-	stocks      map[string]*stock
+	// tenantsMutex guards tenants. Each entry has its own mutex, which is locked after it.
+	tenantsMutex sync.Mutex
+	tenants      map[string]*tenantTokens
 
-	// mutex guards all below; it is held for no call.
+	// mutex guards all fields below. It is not held during calls to other nodes.
 	mutex     sync.Mutex
 	allocator *quota.Allocator
-	// changedAt is when the members changed last, or this node started or stood still.
+	// changedAt is the time of the last membership change, process pause, or the start.
 	changedAt time.Duration
-	// beatAt is when this node was last seen to go on; beats tells that Run looks for that.
-	beatAt time.Duration
-	beats  bool
-	// settling holds the tenants whose account is being taken over.
-	settling map[string]chan struct{}
+	// lastTickAt is the time of the last check for a process pause; ticking is set once Run
+	// performs these checks.
+	lastTickAt time.Duration
+	ticking    bool
+	// synchronizing holds the tenants whose accounts are being synchronized.
+	synchronizing map[string]chan struct{}
 }
 
 // New returns a service that knows no other nodes.
 func New(config Config) *Service {
 	return &Service{
-		config: config, source: quota.AllocatorID(rand.Uint64()), placement: newPlacement(config.Self),
-		metrics: newMetrics(config.Registerer), startedAt: config.Now(), stocks: map[string]*stock{},
-		allocator: quota.NewAllocator(config.Policy), changedAt: config.Now(), settling: map[string]chan struct{}{},
+		config: config, allocatorID: quota.AllocatorID(rand.Uint64()), placement: newPlacement(config.Self),
+		metrics: newMetrics(config.Registerer), startedAt: config.Now(), tenants: map[string]*tenantTokens{},
+		allocator: quota.NewAllocator(config.Policy), changedAt: config.Now(), synchronizing: map[string]chan struct{}{},
 	}
 }
 
-// SetLimits sets what returns a tenant's limit in the configuration in force, false if it
-// has none. It is called before the first request.
+// SetLimits sets the function that returns a tenant's limit in the current configuration,
+// or false if it has none. It must be called before the first request.
 func (s *Service) SetLimits(limit func(tenant string) (quota.Limit, bool)) { s.limit = limit }
 
-// SetView tells which nodes live.
+// SetView sets the members.
 func (s *Service) SetView(view membership.View) {
 	now := s.config.Now()
-	returned := s.placement.setView(view, now)
+	reappeared := s.placement.setView(view, now)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.changedAt = now
-	if returned {
+	if reappeared {
 		s.allocator.InvalidateAll()
 	}
-	s.allocator.Relinquish(s.allottedElsewhere, s.limit, now)
+	s.allocator.Relinquish(s.allocatedElsewhere, s.limit, now)
 }
 
-// allottedElsewhere tells whether this node knows of another one that allots a tenant.
-func (s *Service) allottedElsewhere(tenant string) bool {
+// allocatedElsewhere reports whether another node is the tenant's allocator.
+func (s *Service) allocatedElsewhere(tenant string) bool {
 	_, self := s.allocatorOf(tenant)
 	return !self
 }
 
-// Run gives back what expires unspent, until ctx ends. It notices when the process stood
-// still: others may have allotted meanwhile.
+// Run returns expired tokens to allocators and detects process pauses, after which other
+// nodes may have granted tokens of the same accounts. It returns when ctx ends.
 func (s *Service) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepPause)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 			now := s.config.Now()
 			s.sweep(ctx, now)
-			s.beat(now)
+			s.tick(now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// standstill is a pause of the process after which other nodes may have taken it for dead.
-const standstill = time.Second
+// pauseThreshold is the duration of a process pause after which other nodes may have
+// declared this one dead.
+const pauseThreshold = time.Second
 
-// beat notices a standstill since the beat before.
-func (s *Service) beat(now time.Duration) {
+// tick detects a process pause since the previous tick.
+func (s *Service) tick(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.notice(now)
-	s.beats, s.beatAt = true, now
+	s.detectPauseLocked(now)
+	s.ticking, s.lastTickAt = true, now
 }
 
-// lookBeforeGranting notices a standstill where a question is the first that runs when the
-// process goes on. Before Run there are no beats that could be late.
-func (s *Service) lookBeforeGranting(now time.Duration) {
+// detectPause detects a process pause before a token request is handled, in case that
+// request is the first thing to run after the pause. It has no effect before Run.
+func (s *Service) detectPause(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.notice(now)
+	s.detectPauseLocked(now)
 }
 
-// notice needs the mutex.
-func (s *Service) notice(now time.Duration) {
-	if !s.beats {
+// detectPauseLocked requires the mutex.
+func (s *Service) detectPauseLocked(now time.Duration) {
+	if !s.ticking {
 		return
 	}
-	s.noteStandstill(now-s.beatAt, now)
-	s.beatAt = now
+	s.recordPauseLocked(now-s.lastTickAt, now)
+	s.lastTickAt = now
 }
 
-// noteStandstill needs the mutex.
-func (s *Service) noteStandstill(pause, now time.Duration) {
-	if pause < standstill {
+// recordPauseLocked requires the mutex.
+func (s *Service) recordPauseLocked(pause, now time.Duration) {
+	if pause < pauseThreshold {
 		return
 	}
 	s.changedAt = now
 	s.allocator.ProcessPaused()
 }
 
-// patience is how long a request waits for tokens now.
-func (s *Service) patience() time.Duration {
+// waitTimeout returns the current bound on the wait of a request for tokens.
+func (s *Service) waitTimeout() time.Duration {
 	now := s.config.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now-s.changedAt < changingFor {
-		return restartPatience
+	if now-s.changedAt < unstablePeriod {
+		return unstableWaitTimeout
 	}
-	return askPatience
+	return defaultWaitTimeout
 }
 
-// sweep tells allocators what is given back, and forgets what rests.
+// sweep returns expired tokens to allocators and deletes idle accounts and token caches.
 func (s *Service) sweep(ctx context.Context, now time.Duration) {
 	s.mutex.Lock()
 	s.allocator.Forget(now)
 	s.mutex.Unlock()
-	s.stocksMutex.Lock()
-	defer s.stocksMutex.Unlock()
-	for tenant, one := range s.stocks {
-		if one.rests(now) {
-			delete(s.stocks, tenant)
+	s.tenantsMutex.Lock()
+	defer s.tenantsMutex.Unlock()
+	for tenant, tokens := range s.tenants {
+		if tokens.idle(now) {
+			delete(s.tenants, tenant)
 			continue
 		}
-		one.tellReturns(ctx, now)
+		tokens.sendReturns(ctx, now)
 	}
 }
 
-// Admit spends a token for one request of a tenant, which may be nil. Errors: an
+// Admit takes a token for one request of a tenant, which may be nil. Errors: an
 // *OverLimitError; one that wraps ErrNoAllocator.
 func (s *Service) Admit(ctx context.Context, tenant *routing.Tenant) (Permit, error) {
 	if !tenant.Limited() {
 		return Permit{}, nil
 	}
-	one := s.stock(tenant.Name)
-	token, err := one.take(ctx, LimitOf(tenant))
-	s.metrics.decided(err)
+	tokens := s.tenantTokens(tenant.Name)
+	token, err := tokens.take(ctx, LimitOf(tenant))
+	s.metrics.observe(err)
 	if err != nil {
 		return Permit{}, err
 	}
-	return Permit{stock: one, token: token}, nil
+	return Permit{tenantTokens: tokens, token: token}, nil
 }
 
 // LimitOf returns a tenant's limit.
@@ -251,39 +254,39 @@
 	return quota.Limit{RatePerSecond: tenant.RatePerSecond, Burst: tenant.Burst}
 }
 
-func (s *Service) stock(tenant string) *stock {
-	s.stocksMutex.Lock()
-	defer s.stocksMutex.Unlock()
-	found := s.stocks[tenant]
+func (s *Service) tenantTokens(tenant string) *tenantTokens {
+	s.tenantsMutex.Lock()
+	defer s.tenantsMutex.Unlock()
+	found := s.tenants[tenant]
 	if found == nil {
-		found = &stock{service: s, tenant: tenant, quota: quota.NewTokenCache(s.config.Policy, s.config.Now())}
-		s.stocks[tenant] = found
+		found = &tenantTokens{service: s, tenant: tenant, cache: quota.NewTokenCache(s.config.Policy, s.config.Now())}
+		s.tenants[tenant] = found
 	}
 	return found
 }
 
-// Permit is the right of one request to run. The zero Permit is that of a request
-// without a limit.
+// Permit is the permission to run one request. The zero Permit is that of a request without
+// a limit.
 type Permit struct {
-	stock *stock
-	token quota.Token
+	tenantTokens *tenantTokens
+	token        quota.Token
 }
 
-// StartProgram asks for the right to begin a program. Errors: an *OverLimitError.
+// StartProgram takes the token for starting a program. Errors: an *OverLimitError.
 func (p Permit) StartProgram(ctx context.Context) error {
-	if p.stock == nil {
+	if p.tenantTokens == nil {
 		return nil
 	}
-	err := p.stock.takeBegin(ctx)
+	err := p.tenantTokens.takeProgramStart(ctx)
 	if err != nil {
-		p.stock.service.metrics.decided(err)
+		p.tenantTokens.service.metrics.observe(err)
 	}
 	return err
 }
 
-// Refund gives the token back, since the request has not run.
+// Refund returns the token of a request that was not run.
 func (p Permit) Refund() {
-	if p.stock != nil {
-		p.stock.refund(p.token)
+	if p.tenantTokens != nil {
+		p.tenantTokens.refund(p.token)
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -24,127 +24,127 @@
 )
 
 const (
-	usual = 25.0  // requests a second of the tenant, below its limit of 40
-	hot   = 190.0 // far beyond it
+	belowLimit = 25.0  // requests per second, below the tenant's limit of 40
+	aboveLimit = 190.0 // far above it
 )
 
-// always returns a steady demand.
-func always(perSecond float64) func(time.Duration) float64 {
-	return func(time.Duration) float64 { return perSecond }
+// constantDemand returns a constant rate.
+func constantDemand(rate float64) func(time.Duration) float64 {
+	return func(time.Duration) float64 { return rate }
 }
 
-// hotFrom returns a demand that turns far beyond the limit.
-func hotFrom(turns time.Duration, before float64) func(time.Duration) float64 {
+// overloadFrom returns a rate that rises far above the limit at a given time.
+func overloadFrom(overloadAt time.Duration, previous float64) func(time.Duration) float64 {
 	return func(now time.Duration) float64 {
-		if now < turns {
-			return before
+		if now < overloadAt {
+			return previous
 		}
-		return hot
+		return aboveLimit
 	}
 }
 
-// checkWindows fails the test where more than is allowed ran in a window.
-func checkWindows(t *testing.T, played *site, worst int) {
+// checkWindows fails the test if more requests than allowed were served in a window.
+func checkWindows(t *testing.T, sim *site, worst int) {
 	t.Helper()
 	if allowed := sitePolicy.Allowed(LimitOf(siteTenant)); float64(worst) > allowed {
-		t.Fatalf("%d ran in a window, %.0f are allowed\n%s", worst, allowed, played.record())
+		t.Fatalf("%d ran in a window, %.0f are allowed\n%s", worst, allowed, sim.trace())
 	}
 }
 
-// play runs a site for a time under a demand, while trouble happens.
-func play(t *testing.T, seed uint64, span time.Duration, perSecond func(time.Duration) float64, trouble func(ctx context.Context, s *site)) (*site, int) {
-	var played *site
+// simulate runs a site under a given demand while faults are injected.
+func simulate(t *testing.T, seed uint64, span time.Duration, rate func(time.Duration) float64, fault func(ctx context.Context, s *site)) (*site, int) {
+	var sim *site
 	worst := 0
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), span)
 		defer cancel()
-		played = newSite(ctx, seed, 8)
-		played.tellViews()
+		sim = newSite(ctx, seed, 8)
+		sim.updateViews()
 		time.Sleep(6 * time.Second)
-		go played.demand(ctx, perSecond)
-		if trouble != nil {
-			trouble(ctx, played)
+		go sim.generateLoad(ctx, rate)
+		if fault != nil {
+			fault(ctx, sim)
 		}
 		<-ctx.Done()
 		time.Sleep(5 * time.Second)
-		worst = played.worst()
+		worst = sim.worst()
 	})
-	return played, worst
+	return sim, worst
 }
 
-func TestNothingBelowTheLimitIsRefused(t *testing.T) {
+func TestDemandBelowLimitIsServed(t *testing.T) {
 	is := is.New(t)
-	played, _ := play(t, 1, 30*time.Second, always(usual), nil)
-	is.Equal(played.refused, 0)
+	sim, _ := simulate(t, 1, 30*time.Second, constantDemand(belowLimit), nil)
+	is.Equal(sim.refused, 0)
 }
 
-func TestLimitIsUsedAndNotExceeded(t *testing.T) {
+func TestDemandAboveLimitUsesWholeLimit(t *testing.T) {
 	is := is.New(t)
-	played, worst := play(t, 1, 36*time.Second, always(hot), nil)
+	sim, worst := simulate(t, 1, 36*time.Second, constantDemand(aboveLimit), nil)
 	is.True(float64(worst) <= sitePolicy.Allowed(LimitOf(siteTenant)))
-	is.True(float64(len(played.ran)) >= 0.97*30*siteTenant.RatePerSecond)
+	is.True(float64(len(sim.served)) >= 0.97*30*siteTenant.RatePerSecond)
 }
 
-// pause sleeps between the given bounds.
-func (s *site) pause(least, most time.Duration) {
+// pause sleeps for a random time between the given bounds.
+func (s *site) pause(minimum, maximum time.Duration) {
 	s.mutex.Lock()
-	drawn := least + time.Duration(s.random.Int64N(int64(most-least)))
+	duration := minimum + time.Duration(s.random.Int64N(int64(maximum-minimum)))
 	s.mutex.Unlock()
-	time.Sleep(drawn)
+	time.Sleep(duration)
 }
 
-// drawNode draws the number of a node.
-func (s *site) drawNode() int {
+// randomNode returns the number of a random node.
+func (s *site) randomNode() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.random.IntN(len(s.nodes))
 }
 
-// troubles are schedules of failures. Others hear of a dark, frozen or cut node after 1 to
-// 3 s, of one that has come within half a second.
-var troubles = map[string]func(ctx context.Context, s *site){
+// faults are schedules of faults. Nodes learn of an unresponsive, paused or partitioned
+// node after 1 to 3 s, and of a started one within half a second.
+var faults = map[string]func(ctx context.Context, s *site){
 	"planned roll": func(ctx context.Context, s *site) {
 		for number := range s.nodes {
 			s.mutex.Lock()
 			s.nodes[number].leaving = true
 			s.mutex.Unlock()
 			s.pause(50*time.Millisecond, 300*time.Millisecond)
-			s.tellViews()
+			s.updateViews()
 			s.pause(500*time.Millisecond, time.Second)
 			s.nodes[number].end()
 			s.set(number, killed)
-			s.tellViews()
+			s.updateViews()
 			s.pause(200*time.Millisecond, 500*time.Millisecond)
 			s.start(ctx, number)
 			s.pause(50*time.Millisecond, 300*time.Millisecond)
-			s.tellViews()
+			s.updateViews()
 		}
 	},
 	"kills": func(ctx context.Context, s *site) {
 		for range 4 {
-			number := s.drawNode()
+			number := s.randomNode()
 			s.nodes[number].end()
 			s.set(number, killed)
 			s.pause(time.Second, 3*time.Second)
-			s.tellViews()
+			s.updateViews()
 			s.pause(time.Second, 2*time.Second)
 			s.start(ctx, number)
 			s.pause(50*time.Millisecond, 500*time.Millisecond)
-			s.tellViews()
+			s.updateViews()
 			s.pause(time.Second, 4*time.Second)
 		}
 	},
 	"freezes": func(_ context.Context, s *site) {
 		for range 3 {
-			number := s.drawNode()
-			s.set(number, frozen)
+			number := s.randomNode()
+			s.set(number, paused)
 			s.pause(time.Second, 3*time.Second)
-			s.tellViews()
+			s.updateViews()
 			s.pause(time.Second, 5*time.Second)
-			s.set(number, sound)
-			s.nodes[number].service.standStill(5 * time.Second)
+			s.set(number, running)
+			s.nodes[number].service.simulatePause(5 * time.Second)
 			s.pause(50*time.Millisecond, 500*time.Millisecond)
-			s.tellViews()
+			s.updateViews()
 			s.pause(time.Second, 4*time.Second)
 		}
 	},
@@ -158,32 +158,32 @@
 			s.start(ctx, number)
 		}
 		s.pause(50*time.Millisecond, 500*time.Millisecond)
-		s.tellViews()
+		s.updateViews()
 	},
 	"herd dark": func(ctx context.Context, s *site) {
 		for number := range s.nodes[2:] {
-			s.set(number, frozen)
+			s.set(number, paused)
 		}
 		s.pause(time.Second, 3*time.Second)
-		s.tellViews()
+		s.updateViews()
 		s.pause(time.Second, 2*time.Second)
 		for number := range s.nodes[2:] {
 			s.start(ctx, number)
 		}
 		s.pause(50*time.Millisecond, 500*time.Millisecond)
-		s.tellViews()
+		s.updateViews()
 	},
 	"split once known": func(_ context.Context, s *site) {
 		s.split(3)
-		s.tellViews()
+		s.updateViews()
 		s.pause(3*time.Second, 12*time.Second)
 		s.split(0)
 		s.pause(50*time.Millisecond, 500*time.Millisecond)
-		s.tellViews()
+		s.updateViews()
 	},
 }
 
-// split puts the first nodes on a side of their own.
+// split moves the first nodes to a partition of their own.
 func (s *site) split(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -195,240 +195,236 @@
 	}
 }
 
-// TestNoWindowHoldsMoreThanIsAllowed plays failures while a tenant asks for nearly five
-// times its limit.
-func TestNoWindowHoldsMoreThanIsAllowed(t *testing.T) {
-	for name, trouble := range troubles {
+// The bound must hold for every fault schedule at nearly five times the limit.
+func TestWindowBoundHoldsUnderFaults(t *testing.T) {
+	for name, fault := range faults {
 		for seed := range uint64(6) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
-				played, worst := play(t, seed, 45*time.Second, always(hot), trouble)
-				checkWindows(t, played, worst)
+				sim, worst := simulate(t, seed, 45*time.Second, constantDemand(aboveLimit), fault)
+				checkWindows(t, sim, worst)
 			})
 		}
 	}
 }
 
-// TestAllocatorThatWakesGrantsNothingTwice freezes the node that allots the tenant until
-// another one does, and wakes it when the tenant has just turned from little to far beyond
-// its limit: what came in while it was frozen, the other one has granted.
-func TestAllocatorThatWakesGrantsNothingTwice(t *testing.T) {
-	const freezes, notices, turns, wakes = 9 * time.Second, 11 * time.Second, 14 * time.Second, 15 * time.Second
+// A paused allocator is replaced and then resumes, just as the demand rises above the
+// limit. It must not grant the tokens that accrued during its pause, since its replacement
+// has granted them.
+func TestResumedAllocatorGrantsNothingTwice(t *testing.T) {
+	const pausedAt, noticedAt, overloadAt, resumedAt = 9 * time.Second, 11 * time.Second, 14 * time.Second, 15 * time.Second
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			demand := hotFrom(turns, usual/2)
-			played, worst := play(t, seed, 30*time.Second, demand, func(_ context.Context, s *site) {
-				s.freezeAllocator(freezes, notices, wakes)
+			rate := overloadFrom(overloadAt, belowLimit/2)
+			sim, worst := simulate(t, seed, 30*time.Second, rate, func(_ context.Context, s *site) {
+				s.pauseAllocator(pausedAt, noticedAt, resumedAt)
 				s.pause(50*time.Millisecond, 500*time.Millisecond)
-				s.tellViews()
+				s.updateViews()
 			})
-			checkWindows(t, played, worst)
+			checkWindows(t, sim, worst)
 		})
 	}
 }
 
-// TestNodeThatWakesAsksBeforeItGrants lets the question of a node be the first that a frozen
-// allocator gets to: it does not grant from what came in while it stood still.
-func TestNodeThatWakesAsksBeforeItGrants(t *testing.T) {
+// The first thing that a resumed allocator handles is a token request. It must not grant
+// the tokens that accrued during its pause.
+func TestResumedAllocatorSynchronizesBeforeGranting(t *testing.T) {
 	is := is.New(t)
 	now := time.Duration(0)
 	service := New(Config{
-		Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Peers: nobody{}, Now: func() time.Duration { return now }, Logger: slog.New(slog.DiscardHandler),
+		Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Peers: unreachablePeers{}, Now: func() time.Duration { return now }, Logger: slog.New(slog.DiscardHandler),
 	})
 	service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
-	service.SetView(twoOf("a"))
-	for ; now < sitePolicy.Span()+time.Second; now += sweepPause {
-		service.beat(now)
+	service.SetView(twoNodeView("a"))
+	for ; now < sitePolicy.Span()+time.Second; now += sweepInterval {
+		service.tick(now)
 	}
-	plenty := &ask{Tenant: siteTenant.Name, Request: quota.Request{Needed: quota.Amount{Requests: 999}}}
-	for _, most := range []float64{sitePolicy.Capacity(LimitOf(siteTenant)), sitePolicy.Reserve(LimitOf(siteTenant))} {
-		answer, err := service.grant(t.Context(), plenty)
+	request := &tokenRequest{Tenant: siteTenant.Name, Request: quota.Request{Needed: quota.Amount{Requests: 999}}}
+	for _, maximum := range []float64{sitePolicy.Capacity(LimitOf(siteTenant)), sitePolicy.Reserve(LimitOf(siteTenant))} {
+		response, err := service.grant(t.Context(), request)
 		is.NoErr(err)
-		is.True(answer.Grant.Amount.Requests > 0)
-		is.True(float64(answer.Grant.Amount.Requests) <= most)
-		now += standstill + time.Second
+		is.True(response.Grant.Amount.Requests > 0)
+		is.True(float64(response.Grant.Amount.Requests) <= maximum)
+		now += pauseThreshold + time.Second
 	}
 }
 
-// nobody is where no other node answers.
-type nobody struct{}
+// unreachablePeers fails all calls.
+type unreachablePeers struct{}
 
 // Call implements peer.Client.
-func (nobody) Call(context.Context, netip.AddrPort, peer.Message, func(peer.Message) error) (peer.Message, error) {
+func (unreachablePeers) Call(context.Context, netip.AddrPort, peer.Message, func(peer.Message) error) (peer.Message, error) {
 	return nil, peer.ErrUnreachable
 }
 
-// TestNodeThatIsReplacedWhileItAsksGrantsNothing: members come while a new allocator asks what
-// is left; it must open no account beside that of the one that allots now.
-func TestNodeThatIsReplacedWhileItAsksGrantsNothing(t *testing.T) {
+// The members change while a new allocator requests the handover. It must not open an
+// account in addition to that of the actual allocator.
+func TestAllocatorReplacedDuringHandoverGrantsNothing(t *testing.T) {
 	is := is.New(t)
-	peers := &newcomer{}
+	peers := &reconfiguringPeer{}
 	service := New(Config{
 		Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Peers: peers, Now: func() time.Duration { return 0 }, Logger: slog.New(slog.DiscardHandler),
 	})
 	service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
-	view := twoOf("b")
+	view := twoNodeView("b")
 	leaving := view
 	leaving.Members = slices.Clone(view.Members)
 	leaving.Members[1].Status = membership.Leaving
 	service.SetView(leaving)
-	peers.arrives = func() { service.SetView(view) }
-	_, err := service.grant(t.Context(), &ask{Tenant: siteTenant.Name, Request: quota.Request{Needed: quota.Amount{Requests: 1}}})
-	var elsewhere *elsewhereError
-	is.True(errors.As(err, &elsewhere))
-	is.Equal(elsewhere.allocator.Name, view.Members[1].Node.Name)
+	peers.onCall = func() { service.SetView(view) }
+	_, err := service.grant(t.Context(), &tokenRequest{Tenant: siteTenant.Name, Request: quota.Request{Needed: quota.Amount{Requests: 1}}})
+	var redirected *redirectError
+	is.True(errors.As(err, &redirected))
+	is.Equal(redirected.allocator.Name, view.Members[1].Node.Name)
 	is.Equal(len(service.allocator.Left()), 0)
 }
 
-// twoOf returns a view of node a and another one, of which the one of this name, or of a name
-// that begins so, allots the tenant.
-func twoOf(allots string) membership.View {
+// twoNodeView returns a view of node a and another one. The allocator of the tenant is the
+// one whose name has the given prefix.
+func twoNodeView(prefix string) membership.View {
 	for number := 0; ; number++ {
 		view := membership.View{Members: []membership.Member{
 			{Node: identity.Node{Name: "a", Incarnation: 1}, Status: membership.Alive},
 			{Node: identity.Node{Name: identity.NodeName(fmt.Sprint("b", number)), Incarnation: 1}, Status: membership.Alive},
 		}}
-		if first, _ := membership.Highest(siteTenant.Name, view.Members, membership.Member.Reachable); strings.HasPrefix(string(first.Name), allots) {
+		if first, _ := membership.Highest(siteTenant.Name, view.Members, membership.Member.Reachable); strings.HasPrefix(string(first.Name), prefix) {
 			return view
 		}
 	}
 }
 
-// newcomer is a node that becomes the allocator while it is asked.
-type newcomer struct{ arrives func() }
+// reconfiguringPeer becomes the allocator during a call.
+type reconfiguringPeer struct{ onCall func() }
 
 // Call implements peer.Client.
-func (n *newcomer) Call(context.Context, netip.AddrPort, peer.Message, func(peer.Message) error) (peer.Message, error) {
-	n.arrives()
-	return &takenOver{}, nil
+func (n *reconfiguringPeer) Call(context.Context, netip.AddrPort, peer.Message, func(peer.Message) error) (peer.Message, error) {
+	n.onCall()
+	return &handoverResponse{}, nil
 }
 
-// TestYoungNodeAsksAgain: a node that has just started has no pace to go on at, and those
-// that start beside it answer late.
-func TestYoungNodeAsksAgain(t *testing.T) {
+// A node that has just started has no request rate to continue at, so it must retry.
+func TestRecentlyStartedNodeRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		began := time.Now()
-		peers := &lateAnswers{}
+		startedAt := time.Now()
+		peers := &slowPeers{}
 		service := New(Config{
-			Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Peers: peers, Now: func() time.Duration { return time.Since(began) },
+			Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Peers: peers, Now: func() time.Duration { return time.Since(startedAt) },
 			Logger: slog.New(slog.DiscardHandler),
 		})
 		service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
 		service.SetView(membership.View{Members: []membership.Member{{Node: identity.Node{Name: "b"}, Status: membership.Alive}}})
 		_, err := service.Admit(t.Context(), siteTenant)
 		is.NoErr(err)
-		is.Equal(peers.asked.Load(), int32(2))
-		time.Sleep(changingFor)
-		peers.asked.Store(0)
-		answer, err := service.ask(t.Context(), &ask{Tenant: siteTenant.Name, Request: quota.Request{Returned: quota.Amount{Requests: 3}}})
-		is.True(answer == nil && errors.Is(err, ErrNoAllocator)) // an older one goes on alone
-		is.Equal(peers.asked.Load(), int32(1))
-		is.Equal(peers.returned.Load(), int32(3)) // told once
-		is.Equal((&ask{Request: quota.Request{Returned: quota.Amount{Requests: 3}}}).again().Request.Returned, quota.Amount{})
+		is.Equal(peers.requests.Load(), int32(2))
+		time.Sleep(unstablePeriod)
+		peers.requests.Store(0)
+		response, err := service.requestTokens(t.Context(), &tokenRequest{Tenant: siteTenant.Name, Request: quota.Request{Returned: quota.Amount{Requests: 3}}})
+		is.True(response == nil && errors.Is(err, ErrNoAllocator)) // an older node goes on without the allocator
+		is.Equal(peers.requests.Load(), int32(1))
+		is.Equal(peers.returnedTokens.Load(), int32(3)) // returned tokens are sent only once
+		is.Equal((&tokenRequest{Request: quota.Request{Returned: quota.Amount{Requests: 3}}}).withoutReturned().Request.Returned, quota.Amount{})
 		synctest.Wait()
 	})
 }
 
-// lateAnswers leaves the first question without an answer.
-type lateAnswers struct{ asked, returned atomic.Int32 }
+// slowPeers does not respond to the first request.
+type slowPeers struct{ requests, returnedTokens atomic.Int32 }
 
 // Call implements peer.Client.
-func (l *lateAnswers) Call(ctx context.Context, _ netip.AddrPort, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
-	number := l.asked.Add(1)
-	if question, ok := request.(*ask); ok {
-		l.returned.Add(int32(question.Request.Returned.Requests))
+func (l *slowPeers) Call(ctx context.Context, _ netip.AddrPort, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
+	number := l.requests.Add(1)
+	if message, ok := request.(*tokenRequest); ok {
+		l.returnedTokens.Add(int32(message.Request.Returned.Requests))
 	}
 	if number == 1 {
 		<-ctx.Done()
 		return nil, fmt.Errorf("%w: %w", peer.ErrUnreachable, ctx.Err())
 	}
-	return &granted{Source: 1, Grant: quota.Grant{Amount: quota.Amount{Requests: 1}}}, nil
+	return &tokenResponse{AllocatorID: 1, Grant: quota.Grant{Amount: quota.Amount{Requests: 1}}}, nil
 }
 
-// TestAccountLeftBehindIsNotGrantedFrom wakes the node that allots the tenant. The one in its
-// place grants until it hears of that, and so opens an account again after it has handed
-// its own over. When the other one goes, or asks again since some node came back, that
-// account must not have filled.
-func TestAccountLeftBehindIsNotGrantedFrom(t *testing.T) {
-	const freezes, notices, wakes, turns, again = 9 * time.Second, 11 * time.Second, 15 * time.Second, 22 * time.Second, 23 * time.Second
-	for name, happens := range map[string]func(s *site, number int){
+// A paused allocator resumes. Its replacement grants until it learns of that, and so
+// reopens the account that it has handed over. The reopened account must not have accrued
+// tokens when the resumed allocator fails or synchronizes again.
+func TestReopenedAccountIsNotGrantedFrom(t *testing.T) {
+	const pausedAt, noticedAt, resumedAt, overloadAt, changedAt = 9 * time.Second, 11 * time.Second, 15 * time.Second, 22 * time.Second, 23 * time.Second
+	for name, change := range map[string]func(s *site, number int){
 		"the allocator is killed": func(s *site, number int) {
 			s.nodes[number].end()
 			s.set(number, killed)
 		},
 		"another node comes back": func(s *site, number int) {
 			other := (number + 1) % len(s.nodes)
-			if allocator, _ := s.nodes[number].service.placement.before(siteTenant.Name, s.now()), other; allocator[0].Name == s.nodes[other].node.Name {
+			if allocator, _ := s.nodes[number].service.placement.previousAllocators(siteTenant.Name, s.now()), other; allocator[0].Name == s.nodes[other].node.Name {
 				other = (number + 2) % len(s.nodes)
 			}
-			s.set(other, frozen)
-			s.tellViews()
-			s.set(other, sound)
+			s.set(other, paused)
+			s.updateViews()
+			s.set(other, running)
 		},
 	} {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
-				demand := hotFrom(turns, usual)
-				played, worst := play(t, seed, 32*time.Second, demand, func(_ context.Context, s *site) {
-					number := s.freezeAllocator(freezes, notices, wakes)
+				rate := overloadFrom(overloadAt, belowLimit)
+				sim, worst := simulate(t, seed, 32*time.Second, rate, func(_ context.Context, s *site) {
+					number := s.pauseAllocator(pausedAt, noticedAt, resumedAt)
 					time.Sleep(400 * time.Millisecond)
-					s.tellViews()
-					time.Sleep(again - s.now())
-					happens(s, number)
-					s.tellViews()
+					s.updateViews()
+					time.Sleep(changedAt - s.now())
+					change(s, number)
+					s.updateViews()
 				})
-				checkWindows(t, played, worst)
+				checkWindows(t, sim, worst)
 			})
 		}
 	}
 }
 
-// freezeAllocator freezes the node that allots the tenant, tells the others later, and wakes it;
-// it returns the node's number. Its times are those of the site's clock.
-func (s *site) freezeAllocator(freezes, notices, wakes time.Duration) int {
-	time.Sleep(freezes - s.now())
+// pauseAllocator pauses the tenant's allocator, updates the views later and resumes it. It
+// returns the node's number. All times are on the site's clock.
+func (s *site) pauseAllocator(pausedAt, noticedAt, resumedAt time.Duration) int {
+	time.Sleep(pausedAt - s.now())
 	number := s.allocator()
-	s.set(number, frozen)
-	time.Sleep(notices - s.now())
-	s.tellViews()
-	time.Sleep(wakes - s.now())
-	s.set(number, sound)
-	s.nodes[number].service.standStill(wakes - freezes)
+	s.set(number, paused)
+	time.Sleep(noticedAt - s.now())
+	s.updateViews()
+	time.Sleep(resumedAt - s.now())
+	s.set(number, running)
+	s.nodes[number].service.simulatePause(resumedAt - pausedAt)
 	return number
 }
 
-// allocator returns the number of the node that allots the tenant.
+// allocator returns the number of the tenant's allocator.
 func (s *site) allocator() int {
-	return slices.IndexFunc(s.nodes, func(one *simulated) bool {
+	return slices.IndexFunc(s.nodes, func(one *simulatedNode) bool {
 		_, self := one.service.allocatorOf(siteTenant.Name)
 		return self
 	})
 }
 
-// TestUsualDemandIsServedThroughFailures tells how much of a demand below the limit is
-// refused while nodes come and go.
-func TestUsualDemandIsServedThroughFailures(t *testing.T) {
-	for name, most := range map[string]float64{"planned roll": 0.01, "kills": 0.02, "herd killed": 0.06, "freezes": 0.03} {
+// Few requests of a demand below the limit may be rejected during faults.
+func TestDemandBelowLimitIsServedUnderFaults(t *testing.T) {
+	for name, maximum := range map[string]float64{"planned roll": 0.01, "kills": 0.02, "herd killed": 0.06, "freezes": 0.03} {
 		t.Run(name, func(t *testing.T) {
-			refused, all := 0, 0
+			refused, total := 0, 0
 			for seed := range uint64(6) {
-				played, _ := play(t, seed, 45*time.Second, always(usual), troubles[name])
-				refused += played.refused
-				all += len(played.ran) + played.refused
+				sim, _ := simulate(t, seed, 45*time.Second, constantDemand(belowLimit), faults[name])
+				refused += sim.refused
+				total += len(sim.served) + sim.refused
 			}
-			if share := float64(refused) / float64(all); share > most {
-				t.Fatalf("%.3f are refused", share)
+			if rejectedRatio := float64(refused) / float64(total); rejectedRatio > maximum {
+				t.Fatalf("%.3f are refused", rejectedRatio)
 			}
 		})
 	}
 }
 
-// TestForgetfulHandOverIsFound plants a fault: what was granted before is forgotten.
-func TestForgetfulHandOverIsFound(t *testing.T) {
+// Verifies that the simulation detects a handover that loses the account.
+func TestSimulationDetectsLostAccount(t *testing.T) {
 	for seed := range uint64(6) {
-		_, worst := play(t, seed, 45*time.Second, always(hot), func(ctx context.Context, s *site) {
-			s.forgetful = true
-			troubles["planned roll"](ctx, s)
+		_, worst := simulate(t, seed, 45*time.Second, constantDemand(aboveLimit), func(ctx context.Context, s *site) {
+			s.handoverFault = true
+			faults["planned roll"](ctx, s)
 		})
 		if float64(worst) > sitePolicy.Allowed(LimitOf(siteTenant)) {
 			return
@@ -437,13 +433,13 @@
 	t.Fatal("no schedule showed the fault")
 }
 
-func TestSplitThatIsNotKnownYetExceedsByLittle(t *testing.T) {
+func TestUndetectedPartitionExceedsLimitWithinBound(t *testing.T) {
 	const noticedAfter = 2 * time.Second
 	for seed := range uint64(6) {
-		_, worst := play(t, seed, 45*time.Second, always(hot), func(_ context.Context, s *site) {
+		_, worst := simulate(t, seed, 45*time.Second, constantDemand(aboveLimit), func(_ context.Context, s *site) {
 			s.split(3)
 			time.Sleep(noticedAfter)
-			s.tellViews()
+			s.updateViews()
 		})
 		policy, limit := sitePolicy, LimitOf(siteTenant)
 		bound := policy.Allowed(limit) + policy.Capacity(limit) + policy.Refill(limit)*noticedAfter.Seconds()
@@ -453,22 +449,22 @@
 	}
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, sent := range []peer.Message{
-		&ask{Tenant: "acme", Source: 8, Request: quota.Request{
+		&tokenRequest{Tenant: "acme", AllocatorID: 8, Request: quota.Request{
 			Needed: quota.Amount{Requests: 1, ProgramStarts: 2}, Wanted: quota.Amount{Requests: 3}, Spent: quota.Amount{ProgramStarts: 4},
 			Returned: quota.Amount{Requests: 5},
 		}},
-		&granted{Elsewhere: true, Allocator: identity.Node{Name: "n", Incarnation: 3, PeerAddress: netip.MustParseAddrPort("10.0.0.1:7")}, Source: 9, Grant: quota.Grant{
+		&tokenResponse{Redirect: true, Allocator: identity.Node{Name: "n", Incarnation: 3, PeerAddress: netip.MustParseAddrPort("10.0.0.1:7")}, AllocatorID: 9, Grant: quota.Grant{
 			Amount: quota.Amount{Requests: 7}, BelowLimit: true, RequestAfter: time.Second, ProgramStartAfter: 2 * time.Second,
 		}},
-		&takeOver{Tenant: "acme"},
-		&takenOver{Known: true, Account: quota.Account{Requests: -1.5, ProgramStarts: 2, PerProgram: 7}},
+		&handoverRequest{Tenant: "acme"},
+		&handoverResponse{Found: true, Account: quota.Account{Requests: -1.5, ProgramStarts: 2, PerProgram: 7}},
 	} {
 		encoder := wire.NewEncoder(nil)
 		sent.Encode(encoder)
-		read := map[peer.Kind]peer.Message{kindAsk: &ask{}, kindGranted: &granted{}, kindTakeOver: &takeOver{}, kindTakenOver: &takenOver{}}[sent.Kind()]
+		read := map[peer.Kind]peer.Message{kindTokenRequest: &tokenRequest{}, kindTokenResponse: &tokenResponse{}, kindHandoverRequest: &handoverRequest{}, kindHandoverResponse: &handoverResponse{}}[sent.Kind()]
 		decoder := wire.NewDecoder(encoder.Bytes())
 		read.Decode(decoder)
 		is.NoErr(decoder.Finish())
@@ -476,69 +472,69 @@
 	}
 }
 
-func TestNodesThatDiedWithoutAWordStillCount(t *testing.T) {
+func TestLostNodesStillCount(t *testing.T) {
 	is := is.New(t)
-	placed := newPlacement("a")
+	p := newPlacement("a")
 	member := func(name identity.NodeName, status membership.Status) membership.Member {
 		return membership.Member{Node: identity.Node{Name: name, Incarnation: 1}, Status: status}
 	}
-	all := []membership.Member{member("a", membership.Alive), member("b", membership.Alive), member("c", membership.Alive), member("d", membership.Leaving)}
-	is.True(!placed.setView(membership.View{Members: all}, 0))
-	placed.refuse(all[2].Node, 0)
-	is.True(!placed.setView(membership.View{Members: all[:1]}, 100*time.Millisecond))
-	live, count := placed.counts(200 * time.Millisecond)
-	is.Equal(live, 1)
-	is.True(placed.setView(membership.View{Members: all[:2]}, 100*time.Millisecond)) // b comes back
-	is.True(!placed.setView(membership.View{Members: all[:1]}, 100*time.Millisecond))
-	is.Equal(count, 2) // b may live behind a cut; c's machine refuses connections, d has left
-	live, count = placed.counts(missedFor + time.Second)
-	is.Equal(live, 1)
+	members := []membership.Member{member("a", membership.Alive), member("b", membership.Alive), member("c", membership.Alive), member("d", membership.Leaving)}
+	is.True(!p.setView(membership.View{Members: members}, 0))
+	p.recordRefusal(members[2].Node, 0)
+	is.True(!p.setView(membership.View{Members: members[:1]}, 100*time.Millisecond))
+	alive, count := p.counts(200 * time.Millisecond)
+	is.Equal(alive, 1)
+	is.True(p.setView(membership.View{Members: members[:2]}, 100*time.Millisecond)) // b reappears
+	is.True(!p.setView(membership.View{Members: members[:1]}, 100*time.Millisecond))
+	is.Equal(count, 2) // b may be partitioned and alive; c's machine refuses connections, and d has left
+	alive, count = p.counts(lostTTL + time.Second)
+	is.Equal(alive, 1)
 	is.Equal(count, 1)
 }
 
-// FuzzMessages feeds what other nodes may send: decoding never panics, and what is read
-// stays within its bounds.
+// Decoding arbitrary bytes must not panic, and decoded values must stay within their
+// bounds.
 func FuzzMessages(f *testing.F) {
 	for _, sent := range []peer.Message{
-		&ask{Tenant: "acme", Request: quota.Request{Needed: quota.Amount{Requests: 1}}},
-		&granted{Allocator: identity.Node{Name: "n", PeerAddress: netip.MustParseAddrPort("10.0.0.1:7")}},
-		&takeOver{Tenant: "acme"}, &takenOver{Known: true, Account: quota.Account{Requests: 3}},
+		&tokenRequest{Tenant: "acme", Request: quota.Request{Needed: quota.Amount{Requests: 1}}},
+		&tokenResponse{Allocator: identity.Node{Name: "n", PeerAddress: netip.MustParseAddrPort("10.0.0.1:7")}},
+		&handoverRequest{Tenant: "acme"}, &handoverResponse{Found: true, Account: quota.Account{Requests: 3}},
 	} {
 		encoder := wire.NewEncoder(nil)
 		sent.Encode(encoder)
 		f.Add(encoder.Bytes())
 	}
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		asked, answered, told := &ask{}, &granted{}, &takenOver{}
-		for _, message := range []peer.Message{asked, answered, &takeOver{}, told} {
+		request, response, handover := &tokenRequest{}, &tokenResponse{}, &handoverResponse{}
+		for _, message := range []peer.Message{request, response, &handoverRequest{}, handover} {
 			message.Decode(wire.NewDecoder(encoded))
 		}
-		for _, amount := range []quota.Amount{asked.Request.Needed, asked.Request.Wanted, asked.Request.Returned, answered.Grant.Amount} {
+		for _, amount := range []quota.Amount{request.Request.Needed, request.Request.Wanted, request.Request.Returned, response.Grant.Amount} {
 			if amount.Requests < 0 || amount.Requests > maxAmount || amount.ProgramStarts < 0 || amount.ProgramStarts > maxAmount {
 				t.Fatalf("%+v", amount)
 			}
 		}
-		if after := answered.Grant.RequestAfter; after < 0 || after > maxPause {
+		if after := response.Grant.RequestAfter; after < 0 || after > maxDelay {
 			t.Fatal(after)
 		}
-		if !(told.Account.Requests <= maxAmount && told.Account.Requests >= -maxAmount) {
-			t.Fatal(told.Account.Requests)
+		if !(handover.Account.Requests <= maxAmount && handover.Account.Requests >= -maxAmount) {
+			t.Fatal(handover.Account.Requests)
 		}
 	})
 }
 
-// BenchmarkAdmit measures a request whose tenant's tokens are in stock.
+// BenchmarkAdmit measures a request for which the node has a token.
 func BenchmarkAdmit(b *testing.B) {
 	now := time.Duration(0)
 	tenant := &routing.Tenant{Name: "acme", RatePerSecond: 1 << 20, Burst: 1 << 20}
 	service := New(Config{Self: "a", Policy: sitePolicy, Strategy: StrategyAllocator, Now: func() time.Duration { return now }, Logger: slog.New(slog.DiscardHandler)})
 	service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(tenant), true })
-	one := service.stock("acme")
-	one.quota.ApplyGrant(1, quota.Request{}, quota.Grant{Amount: quota.Amount{Requests: 1 << 30, ProgramStarts: 1 << 30}}, 0, 0)
+	tokens := service.tenantTokens("acme")
+	tokens.cache.ApplyGrant(1, quota.Request{}, quota.Grant{Amount: quota.Amount{Requests: 1 << 30, ProgramStarts: 1 << 30}}, 0, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		permit, err := service.Admit(b.Context(), tenant)
-		if err != nil || permit.stock == nil {
+		if err != nil || permit.tenantTokens == nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/limits/message.go
+++ b/internal/limits/message.go
@@ -10,68 +10,69 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// The kinds of messages of this package.
+// The kinds of messages.
 const (
-	kindAsk = peer.KindRangeLimits + 1 + iota
-	kindGranted
-	kindTakeOver
-	kindTakenOver
+	kindTokenRequest = peer.KindRangeLimits + 1 + iota
+	kindTokenResponse
+	kindHandoverRequest
+	kindHandoverResponse
 )
 
-// ask asks the allocator of a tenant for tokens. What is returned was granted by Source.
-type ask struct {
-	Tenant  string
-	Source  quota.AllocatorID
-	Request quota.Request
+// tokenRequest requests tokens from a tenant's allocator. The returned tokens were granted
+// by AllocatorID.
+type tokenRequest struct {
+	Tenant      string
+	AllocatorID quota.AllocatorID
+	Request     quota.Request
 }
 
-// again returns the question to be asked once more where the first may have been heard: what
-// was given back with it must not count twice.
-func (m *ask) again() *ask {
+// withoutReturned returns a copy to retry a request that may have been received: its
+// returned tokens must not count twice.
+func (m *tokenRequest) withoutReturned() *tokenRequest {
 	repeated := *m
 	repeated.Request.Returned = quota.Amount{}
 	return &repeated
 }
 
 // Kind implements peer.Message.
-func (*ask) Kind() peer.Kind { return kindAsk }
+func (*tokenRequest) Kind() peer.Kind { return kindTokenRequest }
 
 // Encode implements peer.Message.
-func (m *ask) Encode(e *wire.Encoder) {
+func (m *tokenRequest) Encode(e *wire.Encoder) {
 	e.String(m.Tenant)
 	encodeAmount(e, m.Request.Needed)
 	encodeAmount(e, m.Request.Wanted)
 	encodeAmount(e, m.Request.Spent)
-	e.Uint64(uint64(m.Source))
+	e.Uint64(uint64(m.AllocatorID))
 	encodeAmount(e, m.Request.Returned)
 }
 
 // Decode implements peer.Message.
-func (m *ask) Decode(d *wire.Decoder) {
+func (m *tokenRequest) Decode(d *wire.Decoder) {
 	m.Tenant = d.String()
 	m.Request.Needed, m.Request.Wanted, m.Request.Spent = decodeAmount(d), decodeAmount(d), decodeAmount(d)
-	m.Source, m.Request.Returned = quota.AllocatorID(d.Uint64()), decodeAmount(d)
+	m.AllocatorID, m.Request.Returned = quota.AllocatorID(d.Uint64()), decodeAmount(d)
 }
 
-// granted answers ask. Elsewhere tells that the answering node takes Allocator for the
-// tenant's allocator, if it knows one; then nothing is granted.
-type granted struct {
-	Elsewhere bool
-	Allocator identity.Node
-	Source    quota.AllocatorID
-	Grant     quota.Grant
+// tokenResponse is the response to a tokenRequest. With Redirect, the responding node
+// grants nothing and considers Allocator, if it knows one, the tenant's allocator.
+type tokenResponse struct {
+	Redirect    bool
+	Allocator   identity.Node
+	AllocatorID quota.AllocatorID
+	Grant       quota.Grant
 }
 
 // Kind implements peer.Message.
-func (*granted) Kind() peer.Kind { return kindGranted }
+func (*tokenResponse) Kind() peer.Kind { return kindTokenResponse }
 
 // Encode implements peer.Message.
-func (m *granted) Encode(e *wire.Encoder) {
-	e.Bool(m.Elsewhere)
+func (m *tokenResponse) Encode(e *wire.Encoder) {
+	e.Bool(m.Redirect)
 	e.String(string(m.Allocator.Name))
 	e.Uint64(uint64(m.Allocator.Incarnation))
 	e.AddrPort(m.Allocator.PeerAddress)
-	e.Uint64(uint64(m.Source))
+	e.Uint64(uint64(m.AllocatorID))
 	encodeAmount(e, m.Grant.Amount)
 	e.Bool(m.Grant.BelowLimit)
 	e.Duration(m.Grant.RequestAfter)
@@ -79,59 +80,59 @@
 }
 
 // Decode implements peer.Message.
-func (m *granted) Decode(d *wire.Decoder) {
-	m.Elsewhere = d.Bool()
+func (m *tokenResponse) Decode(d *wire.Decoder) {
+	m.Redirect = d.Bool()
 	m.Allocator = identity.Node{
 		Name: identity.NodeName(d.String()), Incarnation: identity.Incarnation(d.Uint64()), PeerAddress: d.AddrPort(),
 	}
-	m.Source = quota.AllocatorID(d.Uint64())
+	m.AllocatorID = quota.AllocatorID(d.Uint64())
 	m.Grant.Amount, m.Grant.BelowLimit = decodeAmount(d), d.Bool()
-	m.Grant.RequestAfter, m.Grant.ProgramStartAfter = decodePause(d), decodePause(d)
+	m.Grant.RequestAfter, m.Grant.ProgramStartAfter = decodeDelay(d), decodeDelay(d)
 }
 
-// maxPause bounds what another node may ask this one to wait.
-const maxPause = time.Minute
+// maxDelay bounds the delay that another node can impose on this one.
+const maxDelay = time.Minute
 
-func decodePause(d *wire.Decoder) time.Duration { return min(max(d.Duration(), 0), maxPause) }
+func decodeDelay(d *wire.Decoder) time.Duration { return min(max(d.Duration(), 0), maxDelay) }
 
-// takeOver asks the node that allotted a tenant before for what it has counted. That
-// node allots the tenant no longer.
-type takeOver struct{ Tenant string }
+// handoverRequest requests a tenant's account from a previous allocator, which stops
+// granting for the tenant.
+type handoverRequest struct{ Tenant string }
 
 // Kind implements peer.Message.
-func (*takeOver) Kind() peer.Kind { return kindTakeOver }
+func (*handoverRequest) Kind() peer.Kind { return kindHandoverRequest }
 
 // Encode implements peer.Message.
-func (m *takeOver) Encode(e *wire.Encoder) { e.String(m.Tenant) }
+func (m *handoverRequest) Encode(e *wire.Encoder) { e.String(m.Tenant) }
 
 // Decode implements peer.Message.
-func (m *takeOver) Decode(d *wire.Decoder) { m.Tenant = d.String() }
+func (m *handoverRequest) Decode(d *wire.Decoder) { m.Tenant = d.String() }
 
-// takenOver answers takeOver with what is left of the limit; Known tells that the node had
-// an account of it.
-type takenOver struct {
-	Known   bool
+// handoverResponse is the response to a handoverRequest. Found reports whether the node had
+// an account.
+type handoverResponse struct {
+	Found   bool
 	Account quota.Account
 }
 
 // Kind implements peer.Message.
-func (*takenOver) Kind() peer.Kind { return kindTakenOver }
+func (*handoverResponse) Kind() peer.Kind { return kindHandoverResponse }
 
 // Encode implements peer.Message.
-func (m *takenOver) Encode(e *wire.Encoder) {
-	e.Bool(m.Known)
+func (m *handoverResponse) Encode(e *wire.Encoder) {
+	e.Bool(m.Found)
 	e.Float64(m.Account.Requests)
 	e.Float64(m.Account.ProgramStarts)
 	e.Float64(m.Account.PerProgram)
 }
 
 // Decode implements peer.Message.
-func (m *takenOver) Decode(d *wire.Decoder) {
-	m.Known = d.Bool()
+func (m *handoverResponse) Decode(d *wire.Decoder) {
+	m.Found = d.Bool()
 	m.Account = quota.Account{Requests: decodeTokens(d), ProgramStarts: decodeTokens(d), PerProgram: decodeTokens(d)}
 }
 
-// maxAmount bounds what one message may tell of a tenant.
+// maxAmount bounds the amounts in one message.
 const maxAmount = 1 << 20
 
 func decodeTokens(d *wire.Decoder) float64 {
--- a/internal/limits/metrics.go
+++ b/internal/limits/metrics.go
@@ -6,31 +6,31 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics count what the limits decide.
+// metrics counts the decisions on requests.
 type metrics struct {
 	admitted, overLimit, programOverLimit, noAllocator prometheus.Counter
-	askSeconds                                         prometheus.Histogram
+	requestSeconds                                     prometheus.Histogram
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	decisions := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "stepseam_limit_decisions_total", Help: "Requests of tenants with a limit, by what was decided.",
 	}, []string{"decision"})
-	made := &metrics{
+	result := &metrics{
 		admitted: decisions.WithLabelValues("admitted"), overLimit: decisions.WithLabelValues("over_limit"),
 		programOverLimit: decisions.WithLabelValues("program_over_limit"), noAllocator: decisions.WithLabelValues("no_allocator"),
-		askSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
+		requestSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "stepseam_limit_question_seconds", Help: "Time until another node had granted tokens.",
 			Buckets: []float64{.001, .002, .004, .008, .016, .032, .064, .128},
 		}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(decisions, made.askSeconds)
+		registerer.MustRegister(decisions, result.requestSeconds)
 	}
-	return made
+	return result
 }
 
-func (m *metrics) decided(err error) {
+func (m *metrics) observe(err error) {
 	if err == nil {
 		m.admitted.Inc()
 		return
--- a/internal/limits/placement.go
+++ b/internal/limits/placement.go
@@ -10,150 +10,149 @@
 )
 
 const (
-	// missedFor is how long a node that is gone without a word still counts when limits
-	// are shared: it may live behind a cut and serve. After that the nodes that are left
-	// have all of the limits.
-	missedFor = 20 * time.Second
-	// refusedFor is how long a node whose machine refuses connections counts as dead.
-	refusedFor = time.Second
+	// lostTTL is how long a node that disappeared without leaving still counts in the
+	// division of limits, since it may be partitioned and still serve requests. Afterwards
+	// the remaining nodes divide the limits among themselves.
+	lostTTL = 20 * time.Second
+	// refusedTTL is how long a node whose machine refuses connections counts as dead.
+	refusedTTL = time.Second
 )
 
-// placement tells which node allots a tenant's limit: of the members that live, the one
-// of the highest hash together with the tenant (rendezvous hashing). It is safe for
-// concurrent use.
+// placement maps tenants to their allocators by rendezvous hashing over the reachable
+// members. It is safe for concurrent use.
 type placement struct {
 	self identity.NodeName
 
-	// mutex guards all below.
+	// mutex guards all fields below.
 	mutex   sync.Mutex
 	members []membership.Member
-	// missed holds the members that died without a word, and since when.
-	missed map[identity.NodeName]time.Duration
-	// refused holds until when lives count as dead since their machine refused a
-	// connection, which a machine behind a cut does not.
-	refused map[identity.Reference]time.Duration
-	// seen holds the lives that were members; returned those of them that came back with
-	// the last change.
-	seen, returned map[identity.Reference]bool
+	// lost holds the members that disappeared without leaving, and since when.
+	lost map[identity.NodeName]time.Duration
+	// refusedUntil holds the incarnations that count as dead because their machine refused
+	// a connection, which rules out a network partition.
+	refusedUntil map[identity.Reference]time.Duration
+	// seen holds the incarnations that have ever been members. reappeared holds those that
+	// were removed and came back with the last change of this kind.
+	seen, reappeared map[identity.Reference]bool
 }
 
 func newPlacement(self identity.NodeName) *placement {
 	return &placement{
-		self: self, missed: map[identity.NodeName]time.Duration{}, refused: map[identity.Reference]time.Duration{},
-		seen: map[identity.Reference]bool{}, returned: map[identity.Reference]bool{},
+		self: self, lost: map[identity.NodeName]time.Duration{}, refusedUntil: map[identity.Reference]time.Duration{},
+		seen: map[identity.Reference]bool{}, reappeared: map[identity.Reference]bool{},
 	}
 }
 
-// setView takes the members that live and tells whether some have come back that were not
-// seen for a while, and lived.
-func (p *placement) setView(view membership.View, now time.Duration) (returned bool) {
+// setView sets the members and reports whether an incarnation has reappeared, which means
+// that it was alive in the meantime.
+func (p *placement) setView(view membership.View, now time.Duration) (reappeared bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	before := map[identity.Reference]membership.Status{}
+	previous := map[identity.Reference]membership.Status{}
 	for _, member := range p.members {
-		before[member.Node.Reference()] = member.Status
+		previous[member.Node.Reference()] = member.Status
 	}
 	for _, member := range view.Members {
-		life := member.Node.Reference()
-		if _, known := before[life]; !known && p.seen[life] {
-			if !returned {
-				clear(p.returned)
+		reference := member.Node.Reference()
+		if _, known := previous[reference]; !known && p.seen[reference] {
+			if !reappeared {
+				clear(p.reappeared)
 			}
-			returned, p.returned[life] = true, true
+			reappeared, p.reappeared[reference] = true, true
 		}
-		p.seen[life] = true
-		delete(before, life)
-		delete(p.missed, member.Node.Name)
+		p.seen[reference] = true
+		delete(previous, reference)
+		delete(p.lost, member.Node.Name)
 	}
-	p.forgetSeen()
-	for gone, status := range before {
-		if _, refused := p.refused[gone]; status != membership.Leaving && !refused && !replaced(gone, view.Members) {
-			p.missed[gone.Name] = now
+	p.limitSeen()
+	for departed, status := range previous {
+		if _, refused := p.refusedUntil[departed]; status != membership.Leaving && !refused && !replaced(departed, view.Members) {
+			p.lost[departed.Name] = now
 		}
 	}
 	p.members = slices.Clone(view.Members)
-	return returned
+	return reappeared
 }
 
-// mostSeen bounds how many lives are remembered.
-const mostSeen = 4096
+// maxSeen bounds the number of remembered incarnations.
+const maxSeen = 4096
 
-func (p *placement) forgetSeen() {
-	if len(p.seen) > mostSeen {
+func (p *placement) limitSeen() {
+	if len(p.seen) > maxSeen {
 		clear(p.seen)
 	}
 }
 
-// replaced tells whether a member's name lives on in another life.
-func replaced(gone identity.Reference, members []membership.Member) bool {
-	return slices.ContainsFunc(members, func(member membership.Member) bool { return member.Node.Name == gone.Name })
+// replaced reports whether a member has a later incarnation among members.
+func replaced(departed identity.Reference, members []membership.Member) bool {
+	return slices.ContainsFunc(members, func(member membership.Member) bool { return member.Node.Name == departed.Name })
 }
 
-// refuse notes that a node's machine refuses connections.
-func (p *placement) refuse(node identity.Node, now time.Duration) {
+// recordRefusal records that a node's machine refuses connections.
+func (p *placement) recordRefusal(node identity.Node, now time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.refused[node.Reference()] = now + refusedFor
+	p.refusedUntil[node.Reference()] = now + refusedTTL
 }
 
-// allocator returns the node that allots a tenant; empty where none is known.
+// allocator returns the tenant's allocator; empty if none is known.
 func (p *placement) allocator(tenant string, now time.Duration) identity.Node {
-	node, _ := p.highest(tenant, now, membership.Member.Reachable)
+	node, _ := p.highestRanked(tenant, now, membership.Member.Reachable)
 	return node
 }
 
-// before returns the nodes that may have allotted a tenant until now: the first of the
-// others, those that leave among them, and the first of those that were not seen for a
-// while and lived, which may have allotted it on their side of a cut.
-func (p *placement) before(tenant string, now time.Duration) []identity.Node {
+// previousAllocators returns the nodes that may have been the tenant's allocator until now:
+// the first in rank of the other nodes, including leaving ones, and the first in rank of
+// the reappeared ones, which may have been the allocator on their side of a partition.
+func (p *placement) previousAllocators(tenant string, now time.Duration) []identity.Node {
 	others := func(member membership.Member) bool { return member.Node.Name != p.self }
-	returned := func(member membership.Member) bool { return p.returned[member.Node.Reference()] }
+	reappeared := func(member membership.Member) bool { return p.reappeared[member.Node.Reference()] }
 	var found []identity.Node
-	for _, fits := range []func(membership.Member) bool{others, returned} {
-		if node, known := p.highest(tenant, now, fits); known && !slices.Contains(found, node) {
+	for _, eligible := range []func(membership.Member) bool{others, reappeared} {
+		if node, known := p.highestRanked(tenant, now, eligible); known && !slices.Contains(found, node) {
 			found = append(found, node)
 		}
 	}
 	return found
 }
 
-// highest returns the first in rank of the members that fit and whose machines have not
-// refused a connection lately. fits is called with the mutex held.
-func (p *placement) highest(tenant string, now time.Duration, fits func(membership.Member) bool) (identity.Node, bool) {
+// highestRanked returns the first in rank of the eligible members whose machines have not
+// refused a connection recently. eligible is called with the mutex held.
+func (p *placement) highestRanked(tenant string, now time.Duration, eligible func(membership.Member) bool) (identity.Node, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return membership.Highest(tenant, p.members, func(member membership.Member) bool {
-		return fits(member) && now >= p.refused[member.Node.Reference()]
+		return eligible(member) && now >= p.refusedUntil[member.Node.Reference()]
 	})
 }
 
-// alone tells whether no other member is known.
-func (p *placement) alone() bool {
+// isAlone reports whether no other members are known.
+func (p *placement) isAlone() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return !slices.ContainsFunc(p.members, func(member membership.Member) bool { return member.Node.Name != p.self })
 }
 
-// counts returns how many nodes live and how many may serve, those that died without a
-// word lately among them.
-func (p *placement) counts(now time.Duration) (live, all int) {
+// counts returns the number of alive nodes and the number of nodes that may be serving
+// requests, which includes those lost recently.
+func (p *placement) counts(now time.Duration) (alive, total int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for name, since := range p.missed {
-		if now-since > missedFor {
-			delete(p.missed, name)
+	for name, since := range p.lost {
+		if now-since > lostTTL {
+			delete(p.lost, name)
 		}
 	}
-	for reference, until := range p.refused {
+	for reference, until := range p.refusedUntil {
 		if now >= until {
-			delete(p.refused, reference)
+			delete(p.refusedUntil, reference)
 		}
 	}
 	for _, member := range p.members {
-		all++
+		total++
 		if member.Status == membership.Alive || member.Status == membership.Leaving {
-			live++
+			alive++
 		}
 	}
-	return max(live, 1), max(all, 1) + len(p.missed)
+	return max(alive, 1), max(total, 1) + len(p.lost)
 }
--- /dev/null
+++ b/internal/limits/site_test.go
@@ -0,0 +1,220 @@
+package limits
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net/netip"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"stepseam.example/stepseam/internal/identity"
+	"stepseam.example/stepseam/internal/membership"
+	"stepseam.example/stepseam/internal/peer"
+	"stepseam.example/stepseam/internal/quota"
+	"stepseam.example/stepseam/internal/routing"
+)
+
+// The simulated site's policy, and its tenant with a limit of 40 requests per second.
+var (
+	sitePolicy = quota.Policy{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	siteTenant = &routing.Tenant{Name: "acme", RatePerSecond: 40, Burst: 40}
+)
+
+// nodeState is the state of a simulated node.
+type nodeState int
+
+const (
+	running nodeState = iota
+	// A killed node refuses connections, an unresponsive one sends no responses, and a
+	// paused one does not run.
+	killed
+	unresponsive
+	paused
+)
+
+// String returns the state's name for the event log.
+func (c nodeState) String() string { return [...]string{"sound", "killed", "dark", "frozen"}[c] }
+
+// simulatedNode is one node of a site in virtual time.
+type simulatedNode struct {
+	site    *site
+	service *Service
+	node    identity.Node
+	end     context.CancelFunc
+	// The site's mutex guards nodeState, side and leaving. Nodes on different sides cannot
+	// reach each other.
+	nodeState nodeState
+	side      int
+	leaving   bool
+}
+
+// site is a simulated network of nodes with the requests that it has served.
+type site struct {
+	random    *rand.Rand
+	startedAt time.Time
+	// handoverFault makes nodes hand over an account as if it were unused.
+	handoverFault bool
+
+	// mutex guards all fields below.
+	mutex   sync.Mutex
+	nodes   []*simulatedNode
+	served  []servedRequest
+	refused int
+	// allocators holds the names of the allocators by ID; events is the log of membership
+	// and state changes.
+	allocators map[quota.AllocatorID]string
+	events     []event
+}
+
+func newSite(ctx context.Context, seed uint64, count int) *site {
+	result := &site{random: rand.New(rand.NewPCG(seed, 1)), startedAt: time.Now(), allocators: map[quota.AllocatorID]string{}}
+	for number := range count {
+		result.nodes = append(result.nodes, &simulatedNode{site: result})
+		result.start(ctx, number)
+	}
+	return result
+}
+
+func (s *site) now() time.Duration { return time.Since(s.startedAt) }
+
+// start starts a new incarnation of a node.
+func (s *site) start(ctx context.Context, number int) {
+	one := s.nodes[number]
+	lifetime, end := context.WithCancel(ctx)
+	s.mutex.Lock()
+	one.node = identity.Node{
+		Name: identity.NodeName(fmt.Sprint("n", number)), Incarnation: identity.Incarnation(s.now() + 1),
+		PeerAddress: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 1),
+	}
+	one.nodeState, one.leaving, one.end = running, false, end
+	s.mutex.Unlock()
+	one.service = New(Config{
+		Self: one.node.Name, Policy: sitePolicy, Strategy: StrategyAllocator, Peers: simulatedPeers{one}, Now: s.now, Logger: slog.New(slog.DiscardHandler),
+	})
+	one.service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
+	s.mutex.Lock()
+	s.allocators[one.service.allocatorID] = string(one.node.Name)
+	s.logEvent("%s starts", one.node.Name)
+	s.mutex.Unlock()
+	go one.service.Run(lifetime)
+}
+
+// updateViews gives every node a view of the nodes that it can currently reach.
+func (s *site) updateViews() {
+	for _, one := range s.nodes {
+		view := membership.View{}
+		s.mutex.Lock()
+		if one == s.nodes[0] {
+			s.logEvent("views are told")
+		}
+		for _, other := range s.nodes {
+			if one == other || other.nodeState == running && one.side == other.side {
+				member := membership.Member{Node: other.node, Status: membership.Alive}
+				if other.leaving {
+					member.Status = membership.Leaving
+				}
+				view.Members = append(view.Members, member)
+			}
+		}
+		s.mutex.Unlock()
+		one.service.SetView(view)
+	}
+}
+
+// generateLoad sends requests to random nodes until ctx ends.
+func (s *site) generateLoad(ctx context.Context, rate func(now time.Duration) float64) {
+	for ctx.Err() == nil {
+		s.mutex.Lock()
+		pause := time.Duration(s.random.ExpFloat64() / rate(s.now()) * float64(time.Second))
+		one := s.nodes[s.random.IntN(len(s.nodes))]
+		serves := one.nodeState == running || one.nodeState == unresponsive
+		s.mutex.Unlock()
+		time.Sleep(pause)
+		if serves {
+			go s.request(ctx, one)
+		}
+	}
+}
+
+// request sends one request to a node.
+func (s *site) request(ctx context.Context, one *simulatedNode) {
+	permit, err := one.service.Admit(ctx, siteTenant)
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	switch {
+	case err == nil && s.random.IntN(20) == 0:
+		go permit.Refund() // the request was not run
+	case err == nil:
+		allocatorID, granted := permit.token.AllocatorID()
+		s.served = append(s.served, servedRequest{at: s.now(), node: slices.Index(s.nodes, one), allocatorID: allocatorID, withoutAllocator: !granted})
+	case ctx.Err() == nil:
+		s.refused++
+	}
+}
+
+// worst returns the highest number of requests served in any window.
+func (s *site) worst() int { return len(s.worstWindow()) }
+
+func (s *site) set(number int, to nodeState) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.nodes[number].nodeState = to
+	s.logEvent("n%d is %s", number, to)
+}
+
+// simulatedPeers carries the calls of one node.
+type simulatedPeers struct{ from *simulatedNode }
+
+// Call implements peer.Client.
+func (w simulatedPeers) Call(ctx context.Context, address netip.AddrPort, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
+	s := w.from.site
+	time.Sleep(s.latency())
+	s.mutex.Lock()
+	to := s.nodes[address.Addr().As4()[3]]
+	nodeState, reached := to.nodeState, to.side == w.from.side && w.from.nodeState == running
+	service := to.service
+	s.mutex.Unlock()
+	switch {
+	case reached && nodeState == killed:
+		return nil, fmt.Errorf("%w: %w", peer.ErrNotSent, syscall.ECONNREFUSED)
+	case !reached || nodeState != running:
+		<-ctx.Done()
+		return nil, fmt.Errorf("%w: %w", peer.ErrUnreachable, ctx.Err())
+	}
+	response, err := service.handle(ctx, request)
+	if handover, ok := response.(*handoverResponse); ok {
+		s.mutex.Lock()
+		s.logEvent("%s takes over from %s: known %t, left %.1f", w.from.node.Name, to.node.Name, handover.Found, handover.Account.Requests)
+		s.mutex.Unlock()
+	}
+	if faulty, ok := response.(*handoverResponse); ok && s.handoverFault {
+		faulty.Found, faulty.Account = true, quota.Account{Requests: 1000}
+	}
+	time.Sleep(s.latency())
+	return response, err
+}
+
+// latency returns a random one-way latency.
+func (s *site) latency() time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return time.Millisecond + time.Duration(s.random.Int64N(int64(2*time.Millisecond)))
+}
+
+// simulatePause records a process pause, which the service cannot detect in virtual time.
+func (s *Service) simulatePause(pause time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.recordPauseLocked(pause, s.config.Now())
+}
+
+func (s *Service) handle(ctx context.Context, request peer.Message) (peer.Message, error) {
+	if _, ok := request.(*tokenRequest); ok {
+		return s.handleTokenRequest(ctx, request, nil)
+	}
+	return s.handleHandoverRequest(ctx, request, nil)
+}
--- a/internal/limits/status.go
+++ b/internal/limits/status.go
@@ -5,68 +5,68 @@
 	"strings"
 )
 
-// TenantsStatus is what a node of a platform knows of the tenants that it serves or
-// whose limits it allots.
+// TenantsStatus is a node's status of the tenants that it serves or allocates for.
 type TenantsStatus struct {
 	Node string `json:"node"`
-	// Version is the configuration in force. It was the newest ConfigurationAgeMs ago, and
-	// requests with keys are served up to LeaseMs; -1 and 0 if that is not known or not
-	// bounded.
+	// Version is the current configuration, which was last confirmed as the latest
+	// ConfigurationAgeMs ago; -1 if unknown. Requests with keys are served up to an age of
+	// LeaseMs; 0 if unbounded.
 	Version            uint64         `json:"version"`
 	ConfigurationAgeMs int64          `json:"configuration_age_ms"`
 	LeaseMs            int64          `json:"lease_ms"`
 	Tenants            []TenantStatus `json:"tenants"`
 }
 
-// TenantStatus is one tenant as seen by one node.
+// TenantStatus is a node's status of one tenant.
 type TenantStatus struct {
 	Name string `json:"name"`
 	// RatePerSecond and Burst are the tenant's limit.
 	RatePerSecond float64 `json:"rate_per_second"`
 	Burst         float64 `json:"burst"`
-	// Allocator is the node that hands out what may run.
+	// Allocator is the node that grants the tenant's tokens.
 	Allocator string `json:"allocator"`
-	// RequestRate is what this node has lately served, in requests a second, and Refused what it
-	// has refused for the limit since the tenant was used first.
+	// RequestRate is the recent rate of requests served by this node, per second. Refused
+	// counts the requests that it has rejected because of the limit.
 	RequestRate float64 `json:"pace"`
 	Refused     uint64  `json:"refused"`
-	// Remaining is what the node's bucket holds, only where it is the allocator.
+	// Remaining is the number of tokens in the bucket; nil unless this node is the
+	// allocator.
 	Remaining *float64 `json:"left,omitempty"`
 }
 
-// Status returns the tenants that this node has served lately or allots, by name.
+// Status returns the tenants that this node has recently served or allocates for, by name.
 func (s *Service) Status() []TenantStatus {
 	now := s.config.Now()
 	s.mutex.Lock()
 	accounts := s.allocator.Left()
 	s.mutex.Unlock()
-	s.stocksMutex.Lock()
-	stocks := make(map[string]*stock, len(s.stocks))
-	for tenant, one := range s.stocks {
-		stocks[tenant] = one
+	s.tenantsMutex.Lock()
+	tenants := make(map[string]*tenantTokens, len(s.tenants))
+	for tenant, tokens := range s.tenants {
+		tenants[tenant] = tokens
 	}
-	s.stocksMutex.Unlock()
+	s.tenantsMutex.Unlock()
 
 	var found []TenantStatus
 	for tenant, account := range accounts {
 		status := s.describe(tenant)
 		status.Remaining = &account.Requests
-		if one := stocks[tenant]; one != nil {
-			one.describe(&status, now)
+		if tokens := tenants[tenant]; tokens != nil {
+			tokens.describe(&status, now)
 		}
-		delete(stocks, tenant)
+		delete(tenants, tenant)
 		found = append(found, status)
 	}
-	for tenant, one := range stocks {
+	for tenant, tokens := range tenants {
 		status := s.describe(tenant)
-		one.describe(&status, now)
+		tokens.describe(&status, now)
 		found = append(found, status)
 	}
 	slices.SortFunc(found, func(a, b TenantStatus) int { return strings.Compare(a.Name, b.Name) })
 	return found
 }
 
-// describe returns a tenant's limit and who allots it.
+// describe returns a tenant's limit and allocator.
 func (s *Service) describe(tenant string) TenantStatus {
 	limit, _ := s.limit(tenant)
 	node, self := s.allocatorOf(tenant)
--- a/internal/limits/trace_test.go
+++ b/internal/limits/trace_test.go
@@ -10,49 +10,49 @@
 	"stepseam.example/stepseam/internal/quota"
 )
 
-// used is one permit that a request ran with: who gave it, and when which node used it.
-type used struct {
-	at     time.Duration
-	node   int
-	source quota.AllocatorID
-	// own tells that the node took it without an allocator.
-	own bool
+// servedRequest is a request that was served, with the allocator that granted its token.
+type servedRequest struct {
+	at          time.Duration
+	node        int
+	allocatorID quota.AllocatorID
+	// withoutAllocator is set if the node took the token without an allocator.
+	withoutAllocator bool
 }
 
-// event is something that decides who gives permits, on the site's clock.
+// event is an event that affects which node grants tokens, on the site's clock.
 type event struct {
 	at   time.Duration
 	what string
 }
 
-// note keeps an event for the record of a run; it needs the mutex.
-func (s *site) note(format string, arguments ...any) {
+// logEvent logs an event. It requires the mutex.
+func (s *site) logEvent(format string, arguments ...any) {
 	s.events = append(s.events, event{at: s.now(), what: fmt.Sprintf(format, arguments...)})
 }
 
-// worstWindow returns the permits of the window in which most ran.
-func (s *site) worstWindow() []used {
+// worstWindow returns the requests of the window in which most were served.
+func (s *site) worstWindow() []servedRequest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var worst []used
+	var worst []servedRequest
 	first := 0
-	for last := range s.ran {
-		for s.ran[last].at-s.ran[first].at >= sitePolicy.Window {
+	for last := range s.served {
+		for s.served[last].at-s.served[first].at >= sitePolicy.Window {
 			first++
 		}
-		if window := s.ran[first : last+1]; len(window) > len(worst) {
+		if window := s.served[first : last+1]; len(window) > len(worst) {
 			worst = window
 		}
 	}
 	return worst
 }
 
-// beforeWindow is how much earlier than a window an event may be that its permits hang on.
-const beforeWindow = 8 * time.Second
+// traceBefore is how long before a window its trace begins.
+const traceBefore = 8 * time.Second
 
-// record tells of the worst window who gave its permits in each half second, and what
-// happened until its end.
-func (s *site) record() string {
+// trace describes the worst window: who granted its tokens in each half second, and the
+// events before and in it.
+func (s *site) trace() string {
 	worst := s.worstWindow()
 	if len(worst) == 0 {
 		return "nothing ran"
@@ -60,11 +60,11 @@
 	from, to := worst[0].at, worst[len(worst)-1].at
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var told strings.Builder
-	fmt.Fprintf(&told, "%d ran from %v to %v\n", len(worst), from, to)
+	var text strings.Builder
+	fmt.Fprintf(&text, "%d ran from %v to %v\n", len(worst), from, to)
 	for _, one := range s.events {
-		if one.at >= from-beforeWindow && one.at <= to {
-			fmt.Fprintf(&told, "%v %s\n", one.at, one.what)
+		if one.at >= from-traceBefore && one.at <= to {
+			fmt.Fprintf(&text, "%v %s\n", one.at, one.what)
 		}
 	}
 	const step = 500 * time.Millisecond
@@ -72,22 +72,22 @@
 		counts := map[string]int{}
 		for _, one := range worst {
 			if one.at >= from && one.at < from+step {
-				counts[s.giver(one)]++
+				counts[s.grantedBy(one)]++
 			}
 		}
-		fmt.Fprintf(&told, "permits used from %v on:", from)
-		for _, giver := range slices.Sorted(maps.Keys(counts)) {
-			fmt.Fprintf(&told, " %s %d", giver, counts[giver])
+		fmt.Fprintf(&text, "permits used from %v on:", from)
+		for _, grantedBy := range slices.Sorted(maps.Keys(counts)) {
+			fmt.Fprintf(&text, " %s %d", grantedBy, counts[grantedBy])
 		}
-		told.WriteString("\n")
+		text.WriteString("\n")
 	}
-	return told.String()
+	return text.String()
 }
 
-// giver names who gave a permit.
-func (s *site) giver(one used) string {
-	if one.own {
+// grantedBy names the allocator that granted a request's token.
+func (s *site) grantedBy(one servedRequest) string {
+	if one.withoutAllocator {
 		return fmt.Sprintf("n%d itself", one.node)
 	}
-	return s.sources[one.source]
+	return s.allocators[one.allocatorID]
 }
