--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -6,297 +6,300 @@
 	"time"
 )
 
-// Amount counts requests and, among them, those that begin a program.
+// Amount counts requests, and how many of them start a program.
 type Amount struct{ Requests, ProgramStarts int }
 
-// Plus adds two amounts.
+// Plus returns the sum of two amounts.
 func (a Amount) Plus(other Amount) Amount {
 	return Amount{Requests: a.Requests + other.Requests, ProgramStarts: a.ProgramStarts + other.ProgramStarts}
 }
 
-// Minus subtracts other, down to nothing.
+// Minus returns the difference of two amounts, but not below zero.
 func (a Amount) Minus(other Amount) Amount {
 	return Amount{Requests: max(a.Requests-other.Requests, 0), ProgramStarts: max(a.ProgramStarts-other.ProgramStarts, 0)}
 }
 
-// Request asks an allocator for tokens of one tenant.
+// Request is a node's request to an allocator for tokens of one tenant.
 type Request struct {
-	// Needed wait already, Wanted would do for a while; Wanted is at least Needed.
+	// Needed is the demand of waiting requests; Wanted adds the demand expected for a
+	// while.
 	Needed, Wanted Amount
-	// Spent ran without tokens, while no allocator answered.
+	// Spent counts the tokens taken while no allocator responded.
 	Spent Amount
-	// Returned were granted by this life of the allocator and have not been spent and
-	// never will be.
+	// Returned counts tokens granted by this incarnation of the allocator that have not
+	// been spent and never will be.
 	Returned Amount
 }
 
-// Grant answers a Request.
+// Grant is the response to a Request.
 type Grant struct {
 	Amount Amount
-	// BelowLimit tells that the tenant is well below its limit.
+	// BelowLimit reports whether the tenant is well below its limit.
 	BelowLimit bool
-	// RequestAfter and ProgramStartAfter tell when there may be room again, where less was
-	// granted than needed.
+	// RequestAfter and ProgramStartAfter are the times until tokens may be available, if
+	// fewer were granted than needed.
 	RequestAfter, ProgramStartAfter time.Duration
 }
 
-// Account is what is left of a tenant's limit, to be handed over to another allocator.
+// Account is the remainder of a tenant's limit, in the form handed over between allocators.
 type Account struct {
-	// Requests and ProgramStarts are tokens; Spent may have been more than there were.
+	// Requests and ProgramStarts are tokens. They are negative if more were spent.
 	Requests, ProgramStarts float64
-	// PerProgram is the learned number of requests of a program; 0 if not known.
+	// PerProgram is the estimated number of requests per program; 0 if unknown.
 	PerProgram float64
 }
 
-// Allocator holds what is left of tenants' limits. It is not safe for concurrent use.
+// Allocator holds the token buckets of the tenants. It is not safe for concurrent use.
 type Allocator struct {
 	policy  Policy
 	tenants map[string]*bucket
-	// share is the part of each limit that this node may grant.
+	// share is the fraction of each limit that this node may grant.
 	share float64
 }
 
-// bucket is what is left of one tenant's limit.
+// bucket is the token bucket of one tenant.
 type bucket struct {
-	// settled tells that what other nodes have granted counts here.
-	settled bool
-	// stale tells that this node has stood still since it granted last: another may have
-	// granted what came in since, and what was left before.
+	// synchronized reports whether the tokens granted by other nodes are accounted for.
+	synchronized bool
+	// stale reports whether this process was paused since its last grant. Another node may
+	// have granted the tokens that have accrued since then as well as the ones from before.
 	stale bool
-	// left tells that another node grants now: what this one had is there to be handed over,
-	// and nothing comes in any more.
-	left bool
-	// requests and begins are tokens at filledAt.
-	requests, begins float64
-	filledAt         time.Duration
-	learned          learned
-	touched          time.Duration
+	// relinquished reports whether another node is the allocator now. The bucket no longer
+	// refills and only waits to be handed over.
+	relinquished bool
+	// requests and programStarts are the tokens as of filledAt.
+	requests, programStarts float64
+	filledAt                time.Duration
+	programSize             programSizeEstimator
+	lastUsed                time.Duration
 }
 
 const (
-	// scarceBelow is the part of a bucket under which no more is granted than waits
-	// already.
-	scarceBelow = 0.25
-	// A program begins only while the bucket holds as many tokens as one has requests, but
-	// not more than beginsAtMost and not less than beginsAbove of it: the rest is for
-	// those under way. The lower bound is less than a bucket begins with that takes over
-	// uncleanly, since programs would be refused after each loss of a node otherwise.
-	beginsAbove  = 0.1
-	beginsAtMost = 0.7
-	// roomyAbove is the part of a bucket above which a tenant is well below its limit.
-	roomyAbove = 0.6
-	// bucketIdle is how long a tenant that nobody asks for is remembered.
-	bucketIdle = 30 * time.Second
+	// scarceFraction is the fill level below which only the needed tokens are granted.
+	scarceFraction = 0.25
+	// A program may start only if the bucket holds enough tokens for a whole program,
+	// bounded by these fractions of the capacity; the rest is reserved for running
+	// programs. The lower bound is below the initial level of a bucket opened by
+	// FillConservatively, since otherwise programs would be rejected after each loss of a
+	// node.
+	minStartFraction = 0.1
+	maxStartFraction = 0.7
+	// belowLimitFraction is the fill level above which a tenant is well below its limit.
+	belowLimitFraction = 0.6
+	// bucketIdleTTL is how long an unused bucket is kept.
+	bucketIdleTTL = 30 * time.Second
 )
 
-// NewAllocator returns an allocator that may grant all of every limit.
+// NewAllocator returns an allocator that may grant the whole of every limit.
 func NewAllocator(policy Policy) *Allocator {
 	return &Allocator{policy: policy, tenants: map[string]*bucket{}, share: 1}
 }
 
-// SetShare sets the part of each limit that this node may grant, from 0 to 1.
+// SetShare sets the fraction of each limit that this node may grant.
 func (a *Allocator) SetShare(share float64) { a.share = share }
 
-// Synchronized tells whether what other nodes have granted of a tenant's limit counts here.
+// Synchronized reports whether a tenant's account reflects the grants of other nodes.
 func (a *Allocator) Synchronized(tenant string) bool {
 	found := a.tenants[tenant]
-	return found != nil && found.settled
+	return found != nil && found.synchronized
 }
 
-// Fill opens an account that nobody has granted from lately.
+// Fill opens a full account. No other node may have granted from it recently.
 func (a *Allocator) Fill(tenant string, limit Limit, now time.Duration) {
-	opened := a.open(tenant, now)
-	opened.requests, opened.begins = a.policy.Capacity(limit)*a.share, a.beginCapacity(opened, limit)
+	b := a.open(tenant, now)
+	b.requests, b.programStarts = a.policy.Capacity(limit)*a.share, a.startCapacity(b, limit)
 }
 
-// Import opens an account with what another node had left. It adds to what this node has left
-// of its own part, which both have granted from at the same time, unless this one stood
-// still: then the other has granted all, and may grant on until it hears of this one.
+// Import opens an account with the remainder handed over by another node. It adds it to the
+// remainder of this node, since both have granted their own fractions of the limit
+// concurrently. After a process pause of this node, the other one has granted the whole
+// limit instead, and may continue to until it learns of this node.
 func (a *Allocator) Import(tenant string, account Account, limit Limit, now time.Duration) {
 	if found := a.tenants[tenant]; found != nil && found.stale {
-		found.begins, found.filledAt = 0, now
-		found.requests = -a.policy.Refill(limit) * a.share * unheardFor.Seconds()
+		found.programStarts, found.filledAt = 0, now
+		found.requests = -a.policy.Refill(limit) * a.share * handoverOverlap.Seconds()
 	}
-	opened := a.open(tenant, now)
-	opened.requests += account.Requests
-	opened.begins += account.ProgramStarts
-	opened.learned.adopt(account.PerProgram)
+	b := a.open(tenant, now)
+	b.requests += account.Requests
+	b.programStarts += account.ProgramStarts
+	b.programSize.seed(account.PerProgram)
 }
 
-// unheardFor is how long the node that granted in the place of one that stood still may go on
-// after it has handed over, since it has not heard yet that the other one is back.
-const unheardFor = 500 * time.Millisecond
+// handoverOverlap is how long the replacement of a paused allocator may still grant after
+// its handover, until it learns that the paused one is back.
+const handoverOverlap = 500 * time.Millisecond
 
-// FillConservatively opens an account and takes the limit, but for a part of its spare, for used,
-// since what others have granted can't be learned.
+// FillConservatively opens an account that is nearly exhausted, with a fraction of the
+// reserve, since the grants of other nodes are unknown.
 func (a *Allocator) FillConservatively(tenant string, limit Limit, now time.Duration) {
-	const takeOvers = 2 // in one window
-	most := a.policy.Reserve(limit) / takeOvers * a.share
+	const takeovers = 2 // within one window
+	reserve := a.policy.Reserve(limit) / takeovers * a.share
 	if !a.Has(tenant) {
-		a.Import(tenant, Account{Requests: most, ProgramStarts: most}, limit, now)
+		a.Import(tenant, Account{Requests: reserve, ProgramStarts: reserve}, limit, now)
 		return
 	}
-	opened := a.open(tenant, now)
-	a.fill(opened, limit, now)
-	opened.requests, opened.begins = min(opened.requests, most), min(opened.begins, most)
+	b := a.open(tenant, now)
+	a.fill(b, limit, now)
+	b.requests, b.programStarts = min(b.requests, reserve), min(b.programStarts, reserve)
 }
 
-// Has tells whether there is an account from which this node grants, settled or not.
+// Has reports whether there is an account that this node grants from, synchronized or not.
 func (a *Allocator) Has(tenant string) bool {
 	found := a.tenants[tenant]
-	return found != nil && !found.left
+	return found != nil && !found.relinquished
 }
 
-// Relinquish ends the filling of the accounts of tenants that another node grants from now on. They
-// are kept to be handed over.
-func (a *Allocator) Relinquish(leaves func(tenant string) bool, limit func(tenant string) (Limit, bool), now time.Duration) {
-	for tenant, one := range a.tenants {
-		if one.left || !leaves(tenant) {
+// Relinquish stops refilling the accounts that another node allocates from now on. They are
+// kept to be handed over.
+func (a *Allocator) Relinquish(shouldRelinquish func(tenant string) bool, limit func(tenant string) (Limit, bool), now time.Duration) {
+	for tenant, b := range a.tenants {
+		if b.relinquished || !shouldRelinquish(tenant) {
 			continue
 		}
-		if limited, known := limit(tenant); known {
-			a.fill(one, limited, now)
+		if tenantLimit, known := limit(tenant); known {
+			a.fill(b, tenantLimit, now)
 		}
-		one.settled, one.left = false, true
+		b.synchronized, b.relinquished = false, true
 	}
 }
 
-// Verify settles an account that no other node has granted from.
+// Verify marks an account that no other node has granted from as synchronized.
 func (a *Allocator) Verify(tenant string, now time.Duration) { a.open(tenant, now) }
 
-// InvalidateAll makes every account learn what others have granted before it grants again.
+// InvalidateAll requires every account to be synchronized before the next grant from it.
 func (a *Allocator) InvalidateAll() {
-	for _, one := range a.tenants {
-		one.settled = false
+	for _, b := range a.tenants {
+		b.synchronized = false
 	}
 }
 
-// ProcessPaused makes every account learn what others have granted before it grants again, as
-// Unsettle does. What another node has left replaces what this one had, since the other has
-// granted in its place.
+// ProcessPaused requires every account to be synchronized before the next grant from it,
+// like InvalidateAll. In addition, an imported account replaces this node's remainder,
+// since the other node has granted in its place.
 func (a *Allocator) ProcessPaused() {
 	a.InvalidateAll()
-	for _, one := range a.tenants {
-		one.stale = true
+	for _, b := range a.tenants {
+		b.stale = true
 	}
 }
 
-// HandOver ends an account and returns what is left; false if there is none, or if this node
-// does not know what others have granted while it stood still.
+// HandOver closes an account and returns its remainder. It returns false if there is none,
+// or if other nodes may have granted from it during a process pause.
 func (a *Allocator) HandOver(tenant string, limit Limit, now time.Duration) (Account, bool) {
 	found := a.tenants[tenant]
 	if found == nil {
 		return Account{}, false
 	}
-	if !found.left {
+	if !found.relinquished {
 		a.fill(found, limit, now)
 	}
 	delete(a.tenants, tenant)
 	if found.stale {
 		return Account{}, false
 	}
-	return Account{Requests: found.requests, ProgramStarts: found.begins, PerProgram: found.learned.perProgram()}, true
+	return Account{Requests: found.requests, ProgramStarts: found.programStarts, PerProgram: found.programSize.requestsPerProgram()}, true
 }
 
-// Forget drops the accounts that nobody has asked for lately.
+// Forget deletes the unused accounts.
 func (a *Allocator) Forget(now time.Duration) {
-	maps.DeleteFunc(a.tenants, func(_ string, one *bucket) bool { return now-one.touched > bucketIdle })
+	maps.DeleteFunc(a.tenants, func(_ string, b *bucket) bool { return now-b.lastUsed > bucketIdleTTL })
 }
 
-// Left returns what is left of the limit of each tenant that this node grants.
+// Left returns the accounts that this node grants from, by tenant.
 func (a *Allocator) Left() map[string]Account {
-	left := make(map[string]Account, len(a.tenants))
-	for tenant, one := range a.tenants {
-		if one.left {
+	remaining := make(map[string]Account, len(a.tenants))
+	for tenant, b := range a.tenants {
+		if b.relinquished {
 			continue
 		}
-		left[tenant] = Account{Requests: one.requests, ProgramStarts: one.begins, PerProgram: one.learned.perProgram()}
+		remaining[tenant] = Account{Requests: b.requests, ProgramStarts: b.programStarts, PerProgram: b.programSize.requestsPerProgram()}
 	}
-	return left
+	return remaining
 }
 
 func (a *Allocator) open(tenant string, now time.Duration) *bucket {
 	found := a.tenants[tenant]
-	if found == nil || found.left {
+	if found == nil || found.relinquished {
 		found = &bucket{filledAt: now}
 		a.tenants[tenant] = found
 	}
-	found.settled, found.stale = true, false
+	found.synchronized, found.stale = true, false
 	return found
 }
 
-// fill adds what a bucket got since it was looked at last.
-func (a *Allocator) fill(one *bucket, limit Limit, now time.Duration) {
-	passed := (now - one.filledAt).Seconds()
-	one.filledAt = now
+// fill adds the tokens accrued since filledAt.
+func (a *Allocator) fill(b *bucket, limit Limit, now time.Duration) {
+	passed := (now - b.filledAt).Seconds()
+	b.filledAt = now
 	refill := a.policy.Refill(limit) * a.share
-	one.requests = min(one.requests+refill*passed, a.policy.Capacity(limit)*a.share)
-	one.begins = min(one.begins+refill/one.learned.atLeastOne()*passed, a.beginCapacity(one, limit))
+	b.requests = min(b.requests+refill*passed, a.policy.Capacity(limit)*a.share)
+	b.programStarts = min(b.programStarts+refill/b.programSize.requestsPerProgramOrOne()*passed, a.startCapacity(b, limit))
 }
 
-// beginCapacity is how many programs may begin at once, so that their requests fit into
-// the bucket.
-func (a *Allocator) beginCapacity(one *bucket, limit Limit) float64 {
-	return max(a.policy.Capacity(limit)*a.share/one.learned.atLeastOne(), 1)
+// startCapacity is the number of programs that may start at once such that their requests
+// fit into the bucket.
+func (a *Allocator) startCapacity(b *bucket, limit Limit) float64 {
+	return max(a.policy.Capacity(limit)*a.share/b.programSize.requestsPerProgramOrOne(), 1)
 }
 
-// Grant answers a request for an account that must be settled.
+// Grant responds to a request. The tenant's account must be synchronized.
 func (a *Allocator) Grant(tenant string, limit Limit, request Request, now time.Duration) Grant {
-	asked := a.open(tenant, now)
-	asked.touched = now
-	a.fill(asked, limit, now)
+	b := a.open(tenant, now)
+	b.lastUsed = now
+	a.fill(b, limit, now)
 	returned := request.Returned
-	asked.requests += float64(returned.Requests - request.Spent.Requests)
-	asked.begins += float64(returned.ProgramStarts - request.Spent.ProgramStarts)
+	b.requests += float64(returned.Requests - request.Spent.Requests)
+	b.programStarts += float64(returned.ProgramStarts - request.Spent.ProgramStarts)
 	capacity := a.policy.Capacity(limit) * a.share
-	asked.requests = min(asked.requests, capacity)
+	b.requests = min(b.requests, capacity)
 
 	var grant Grant
-	grant.Amount.Requests = part(request.Needed.Requests, request.Wanted.Requests, asked.requests, capacity)
-	if asked.requests >= beginLevel(asked, capacity) {
-		grant.Amount.ProgramStarts = part(request.Needed.ProgramStarts, request.Wanted.ProgramStarts, asked.begins, a.beginCapacity(asked, limit))
+	grant.Amount.Requests = grantSize(request.Needed.Requests, request.Wanted.Requests, b.requests, capacity)
+	if b.requests >= startThreshold(b, capacity) {
+		grant.Amount.ProgramStarts = grantSize(request.Needed.ProgramStarts, request.Wanted.ProgramStarts, b.programStarts, a.startCapacity(b, limit))
 	}
-	asked.requests -= float64(grant.Amount.Requests)
-	asked.begins -= float64(grant.Amount.ProgramStarts)
-	grant.BelowLimit = asked.requests >= roomyAbove*capacity
-	a.tellRoom(&grant, asked, limit, request.Needed)
-	binds := grant.RequestAfter > 0 || grant.ProgramStartAfter > 0
-	asked.learned.count(grant.Amount, returned, binds, a.policy.Span(), now)
+	b.requests -= float64(grant.Amount.Requests)
+	b.programStarts -= float64(grant.Amount.ProgramStarts)
+	grant.BelowLimit = b.requests >= belowLimitFraction*capacity
+	a.setRetryDelays(&grant, b, limit, request.Needed)
+	limited := grant.RequestAfter > 0 || grant.ProgramStartAfter > 0
+	b.programSize.observe(grant.Amount, returned, limited, a.policy.Span(), now)
 	return grant
 }
 
-// beginLevel is how many tokens a bucket must hold for a program to begin.
-func beginLevel(one *bucket, capacity float64) float64 {
-	wholeProgram := min(one.learned.perProgram(), capacity*beginsAtMost)
-	return max(wholeProgram, capacity*beginsAbove)
+// startThreshold is the number of tokens a bucket must hold for a program to start.
+func startThreshold(b *bucket, capacity float64) float64 {
+	wholeProgram := min(b.programSize.requestsPerProgram(), capacity*maxStartFraction)
+	return max(wholeProgram, capacity*minStartFraction)
 }
 
-// tellRoom sets when there will be room for what was needed and not granted.
-func (a *Allocator) tellRoom(grant *Grant, asked *bucket, limit Limit, needed Amount) {
+// setRetryDelays sets the times until tokens that were needed but not granted may be
+// available.
+func (a *Allocator) setRetryDelays(grant *Grant, b *bucket, limit Limit, needed Amount) {
 	refill := max(a.policy.Refill(limit)*a.share, math.SmallestNonzeroFloat32)
 	if grant.Amount.Requests < needed.Requests {
-		grant.RequestAfter = seconds((1 - asked.requests) / refill)
+		grant.RequestAfter = seconds((1 - b.requests) / refill)
 	}
 	if grant.Amount.ProgramStarts < needed.ProgramStarts {
 		capacity := a.policy.Capacity(limit) * a.share
-		byRequests := (beginLevel(asked, capacity) - asked.requests) / refill
-		byBegins := (1 - asked.begins) * asked.learned.atLeastOne() / refill
-		grant.ProgramStartAfter = seconds(max(byRequests, byBegins))
+		byRequests := (startThreshold(b, capacity) - b.requests) / refill
+		byProgramStarts := (1 - b.programStarts) * b.programSize.requestsPerProgramOrOne() / refill
+		grant.ProgramStartAfter = seconds(max(byRequests, byProgramStarts))
 	}
 }
 
-// longestAfter bounds how long a caller is told to stay away.
-const longestAfter = 10.0
+// maxRetrySeconds bounds the delay imposed on a caller.
+const maxRetrySeconds = 10.0
 
 func seconds(count float64) time.Duration {
-	return time.Duration(min(max(count, 0.001), longestAfter) * float64(time.Second))
+	return time.Duration(min(max(count, 0.001), maxRetrySeconds) * float64(time.Second))
 }
 
-// part of what a bucket holds goes to a request: what is wanted while there is plenty,
-// what is needed where it is scarce.
-func part(needed, wanted int, left, capacity float64) int {
-	whole := int(max(left, 0))
-	if left < scarceBelow*capacity {
+// grantSize returns the tokens to grant: up to the wanted ones if there are plenty, or the
+// needed ones if tokens are scarce.
+func grantSize(needed, wanted int, remaining, capacity float64) int {
+	whole := int(max(remaining, 0))
+	if remaining < scarceFraction*capacity {
 		return min(needed, whole)
 	}
 	return min(max(needed, min(wanted, whole/2)), whole)
--- /dev/null
+++ b/internal/quota/token_cache.go
@@ -0,0 +1,266 @@
+package quota
+
+import (
+	"math"
+	"time"
+)
+
+// AllocatorID identifies one incarnation of an allocator.
+type AllocatorID uint64
+
+// Token is the permission to run one request.
+type Token struct {
+	allocatorID AllocatorID
+	// withoutAllocator is set if the token was taken while no allocator responded.
+	withoutAllocator bool
+}
+
+// AllocatorID returns the allocator that granted the token, or false if there was none.
+func (t Token) AllocatorID() (allocatorID AllocatorID, granted bool) {
+	return t.allocatorID, !t.withoutAllocator
+}
+
+// batch is the remainder of one grant.
+type batch struct {
+	allocatorID AllocatorID
+	// expires is a reading of this node's clock.
+	expires   time.Duration
+	remaining Amount
+}
+
+const (
+	// rateDecayTime is the time constant of the exponential decay of a node's request rate.
+	rateDecayTime = time.Second
+	// prefetchFraction is the fraction of the token TTL for which tokens are prefetched.
+	prefetchFraction = 0.8
+	// prefetchesPerTTL limits the frequency of prefetch requests.
+	prefetchesPerTTL = 10
+	// lowFraction is the fill level, relative to the prefetch target, that triggers a
+	// prefetch.
+	lowFraction = 0.4
+	// autonomyTTL is how long a node may continue at its own request rate without an
+	// allocator, if the tenant was well below its limit at the last response. It covers the
+	// time until the other nodes detect the loss of the allocator.
+	autonomyTTL = 3 * time.Second
+	// autonomyRateFactor is the permitted increase of the request rate meanwhile.
+	autonomyRateFactor = 1.25
+)
+
+// TokenCache holds the unspent tokens of one tenant at one node. It is not safe for
+// concurrent use.
+type TokenCache struct {
+	policy  Policy
+	batches []batch
+	// returns counts the tokens to return to allocators.
+	returns map[AllocatorID]Amount
+	// nextPrefetch is the earliest time of the next prefetch request.
+	nextPrefetch time.Duration
+	// rate and programStartRate are requests and program starts per second.
+	rate, programStartRate float64
+	rateUpdatedAt          time.Duration
+	// refusedUntil and programStartsRefusedUntil are from the last response.
+	refusedUntil, programStartsRefusedUntil time.Duration
+	// respondedAt is the time of the last response and belowLimit its BelowLimit; responded
+	// is false before the first response.
+	respondedAt time.Duration
+	responded   bool
+	belowLimit  bool
+	// autonomous reports whether tokens are currently taken without an allocator. ownTokens
+	// is the fill level, as of ownUpdatedAt, of the bucket for such tokens; ownRate is the
+	// node's request rate when it became autonomous. spent counts the tokens taken so, to
+	// be reported to the next allocator.
+	autonomous   bool
+	ownTokens    float64
+	ownRate      float64
+	ownUpdatedAt time.Duration
+	spent        Amount
+}
+
+// NewTokenCache returns an empty cache.
+func NewTokenCache(policy Policy, now time.Duration) *TokenCache {
+	return &TokenCache{policy: policy, returns: map[AllocatorID]Amount{}, rateUpdatedAt: now, ownUpdatedAt: now}
+}
+
+// Take takes the token for a request; false if there is none.
+func (c *TokenCache) Take(now time.Duration) (Token, bool) {
+	c.expire(now)
+	for i := range c.batches {
+		if one := &c.batches[i]; one.remaining.Requests > 0 {
+			one.remaining.Requests--
+			c.recordUse(Amount{Requests: 1}, now)
+			return Token{allocatorID: one.allocatorID}, true
+		}
+	}
+	return Token{}, false
+}
+
+// TakeProgramStart takes the token for starting a program; false if there is none.
+func (c *TokenCache) TakeProgramStart(now time.Duration) bool {
+	c.expire(now)
+	for i := range c.batches {
+		if one := &c.batches[i]; one.remaining.ProgramStarts > 0 {
+			one.remaining.ProgramStarts--
+			c.recordUse(Amount{ProgramStarts: 1}, now)
+			return true
+		}
+	}
+	return false
+}
+
+// Refund returns the token of a request that was not run.
+func (c *TokenCache) Refund(token Token, now time.Duration) {
+	c.expire(now)
+	if token.withoutAllocator {
+		c.ownTokens++
+		c.spent.Requests = max(c.spent.Requests-1, 0)
+		return
+	}
+	c.addReturn(token.allocatorID, Amount{Requests: 1})
+}
+
+// addReturn adds tokens to those returned to an allocator with the next request.
+func (c *TokenCache) addReturn(allocatorID AllocatorID, amount Amount) {
+	c.returns[allocatorID] = c.returns[allocatorID].Plus(amount)
+}
+
+// expire removes expired batches.
+func (c *TokenCache) expire(now time.Duration) {
+	live := c.batches[:0]
+	for _, one := range c.batches {
+		if now < one.expires {
+			live = append(live, one)
+			continue
+		}
+		if one.remaining != (Amount{}) {
+			c.addReturn(one.allocatorID, one.remaining)
+		}
+	}
+	c.batches = live
+}
+
+// recordUse adds spent tokens to the request rate.
+func (c *TokenCache) recordUse(spent Amount, now time.Duration) {
+	c.decayRate(now)
+	c.rate += float64(spent.Requests) / rateDecayTime.Seconds()
+	c.programStartRate += float64(spent.ProgramStarts) / rateDecayTime.Seconds()
+}
+
+// decayRate decays the request rate by the time passed.
+func (c *TokenCache) decayRate(now time.Duration) {
+	decay := math.Exp(-float64(now-c.rateUpdatedAt) / float64(rateDecayTime))
+	c.rate, c.programStartRate, c.rateUpdatedAt = c.rate*decay, c.programStartRate*decay, now
+}
+
+// remaining returns the number of unspent tokens.
+func (c *TokenCache) remaining() Amount {
+	total := Amount{}
+	for _, one := range c.batches {
+		total = total.Plus(one.remaining)
+	}
+	return total
+}
+
+// prefetchTarget is the number of tokens to hold at the current request rate.
+func (c *TokenCache) prefetchTarget() Amount {
+	horizon := prefetchFraction * c.policy.TokenTTL().Seconds()
+	return Amount{Requests: int(math.Ceil(c.rate * horizon)), ProgramStarts: int(math.Ceil(c.programStartRate * horizon))}
+}
+
+// Low reports whether more tokens should be requested in advance.
+func (c *TokenCache) Low(now time.Duration) bool {
+	if now < c.refusedUntil || now < c.nextPrefetch {
+		return false
+	}
+	c.expire(now)
+	c.decayRate(now)
+	remaining, prefetchTarget := c.remaining(), c.prefetchTarget()
+	return float64(remaining.Requests) < lowFraction*float64(prefetchTarget.Requests) ||
+		now >= c.programStartsRefusedUntil && float64(remaining.ProgramStarts) < lowFraction*float64(prefetchTarget.ProgramStarts)
+}
+
+// NewRequest returns the next request to an allocator. It takes the returned and spent
+// tokens out of the cache.
+func (c *TokenCache) NewRequest(allocatorID AllocatorID, needed Amount, now time.Duration) Request {
+	c.expire(now)
+	c.decayRate(now)
+	prefetchTarget, remaining := c.prefetchTarget(), c.remaining()
+	c.nextPrefetch = now + c.policy.TokenTTL()/prefetchesPerTTL
+	request := Request{
+		Needed: needed, Wanted: needed.Plus(prefetchTarget.Minus(remaining)),
+		Spent: c.spent, Returned: c.returns[allocatorID],
+	}
+	c.spent = Amount{}
+	clear(c.returns)
+	return request
+}
+
+// HasReturns reports whether there are tokens to return or to report to an allocator.
+func (c *TokenCache) HasReturns(allocatorID AllocatorID, now time.Duration) bool {
+	c.expire(now)
+	return c.returns[allocatorID] != (Amount{}) || c.spent != (Amount{})
+}
+
+// RequestFailed restores the spent tokens of a request without a response. Its returned
+// tokens are dropped, since the allocator may have received them.
+func (c *TokenCache) RequestFailed(request Request) { c.spent = c.spent.Plus(request.Spent) }
+
+// ApplyGrant applies the response to a request that was sent at sentAt.
+func (c *TokenCache) ApplyGrant(allocatorID AllocatorID, request Request, grant Grant, sentAt, now time.Duration) {
+	c.responded, c.respondedAt, c.autonomous = true, now, false
+	c.belowLimit = grant.BelowLimit
+	if grant.Amount != (Amount{}) {
+		c.batches = append(c.batches, batch{
+			allocatorID: allocatorID, expires: sentAt + c.policy.TokenTTL(), remaining: grant.Amount,
+		})
+	}
+	if grant.Amount.Requests < request.Needed.Requests {
+		c.refusedUntil = now + grant.RequestAfter
+	}
+	if grant.Amount.ProgramStarts < request.Needed.ProgramStarts {
+		c.programStartsRefusedUntil = now + grant.ProgramStartAfter
+	}
+}
+
+// Refused returns the time until the allocator may have tokens; 0 if it may have some now.
+func (c *TokenCache) Refused(now time.Duration) time.Duration { return max(c.refusedUntil-now, 0) }
+
+// ProgramStartsRefused returns the time until a program may start; 0 if one may start now.
+func (c *TokenCache) ProgramStartsRefused(now time.Duration) time.Duration {
+	return max(c.programStartsRefusedUntil-now, 0)
+}
+
+// TakeWithoutAllocator takes a token without an allocator. If the tenant was well below its
+// limit recently, tokens accrue at the node's own request rate; otherwise at the node's
+// fraction of the limit.
+func (c *TokenCache) TakeWithoutAllocator(limit Limit, nodes int, now time.Duration) (Token, bool) {
+	c.decayRate(now)
+	switched := !c.autonomous
+	if switched {
+		c.autonomous, c.ownTokens, c.ownRate, c.ownUpdatedAt = true, 0, c.rate, now
+	}
+	rate := c.policy.Refill(limit) / float64(max(nodes, 1))
+	burst := 1.0
+	trusted := c.responded && c.belowLimit && now-c.respondedAt < autonomyTTL
+	if trusted {
+		rate = max(rate, autonomyRateFactor*c.ownRate)
+		burst = max(burst, rate*c.policy.TokenTTL().Seconds())
+	}
+	if switched && trusted {
+		c.ownTokens = burst
+	}
+	c.ownTokens = min(c.ownTokens+rate*(now-c.ownUpdatedAt).Seconds(), burst)
+	c.ownUpdatedAt = now
+	if c.ownTokens < 1 {
+		return Token{}, false
+	}
+	c.ownTokens--
+	c.spent.Requests++
+	c.recordUse(Amount{Requests: 1}, now)
+	return Token{withoutAllocator: true}, true
+}
+
+// Rate returns the recent rate of requests per second at this node.
+func (c *TokenCache) Rate(now time.Duration) float64 {
+	c.decayRate(now)
+	return c.rate
+}
