--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -96,7 +96,7 @@
 			running = append(running, requestsPerProgram-1)
 		}
 	}
-	t.Logf("begun %d ended %d refused %d", started, ended, refused)
+	t.Logf("programs started %d, ended %d; requests refused %d", started, ended, refused)
 	is.True(started-ended < 20)                                                    // those still running
 	is.True(refused*20 < started*requestsPerProgram)                               // less than 5 % of the requests of started programs are rejected
 	is.True(float64(ended*requestsPerProgram) > 0.85*40*testLimit.RatePerSecond/2) // the limit is used
@@ -199,7 +199,7 @@
 				account, known := allocator.HandOver("t", limit, now)
 				allocator = NewAllocator(testPolicy)
 				if !known {
-					t.Fatal("no account")
+					t.Fatal("no account to hand over")
 				}
 				allocator.Import("t", account, limit, now)
 			case 1: // the allocator crashes, at most once in a span
@@ -221,7 +221,7 @@
 				}
 			}
 			if float64(total) > testPolicy.Allowed(limit) {
-				t.Fatalf("%d granted in a span, %.1f are allowed", total, testPolicy.Allowed(limit))
+				t.Fatalf("%d requests granted in a span, %.1f allowed", total, testPolicy.Allowed(limit))
 			}
 		}
 	})
@@ -295,14 +295,14 @@
 		learn   func(allocator *Allocator)
 		maximum float64
 	}{
-		"another has granted": {func(a *Allocator) { a.Import("t", Account{Requests: 23}, testLimit, resumedAt) }, 3},
-		"nobody can tell":     {func(a *Allocator) { a.FillConservatively("t", testLimit, resumedAt) }, testPolicy.Reserve(testLimit) / 2},
-		"nobody has granted":  {func(a *Allocator) { a.Verify("t", resumedAt) }, testPolicy.Capacity(testLimit)},
-		"two sides of a cut": {func(a *Allocator) {
+		"another node has granted": {func(a *Allocator) { a.Import("t", Account{Requests: 23}, testLimit, resumedAt) }, 3},
+		"grants are unknown":       {func(a *Allocator) { a.FillConservatively("t", testLimit, resumedAt) }, testPolicy.Reserve(testLimit) / 2},
+		"no other grants":          {func(a *Allocator) { a.Verify("t", resumedAt) }, testPolicy.Capacity(testLimit)},
+		"two sides of a partition": {func(a *Allocator) {
 			a.Import("t", Account{Requests: 23}, testLimit, resumedAt)
 			a.Import("t", Account{Requests: 4}, testLimit, resumedAt)
 		}, 7},
-		"it is asked to leave": {func(a *Allocator) {
+		"account is handed over": {func(a *Allocator) {
 			account, _ := a.HandOver("t", testLimit, resumedAt)
 			a.Import("t", account, testLimit, resumedAt)
 		}, 0},
