--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -2,39 +2,38 @@
 
 import "time"
 
-// MaxDatagram is the largest datagram in bytes; it fits the usual path MTU
-// whole, so that no update is lost to fragmentation.
+// MaxDatagram is the largest datagram in bytes. It fits the usual path MTU, so that no
+// datagram is fragmented.
 const MaxDatagram = 1400
 
-// Config holds the protocol's times and counts. All nodes of a site should have
-// the same.
+// Config holds the parameters of the protocol. All nodes of a site should use the same.
 type Config struct {
-	// ProbeInterval is the time between two probes of one node. A node probes one
-	// member per interval, so its cost does not grow with the site.
+	// ProbeInterval is the time between two probes by one node. A node probes one member
+	// per interval, so its cost does not depend on the size of the site.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe waits before other members are
-	// asked to probe in its place.
+	// ProbeTimeout is how long a direct probe may take before indirect probes are
+	// requested.
 	ProbeTimeout time.Duration
-	// IndirectProbes is how many members are asked then.
+	// IndirectProbes is the number of members that probe indirectly.
 	IndirectProbes int
-	// SuspicionFactor times ProbeInterval times the decimal logarithm of the
-	// site's size (at least 1) is how long a suspect has to refute.
+	// SuspicionFactor times ProbeInterval times the decimal logarithm of the site's size
+	// (at least 1) is the time that a suspect has to refute.
 	SuspicionFactor int
-	// RetransmitFactor times the binary logarithm of the site's size is how often
-	// a node passes on one update.
+	// RetransmitFactor times the binary logarithm of the site's size is how often a node
+	// gossips an update.
 	RetransmitFactor int
-	// ReconnectInterval is the time between two contacts to a seed or to a member
-	// held dead, which is how the two sides of a healed cut find each other.
+	// ReconnectInterval is the time between two pings to a seed or a dead member. It lets
+	// the sides of a healed network partition find each other.
 	ReconnectInterval time.Duration
-	// SyncPatience is how long views may differ before a sync is asked for, so
-	// that updates on their way arrive first; SyncInterval bounds how often.
+	// SyncPatience is how long views may differ before a sync is requested, so that updates
+	// in transit can arrive first. SyncInterval bounds the frequency of syncs.
 	SyncPatience time.Duration
 	SyncInterval time.Duration
 	// DeadRetention is how long a dead member is remembered.
 	DeadRetention time.Duration
 }
 
-// DefaultConfig returns the times that fit links of up to 100 ms one way.
+// DefaultConfig returns a configuration for links with a latency of up to 100 ms.
 func DefaultConfig() Config {
 	return Config{
 		ProbeInterval:     500 * time.Millisecond,
--- a/internal/membership/datagram.go
+++ b/internal/membership/datagram.go
@@ -8,10 +8,10 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// ErrDatagram is the cause of the refusal of a datagram that is no valid one.
+// ErrDatagram is returned for a datagram that cannot be decoded.
 var ErrDatagram = errors.New("membership: invalid datagram")
 
-// protocolMagic begins every datagram; its last byte is the protocol's version.
+// protocolMagic starts every datagram; its last byte is the protocol version.
 const protocolMagic uint32 = 0x53534d01
 
 // maxNameLength bounds the names of nodes, zones and regions in datagrams.
@@ -20,81 +20,81 @@
 type datagramKind uint8
 
 const (
-	// kindPing asks the target for an acknowledgement.
+	// kindPing requests an acknowledgement from the target.
 	kindPing datagramKind = iota + 1
-	// kindAcknowledge answers a ping, directly or passed on by a relay.
+	// kindAcknowledge responds to a ping, directly or through a relay.
 	kindAcknowledge
-	// kindPingRequest asks a relay to ping the target in the sender's place.
+	// kindPingRequest requests that a relay ping the target.
 	kindPingRequest
-	// kindSyncRequest carries the sender's digests and asks for what differs.
+	// kindSyncRequest carries the sender's digests and requests the members that differ.
 	kindSyncRequest
 	// kindSyncReply carries members as updates.
 	kindSyncReply
-	// kindNotice asks for nothing; it carries the sender's condition and news.
+	// kindNotice carries the sender's status and updates, and has no response.
 	kindNotice
 )
 
-// condition is a member's status as nodes tell each other. It adds left to
-// Status, the death that a node announces itself and that needs no check.
-type condition uint8
+// wireStatus is a member's status as exchanged between nodes. In addition to Status it has
+// wireLeft, for a member that has left deliberately and needs no verification.
+type wireStatus uint8
 
 const (
-	conditionAlive condition = iota + 1
-	conditionLeaving
-	conditionSuspect
-	conditionDead
-	conditionLeft
+	wireAlive wireStatus = iota + 1
+	wireLeaving
+	wireSuspect
+	wireDead
+	wireLeft
 )
 
-// The conditions are ordered: of two reports of the same life and refutation,
-// the higher one stands.
-func (c condition) status() Status {
+// status returns the corresponding Status. Wire statuses are ordered by precedence: of two
+// reports with the same incarnation and refutation count, the higher status wins.
+func (c wireStatus) status() Status {
 	switch c {
-	case conditionAlive:
+	case wireAlive:
 		return Alive
-	case conditionLeaving:
+	case wireLeaving:
 		return Leaving
-	case conditionSuspect:
+	case wireSuspect:
 		return Suspect
 	default:
 		return Dead
 	}
 }
 
-// gone tells that the member takes no part any more.
-func (c condition) gone() bool { return c >= conditionDead }
+// terminal reports whether the member is dead or has left.
+func (c wireStatus) terminal() bool { return c >= wireDead }
 
-// accusation tells that others said it, not the member itself; such updates
-// travel without addresses.
-func (c condition) accusation() bool { return c >= conditionSuspect }
+// adverse reports whether the status is suspect, dead or left. Such updates carry no
+// addresses, and the member may refute them.
+func (c wireStatus) adverse() bool { return c >= wireSuspect }
 
-// update is what one node tells another about a member.
+// update is the information about a member that nodes exchange.
 type update struct {
-	node      identity.Node
-	condition condition
-	// refutation counts how often this life of the node denied an accusation or
-	// changed its own condition; only the node itself raises it.
+	node       identity.Node
+	wireStatus wireStatus
+	// refutation counts how often this incarnation of the member has refuted a report or
+	// changed its own status. Only the member itself increases it.
 	refutation   uint32
 	tableVersion uint64
-	figure       uint32
+	load         uint32
 }
 
-// datagram is one message of the protocol.
+// datagram is a message of the protocol.
 type datagram struct {
 	kind     datagramKind
 	sequence uint32
-	// digest sums up the sender's live members.
+	// digest is the digest of the sender's live members.
 	digest uint32
-	// target is whom a ping is meant for; empty in a ping to a bare address.
+	// target is the recipient of a ping; empty in a ping to a seed address.
 	target identity.Node
-	// sender is the sender's own condition, first hand.
+	// sender is the sender's own status.
 	sender update
-	// buckets are the digests of a sync request.
+	// buckets holds the digests of a sync request.
 	buckets []uint32
 	updates []update
 }
 
-// encodeHeader appends all but the updates.
+// encodeHeader encodes everything but the updates.
 func (d *datagram) encodeHeader(e *wire.Encoder) {
 	e.Uint32(protocolMagic)
 	e.Uint8(uint8(d.kind))
@@ -140,7 +140,7 @@
 		return datagram{}, fmt.Errorf("%w: kind %d", ErrDatagram, message.kind)
 	}
 	message.sender = decodeUpdate(decoder)
-	if message.sender.condition == conditionSuspect || message.sender.condition == conditionDead {
+	if message.sender.wireStatus == wireSuspect || message.sender.wireStatus == wireDead {
 		decoder.Fail(fmt.Errorf("sender accuses itself"))
 	}
 	for count := decoder.Uint16(); count > 0 && decoder.Err() == nil; count-- {
@@ -153,11 +153,11 @@
 }
 
 func (u *update) encode(e *wire.Encoder) {
-	e.Uint8(uint8(u.condition))
+	e.Uint8(uint8(u.wireStatus))
 	e.String(string(u.node.Name))
 	e.Uint64(uint64(u.node.Incarnation))
 	e.Uint32(u.refutation)
-	if u.condition.accusation() {
+	if u.wireStatus.adverse() {
 		return
 	}
 	e.String(string(u.node.Zone))
@@ -165,14 +165,14 @@
 	e.AddrPort(u.node.PeerAddress)
 	e.AddrPort(u.node.ProbeAddress)
 	e.Uint64(u.tableVersion)
-	e.Uint32(u.figure)
+	e.Uint32(u.load)
 }
 
 func decodeUpdate(d *wire.Decoder) update {
 	var u update
-	u.condition = condition(d.Uint8())
-	if u.condition < conditionAlive || u.condition > conditionLeft {
-		d.Fail(fmt.Errorf("condition %d", u.condition))
+	u.wireStatus = wireStatus(d.Uint8())
+	if u.wireStatus < wireAlive || u.wireStatus > wireLeft {
+		d.Fail(fmt.Errorf("condition %d", u.wireStatus))
 		return u
 	}
 	u.node.Name = decodeName[identity.NodeName](d)
@@ -181,7 +181,7 @@
 	if u.node.Name == "" {
 		d.Fail(errors.New("member without a name"))
 	}
-	if u.condition.accusation() {
+	if u.wireStatus.adverse() {
 		return u
 	}
 	u.node.Zone = decodeName[identity.Zone](d)
@@ -189,7 +189,7 @@
 	u.node.PeerAddress = d.AddrPort()
 	u.node.ProbeAddress = d.AddrPort()
 	u.tableVersion = d.Uint64()
-	u.figure = d.Uint32()
+	u.load = d.Uint32()
 	if d.Err() == nil && !u.node.ProbeAddress.IsValid() {
 		d.Fail(fmt.Errorf("member %s without a probe address", u.node.Name))
 	}
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -8,16 +8,16 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// bucketCount is the number of groups of members that a sync compares. A
-// difference in one member costs the members of its group, not all.
+// bucketCount is the number of buckets of members that a sync compares. A difference in one
+// member costs the transfer of its bucket only.
 const bucketCount = 64
 
 func bucketOf(name identity.NodeName) int {
 	return int(xxhash.Sum64String(string(name)) % bucketCount)
 }
 
-// digest sums up the life and refutation count of a record. Suspicion is left
-// out: it passes by itself.
+// digest hashes the incarnation and refutation count of a record. Suspicion is left out,
+// since it is transient.
 func (r *record) digest() uint32 {
 	var hash xxhash.Digest
 	hash.Reset()
@@ -29,7 +29,7 @@
 	return uint32(hash.Sum64())
 }
 
-// digest sums up all live members.
+// digest combines the digests of all live members.
 func (s *State) digest() uint32 {
 	sum := uint32(0)
 	for _, bucket := range s.digests {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// probe is one ping under way.
+// probe is a ping in flight.
 type probe struct {
 	sequence uint32
 	target   *record
-	// indirectAt is when relays are asked; zero once they were.
+	// indirectAt is when indirect probes are due; zero once they have been requested.
 	indirectAt time.Time
 	deadline   time.Time
 }
 
-// relay is a ping made in another node's place.
+// relay is a ping sent on behalf of another node.
 type relay struct {
 	requester netip.AddrPort
 	sequence  uint32
@@ -24,22 +24,22 @@
 }
 
 const (
-	// checksPerTick and checkInterval pace the probes that check hearsay, so that
-	// a healed cut makes no burst.
-	checksPerTick = 4
-	checkInterval = 50 * time.Millisecond
-	// checkPause is the shortest time between two checks of one member.
-	checkPause = time.Second
-	// frozenFactor times the probe interval without a tick means that this
-	// process stood still and that its timers tell nothing of others.
-	frozenFactor = 2
-	// joinContacts is how many seeds are tried at once while nobody is known.
+	// verificationsPerTick and verificationInterval limit the rate of verifying probes, so
+	// that a healed network partition causes no burst.
+	verificationsPerTick = 4
+	verificationInterval = 50 * time.Millisecond
+	// verificationCooldown is the minimum time between two verifications of a member.
+	verificationCooldown = time.Second
+	// pauseFactor times ProbeInterval without a tick means that this process was paused, so
+	// that its expired timers say nothing about other members.
+	pauseFactor = 2
+	// joinContacts is the number of seeds contacted at once while no other member is known.
 	joinContacts = 3
 )
 
-// Tick does what is due at now and returns what to send.
+// Tick performs the actions due at now and returns the datagrams to send.
 func (s *State) Tick(now time.Time) []Datagram {
-	s.noticeFreeze(now)
+	s.detectPause(now)
 	s.expireProbes(now)
 	s.expireSuspects(now)
 	if !now.Before(s.nextProbe) {
@@ -50,11 +50,11 @@
 	if !now.Before(s.nextReconnect) {
 		s.reconnect(now)
 	}
-	s.runChecks(now)
+	s.runVerifications(now)
 	return s.takeOutbox()
 }
 
-// Next returns when Tick is due. Receive may bring it forward.
+// Next returns when Tick is due. Receive may change it to an earlier time.
 func (s *State) Next() time.Time {
 	next := s.nextProbe
 	sooner := func(at time.Time) {
@@ -67,58 +67,58 @@
 		sooner(pending.indirectAt)
 		sooner(pending.deadline)
 	}
-	for _, known := range s.suspects() {
-		sooner(known.suspectUntil)
-		sooner(known.nextAppeal)
+	for _, member := range s.suspects() {
+		sooner(member.suspectUntil)
+		sooner(member.nextSuspectPing)
 	}
-	if len(s.checks) > 0 {
-		sooner(s.nextCheck)
+	if len(s.verifications) > 0 {
+		sooner(s.nextVerification)
 	}
 	return next
 }
 
-// noticeFreeze tells a standstill of this process from the silence of others:
-// answers may wait unread, so nobody is blamed for the time that passed.
-func (s *State) noticeFreeze(now time.Time) {
-	gap := now.Sub(s.lastSeen)
-	s.lastSeen = now
-	if gap < frozenFactor*s.config.ProbeInterval {
+// detectPause detects a pause of this process. Responses may be waiting in the socket's
+// buffer, so that the time passed does not count against other members.
+func (s *State) detectPause(now time.Time) {
+	gap := now.Sub(s.lastRun)
+	s.lastRun = now
+	if gap < pauseFactor*s.config.ProbeInterval {
 		return
 	}
 	s.probes = nil
-	for _, known := range s.suspects() {
-		known.suspectUntil = known.suspectUntil.Add(gap)
+	for _, member := range s.suspects() {
+		member.suspectUntil = member.suspectUntil.Add(gap)
 	}
 	s.nextProbe = now
 }
 
-// suspects returns the suspected records, in the order of the rotation.
+// suspects returns the suspected members in rotation order.
 func (s *State) suspects() []*record {
-	if s.suspected == 0 {
+	if s.suspectCount == 0 {
 		return nil
 	}
 	var all []*record
-	for _, known := range s.rotation {
-		if known.condition == conditionSuspect {
-			all = append(all, known)
+	for _, member := range s.rotation {
+		if member.wireStatus == wireSuspect {
+			all = append(all, member)
 		}
 	}
 	return all
 }
 
-// startProbe pings the next member of the rotation, which is shuffled anew after
-// each round: every member is probed once per round.
+// startProbe pings the next member of the rotation. The rotation is shuffled after each
+// round, so that every member is probed once per round.
 func (s *State) startProbe(now time.Time) {
 	for range len(s.rotation) {
-		if s.rotated >= len(s.rotation) {
-			s.rotated = 0
+		if s.rotationIndex >= len(s.rotation) {
+			s.rotationIndex = 0
 			s.random.Shuffle(len(s.rotation), func(i, j int) {
 				s.rotation[i], s.rotation[j] = s.rotation[j], s.rotation[i]
 			})
 		}
-		target := s.rotation[s.rotated]
-		s.rotated++
-		if !target.condition.gone() {
+		target := s.rotation[s.rotationIndex]
+		s.rotationIndex++
+		if !target.wireStatus.terminal() {
 			s.probe(now, target)
 			return
 		}
@@ -150,7 +150,7 @@
 			s.failProbe(now, started)
 		case !started.indirectAt.IsZero() && !now.Before(started.indirectAt):
 			started.indirectAt = time.Time{}
-			s.askRelays(started)
+			s.requestIndirectProbes(started)
 			s.probes = append(s.probes, started)
 		default:
 			s.probes = append(s.probes, started)
@@ -158,9 +158,9 @@
 	}
 }
 
-func (s *State) askRelays(started *probe) {
+func (s *State) requestIndirectProbes(started *probe) {
 	relays := s.sample(s.config.IndirectProbes, func(r *record) bool {
-		return r != started.target && !r.condition.gone() && r.condition != conditionSuspect
+		return r != started.target && !r.wireStatus.terminal() && r.wireStatus != wireSuspect
 	})
 	for _, member := range relays {
 		s.send(member.node.ProbeAddress, member, &datagram{
@@ -171,58 +171,59 @@
 
 func (s *State) failProbe(now time.Time, started *probe) {
 	target := started.target
-	if target.condition.gone() || s.records[target.node.Name] != target {
+	if target.wireStatus.terminal() || s.records[target.node.Name] != target {
 		return
 	}
-	if target.condition != conditionSuspect {
-		s.suspect(now, target, max(target.refutation, target.rumour))
+	if target.wireStatus != wireSuspect {
+		s.suspect(now, target, max(target.refutation, target.reportedDeadAt))
 	}
-	target.accused = true
+	target.suspectedLocally = true
 }
 
-// suspect marks the member and gives it time to refute.
+// suspect marks the member as suspect and starts its time to refute.
 func (s *State) suspect(now time.Time, target *record, refutation uint32) {
 	s.statistics.Suspicions++
 	s.change(target, func() {
-		target.condition = conditionSuspect
+		target.wireStatus = wireSuspect
 		target.refutation = refutation
 	})
 	target.suspectUntil = now.Add(s.suspicionTime())
-	target.nextAppeal = now
-	target.accused = false
+	target.nextSuspectPing = now
+	target.suspectedLocally = false
 }
 
-// suspicionTime grows with the logarithm of the site, as the spread of news does.
+// suspicionTime grows with the logarithm of the site's size, as the dissemination of
+// updates does.
 func (s *State) suspicionTime() time.Duration {
 	scale := max(1, math.Log10(float64(s.live)))
 	return time.Duration(float64(s.config.ProbeInterval) * float64(s.config.SuspicionFactor) * scale)
 }
 
-// expireSuspects buries suspects whose time ran out. Until then this node keeps
-// pinging those whom it accused itself, which tells them of the accusation.
+// expireSuspects declares suspects dead whose time has run out. Until then this node keeps
+// pinging the ones that it suspected itself, which informs them of the suspicion.
 func (s *State) expireSuspects(now time.Time) {
-	for _, known := range s.suspects() {
-		if !now.Before(known.suspectUntil) {
-			s.bury(now, known, conditionDead)
+	for _, member := range s.suspects() {
+		if !now.Before(member.suspectUntil) {
+			s.declareDead(now, member, wireDead)
 			continue
 		}
-		if now.Before(known.nextAppeal) {
+		if now.Before(member.nextSuspectPing) {
 			continue
 		}
-		known.nextAppeal = now.Add(s.config.ProbeInterval)
-		if known.accused {
-			s.ping(known)
+		member.nextSuspectPing = now.Add(s.config.ProbeInterval)
+		if member.suspectedLocally {
+			s.ping(member)
 		}
 	}
 }
 
-func (s *State) bury(now time.Time, known *record, as condition) {
+func (s *State) declareDead(now time.Time, member *record, status wireStatus) {
 	s.statistics.Deaths++
-	s.change(known, func() { known.condition = as })
-	known.diedAt = now
+	s.change(member, func() { member.wireStatus = status })
+	member.diedAt = now
 }
 
-// reconnect contacts a seed or a member held dead, and forgets the long dead.
+// reconnect pings seeds or dead members, and deletes long-dead members.
 func (s *State) reconnect(now time.Time) {
 	joining := s.live == 1
 	wait := s.config.ReconnectInterval
@@ -231,63 +232,62 @@
 		wait, contacts = s.config.ProbeInterval, joinContacts
 	}
 	s.nextReconnect = now.Add(wait)
-	for _, address := range s.strangers(now, contacts) {
+	for _, address := range s.reconnectCandidates(now, contacts) {
 		s.sequence++
 		s.send(address, nil, &datagram{kind: kindPing, sequence: s.sequence})
 	}
 }
 
-// strangers picks addresses of seeds and of dead members at which no live member
-// is known.
-func (s *State) strangers(now time.Time, count int) []netip.AddrPort {
-	answered := map[netip.AddrPort]bool{}
-	var dead []*record
+// reconnectCandidates picks addresses of seeds and dead members that no live member uses.
+func (s *State) reconnectCandidates(now time.Time, count int) []netip.AddrPort {
+	inUse := map[netip.AddrPort]bool{}
+	var expired []*record
 	candidates := slices.Clone(s.seeds)
-	for _, known := range s.rotation {
+	for _, member := range s.rotation {
 		switch {
-		case !known.condition.gone():
-			answered[known.node.ProbeAddress] = true
-		case now.Sub(known.diedAt) > s.config.DeadRetention:
-			dead = append(dead, known)
+		case !member.wireStatus.terminal():
+			inUse[member.node.ProbeAddress] = true
+		case now.Sub(member.diedAt) > s.config.DeadRetention:
+			expired = append(expired, member)
 		default:
-			candidates = append(candidates, known.node.ProbeAddress)
+			candidates = append(candidates, member.node.ProbeAddress)
 		}
 	}
-	for _, known := range dead {
-		s.remove(known)
+	for _, member := range expired {
+		s.remove(member)
 	}
-	answered[s.self.node.ProbeAddress] = true
-	candidates = slices.DeleteFunc(candidates, func(a netip.AddrPort) bool { return answered[a] })
+	inUse[s.self.node.ProbeAddress] = true
+	candidates = slices.DeleteFunc(candidates, func(a netip.AddrPort) bool { return inUse[a] })
 	s.random.Shuffle(len(candidates), func(i, j int) {
 		candidates[i], candidates[j] = candidates[j], candidates[i]
 	})
 	return candidates[:min(count, len(candidates))]
 }
 
-// check has a member probed soon because hearsay contradicts what is held of it.
-// The ping tells the member what is said of it.
-func (s *State) check(now time.Time, known *record) {
-	if known.checking || known == s.self || now.Sub(known.checkedAt) < checkPause {
+// verify schedules a probe of a member, since an indirect report contradicts its record.
+// The ping informs the member of the report.
+func (s *State) verify(now time.Time, member *record) {
+	if member.verifying || member == s.self || now.Sub(member.verifiedAt) < verificationCooldown {
 		return
 	}
-	known.checking = true
-	s.checks = append(s.checks, known)
+	member.verifying = true
+	s.verifications = append(s.verifications, member)
 }
 
-func (s *State) runChecks(now time.Time) {
-	if len(s.checks) == 0 || now.Before(s.nextCheck) {
+func (s *State) runVerifications(now time.Time) {
+	if len(s.verifications) == 0 || now.Before(s.nextVerification) {
 		return
 	}
-	s.nextCheck = now.Add(checkInterval)
-	for range min(checksPerTick, len(s.checks)) {
-		known := s.checks[0]
-		s.checks = s.checks[1:]
-		known.checking = false
-		known.checkedAt = now
-		if known.condition.gone() {
-			s.ping(known)
+	s.nextVerification = now.Add(verificationInterval)
+	for range min(verificationsPerTick, len(s.verifications)) {
+		member := s.verifications[0]
+		s.verifications = s.verifications[1:]
+		member.verifying = false
+		member.verifiedAt = now
+		if member.wireStatus.terminal() {
+			s.ping(member)
 		} else {
-			s.probe(now, known)
+			s.probe(now, member)
 		}
 	}
 }
@@ -300,8 +300,8 @@
 	}
 }
 
-// sample picks up to count records that satisfy wanted, from a random place of
-// the rotation, which is in random order itself.
+// sample picks up to count records that satisfy wanted, starting at a random position of
+// the shuffled rotation.
 func (s *State) sample(count int, wanted func(*record) bool) []*record {
 	var picked []*record
 	if len(s.rotation) == 0 {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Receive takes one datagram and returns what to send. A datagram that is no
-// valid one is counted and has no effect.
+// Receive handles a datagram and returns the datagrams to send. An invalid datagram is
+// counted and otherwise ignored.
 func (s *State) Receive(now time.Time, from netip.AddrPort, payload []byte) []Datagram {
 	message, err := decodeDatagram(payload)
 	if err != nil {
 		s.statistics.Invalid++
 		return nil
 	}
-	s.noticeFreeze(now)
+	s.detectPause(now)
 	s.apply(now, &message.sender, true)
-	if s.outdated(&message.sender) {
+	if s.fromOldIncarnation(&message.sender) {
 		s.reply(from, &message, kindNotice)
 		return s.takeOutbox()
 	}
@@ -27,62 +27,63 @@
 		s.apply(now, &message.updates[i], false)
 	}
 	if s.syncing {
-		s.noteSync(now, len(s.records) > before)
+		s.recordSync(now, len(s.records) > before)
 	}
 	s.syncing = false
 	switch message.kind {
 	case kindPing:
-		s.answerPing(from, &message)
+		s.handlePing(from, &message)
 	case kindPingRequest:
-		s.relayPing(now, from, &message)
+		s.handlePingRequest(now, from, &message)
 	case kindAcknowledge:
-		s.acknowledge(&message)
+		s.handleAcknowledge(&message)
 	case kindSyncRequest:
-		s.answerSync(now, from, &message)
+		s.handleSyncRequest(now, from, &message)
 	case kindSyncReply, kindNotice:
 	}
-	if !message.sender.condition.gone() {
+	if !message.sender.wireStatus.terminal() {
 		s.compareViews(now, from, &message)
 	}
 	return s.takeOutbox()
 }
 
-// outdated tells that the sender is a former life of a node. Its word counts for
-// nothing: answers to its probes go to the present life.
-func (s *State) outdated(sender *update) bool {
-	known := s.records[sender.node.Name]
-	return known != nil && known.node.Incarnation > sender.node.Incarnation
+// fromOldIncarnation reports whether the sender is an old incarnation of a known member. It
+// is notified of that, and its datagram is ignored.
+func (s *State) fromOldIncarnation(sender *update) bool {
+	member := s.records[sender.node.Name]
+	return member != nil && member.node.Incarnation > sender.node.Incarnation
 }
 
-func (s *State) answerPing(from netip.AddrPort, message *datagram) {
+func (s *State) handlePing(from netip.AddrPort, message *datagram) {
 	if message.target.Name != "" && message.target.Name != s.self.node.Name {
 		return
 	}
 	s.reply(from, message, kindAcknowledge)
 }
 
-// reply answers message, with word to its sender of what is held of it.
+// reply responds to message. If the record of the sender is newer than the sender's own
+// status, the reply includes it.
 func (s *State) reply(to netip.AddrPort, message *datagram, kind datagramKind) {
-	answer := &datagram{kind: kind, sequence: message.sequence}
-	known := s.records[message.sender.node.Name]
-	if known != nil && known.generation(&message.sender) > 0 {
-		answer.updates = []update{known.update}
+	response := &datagram{kind: kind, sequence: message.sequence}
+	member := s.records[message.sender.node.Name]
+	if member != nil && member.compareGeneration(&message.sender) > 0 {
+		response.updates = []update{member.update}
 	}
-	s.send(to, known, answer)
+	s.send(to, member, response)
 }
 
-// relayTime is how long a relay passes on an acknowledgement.
-const relayTime = 5 * time.Second
+// relayTTL is how long a relay forwards an acknowledgement.
+const relayTTL = 5 * time.Second
 
-func (s *State) relayPing(now time.Time, from netip.AddrPort, message *datagram) {
+func (s *State) handlePingRequest(now time.Time, from netip.AddrPort, message *datagram) {
 	s.sequence++
-	s.relays[s.sequence] = relay{requester: from, sequence: message.sequence, until: now.Add(relayTime)}
+	s.relays[s.sequence] = relay{requester: from, sequence: message.sequence, until: now.Add(relayTTL)}
 	s.send(message.target.ProbeAddress, s.records[message.target.Name], &datagram{
 		kind: kindPing, sequence: s.sequence, target: message.target,
 	})
 }
 
-func (s *State) acknowledge(message *datagram) {
+func (s *State) handleAcknowledge(message *datagram) {
 	if pending, found := s.relays[message.sequence]; found {
 		delete(s.relays, message.sequence)
 		s.send(pending.requester, nil, &datagram{kind: kindAcknowledge, sequence: pending.sequence})
@@ -96,99 +97,99 @@
 	}
 }
 
-// apply takes a report on a member, firstHand where the member itself sent it.
-func (s *State) apply(now time.Time, report *update, firstHand bool) {
+// apply applies a report on a member; direct means that the member itself has sent it.
+func (s *State) apply(now time.Time, report *update, direct bool) {
 	if report.node.Name == s.self.node.Name {
-		s.hearOfSelf(report)
+		s.applyToSelf(report)
 		return
 	}
-	known, found := s.records[report.node.Name]
+	member, found := s.records[report.node.Name]
 	if !found {
-		if !report.condition.accusation() {
+		if !report.wireStatus.adverse() {
 			s.insert(&record{update: *report})
 		}
 		return
 	}
-	order := known.generation(report)
-	if firstHand && order == 0 {
-		s.learn(known, report)
+	order := member.compareGeneration(report)
+	if direct && order == 0 {
+		s.updateInfo(member, report)
 	}
 	switch {
 	case order > 0:
 		return
-	case report.condition.accusation():
-		s.hearAccusation(now, known, report)
+	case report.wireStatus.adverse():
+		s.applyAdverse(now, member, report)
 	case order < 0:
-		s.change(known, func() { known.update = *report })
-		known.rumoured = false
-	case known.condition.gone():
-		s.check(now, known)
-	case report.condition > known.condition:
-		s.change(known, func() { known.condition = report.condition })
+		s.change(member, func() { member.update = *report })
+		member.reportedDead = false
+	case member.wireStatus.terminal():
+		s.verify(now, member)
+	case report.wireStatus > member.wireStatus:
+		s.change(member, func() { member.wireStatus = report.wireStatus })
 	}
 }
 
-// learn takes what rides along; the table's version there only rises, so an
-// overtaken datagram does not bring an older one back.
-func (s *State) learn(known *record, report *update) {
-	version := max(known.tableVersion, report.tableVersion)
-	if known.tableVersion != version || known.figure != report.figure {
-		known.tableVersion, known.figure = version, report.figure
-		s.infoChange++
+// updateInfo updates the piggybacked information. The table version never decreases, so
+// that a reordered datagram does not restore an older one.
+func (s *State) updateInfo(member *record, report *update) {
+	version := max(member.tableVersion, report.tableVersion)
+	if member.tableVersion != version || member.load != report.load {
+		member.tableVersion, member.load = version, report.load
+		s.infoVersion++
 	}
 }
 
-// generation compares the life and refutation count held with a report's.
-func (r *record) generation(report *update) int {
+// compareGeneration compares the incarnation and refutation count of a record and a report.
+func (r *record) compareGeneration(report *update) int {
 	return cmp.Or(
 		cmp.Compare(r.node.Incarnation, report.node.Incarnation),
 		cmp.Compare(r.refutation, report.refutation),
 	)
 }
 
-// hearOfSelf denies accusations and notices a later life of this node's name.
-func (s *State) hearOfSelf(report *update) {
+// applyToSelf refutes adverse reports on this node and detects a later incarnation of it.
+func (s *State) applyToSelf(report *update) {
 	if report.node.Incarnation > s.self.node.Incarnation {
 		s.superseded = max(s.superseded, report.node.Incarnation)
 		return
 	}
-	if report.node.Incarnation < s.self.node.Incarnation || s.self.condition.gone() {
+	if report.node.Incarnation < s.self.node.Incarnation || s.self.wireStatus.terminal() {
 		return
 	}
-	if s.self.generation(report) <= 0 && report.condition.accusation() {
+	if s.self.compareGeneration(report) <= 0 && report.wireStatus.adverse() {
 		s.statistics.Refutations++
 		s.change(s.self, func() { s.self.refutation = report.refutation + 1 })
 		s.push()
 	}
 }
 
-// hearAccusation takes a report that a member is suspect, dead or left, which is
-// not older than what is held.
-func (s *State) hearAccusation(now time.Time, known *record, report *update) {
-	sameLife := known.node.Incarnation == report.node.Incarnation
-	if known.condition.gone() && sameLife && known.refutation == report.refutation {
+// applyAdverse applies a report that a member is suspect, dead or has left, and that is not
+// older than the member's record.
+func (s *State) applyAdverse(now time.Time, member *record, report *update) {
+	sameIncarnation := member.node.Incarnation == report.node.Incarnation
+	if member.wireStatus.terminal() && sameIncarnation && member.refutation == report.refutation {
 		return
 	}
-	switch report.condition {
-	case conditionSuspect:
-		if sameLife && (known.condition < conditionSuspect || known.refutation < report.refutation) {
-			s.suspect(now, known, report.refutation)
+	switch report.wireStatus {
+	case wireSuspect:
+		if sameIncarnation && (member.wireStatus < wireSuspect || member.refutation < report.refutation) {
+			s.suspect(now, member, report.refutation)
 		}
-	case conditionDead:
-		if !sameLife {
+	case wireDead:
+		if !sameIncarnation {
 			return
 		}
-		if known.condition == conditionSuspect || known.condition.gone() {
-			s.change(known, func() { known.refutation = report.refutation })
-			s.bury(now, known, conditionDead)
+		if member.wireStatus == wireSuspect || member.wireStatus.terminal() {
+			s.change(member, func() { member.refutation = report.refutation })
+			s.declareDead(now, member, wireDead)
 			return
 		}
-		known.rumoured, known.rumour = true, max(known.rumour, report.refutation)
-		s.check(now, known)
-	case conditionLeft:
-		s.change(known, func() {
-			known.node.Incarnation, known.refutation = report.node.Incarnation, report.refutation
+		member.reportedDead, member.reportedDeadAt = true, max(member.reportedDeadAt, report.refutation)
+		s.verify(now, member)
+	case wireLeft:
+		s.change(member, func() {
+			member.node.Incarnation, member.refutation = report.node.Incarnation, report.refutation
 		})
-		s.bury(now, known, conditionLeft)
+		s.declareDead(now, member, wireLeft)
 	}
 }
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -6,28 +6,28 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// scoredBytes holds usual keys and names without an allocation.
-const scoredBytes = 96
+// scoreBufferBytes suffices for usual keys and names, so that no allocation is needed.
+const scoreBufferBytes = 96
 
-// Score ranks a node for what key names (rendezvous hashing): all nodes that know the same
-// members agree on the order, and a member that comes or goes moves only its own share.
+// Score ranks a node for a key by rendezvous hashing. All nodes with the same members agree
+// on the order, and a member that joins or leaves moves only its own keys.
 func Score(key string, node identity.NodeName) uint64 {
-	var buffer [scoredBytes]byte
+	var buffer [scoreBufferBytes]byte
 	text := append(buffer[:0], key...)
 	text = append(text, '/')
 	return xxhash.Sum64(append(text, node...))
 }
 
-// Highest returns the node of the highest score for key among the members that fit; false
-// if none does.
-func Highest(key string, members []Member, fits func(Member) bool) (highest identity.Node, found bool) {
-	most := uint64(0)
+// Highest returns the eligible member with the highest score for key; false if there is
+// none.
+func Highest(key string, members []Member, eligible func(Member) bool) (highest identity.Node, found bool) {
+	maxScore := uint64(0)
 	for _, member := range members {
-		if !fits(member) {
+		if !eligible(member) {
 			continue
 		}
-		if score := Score(key, member.Node.Name); !found || score > most {
-			highest, most, found = member.Node, score, true
+		if score := Score(key, member.Node.Name); !found || score > maxScore {
+			highest, maxScore, found = member.Node, score, true
 		}
 	}
 	return highest, found
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -9,7 +9,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-func TestOnlyTheShareOfAMemberThatGoesMoves(t *testing.T) {
+func TestRemovedMemberMovesOnlyItsKeys(t *testing.T) {
 	is := is.New(t)
 	var members []Member
 	for i := range 10 {
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -14,41 +14,41 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// PacketConn is the part of *net.UDPConn that a Runner needs. Close makes a
-// waiting read return an error that wraps net.ErrClosed.
+// PacketConn is the subset of *net.UDPConn that a Runner uses. Close must unblock a pending
+// read with an error that wraps net.ErrClosed.
 type PacketConn interface {
 	ReadFromUDPAddrPort(buffer []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(payload []byte, to netip.AddrPort) (int, error)
 	Close() error
 }
 
-// Options are what a Runner is made from. Self, Conn and OnView are required.
+// Options configures a Runner. Self, Conn and OnView are required.
 type Options struct {
 	Self   identity.Node
 	Config Config
-	// Seeds are probe addresses to join by.
+	// Seeds are the probe addresses to join through.
 	Seeds []netip.AddrPort
 	Conn  PacketConn
-	// RandomSeed seeds the choice of whom to probe.
+	// RandomSeed seeds the order of probes.
 	RandomSeed uint64
-	// OnView is called with each new view, one call at a time. Views of the same
-	// version differ only in what rides along.
+	// OnView is called with each new view, never concurrently. Views with the same version
+	// differ only in the piggybacked information.
 	OnView func(View)
 	Logger *slog.Logger
 }
 
 const (
-	// viewPause and infoPause are the shortest times between two views, after a
-	// change of members and after one of what rides along.
-	viewPause = 100 * time.Millisecond
-	// viewPausePerMember times the members is the shortest time where that is more. Whoever
-	// is told of a view prepares it anew, 4.5 us a member in all (BenchmarkView), so that while
-	// members come and go all the time a node spends 5 in 1,000 of a core on that, whatever
-	// the size.
-	viewPausePerMember = time.Millisecond
-	infoPause          = time.Second
-	// readBuffer is larger than any valid datagram.
-	readBuffer = 2 * MaxDatagram
+	// minViewInterval and minInfoInterval are the minimum times between two calls of
+	// OnView, after a change of the members and of the piggybacked information,
+	// respectively.
+	minViewInterval = 100 * time.Millisecond
+	// viewIntervalPerMember times the number of members replaces minViewInterval if it is
+	// larger. It bounds the fraction of CPU time spent on views, whose cost is linear in
+	// the number of members, during constant changes.
+	viewIntervalPerMember = time.Millisecond
+	minInfoInterval       = time.Second
+	// readBufferBytes is larger than any valid datagram.
+	readBufferBytes = 2 * MaxDatagram
 )
 
 // Traffic counts a Runner's datagrams and their payload bytes.
@@ -60,11 +60,11 @@
 // Runner runs a State on a socket and the clock.
 type Runner struct {
 	options Options
-	// wake tells the timer loop that something is due earlier.
+	// wake notifies the timer loop of an earlier due time.
 	wake       chan struct{}
 	superseded chan struct{}
 
-	// mutex guards all below.
+	// mutex guards all fields below.
 	mutex     sync.Mutex
 	state     *State
 	wakeAt    time.Time
@@ -75,7 +75,7 @@
 	}
 }
 
-// NewRunner returns a runner that has not started.
+// NewRunner returns a runner. Run starts it.
 func NewRunner(options Options) *Runner {
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
@@ -89,18 +89,18 @@
 	}
 }
 
-// Run takes part in the site's membership until ctx ends, then tells other
-// members that this node has left and closes the socket.
+// Run participates in the membership until ctx ends. Then it notifies other members that
+// this node has left, and closes the socket.
 func (r *Runner) Run(ctx context.Context) error {
-	reading := make(chan error, 1)
-	go func() { reading <- r.read() }()
-	err := r.runTimers(ctx, reading)
+	readDone := make(chan error, 1)
+	go func() { readDone <- r.read() }()
+	err := r.runTimers(ctx, readDone)
 	if err == nil {
-		r.act(func(time.Time) []Datagram { return r.state.Leave() })
+		r.execute(func(time.Time) []Datagram { return r.state.Leave() })
 	}
 	closeErr := r.options.Conn.Close()
 	if err == nil {
-		err = <-reading
+		err = <-readDone
 	}
 	if err != nil {
 		return fmt.Errorf("membership: %w", err)
@@ -108,42 +108,42 @@
 	return closeErr
 }
 
-// Superseded is closed when a later life of this node's name was heard of: this
-// process should end.
+// Superseded returns a channel that is closed when a later incarnation of this node is
+// detected. This process should exit then.
 func (r *Runner) Superseded() <-chan struct{} { return r.superseded }
 
-// SetSeeds replaces the addresses to join by.
+// SetSeeds replaces the addresses to join through.
 func (r *Runner) SetSeeds(seeds []netip.AddrPort) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.state.SetSeeds(seeds)
 }
 
-// SetInfo sets what others get told about this node.
-func (r *Runner) SetInfo(tableVersion uint64, figure uint32) {
+// SetInfo sets the information that this node publishes.
+func (r *Runner) SetInfo(tableVersion uint64, load uint32) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.state.SetInfo(tableVersion, figure)
+	r.state.SetInfo(tableVersion, load)
 }
 
-// BroadcastInfo tells the others of this node without delay, see State.BroadcastInfo.
-func (r *Runner) BroadcastInfo(tableVersion uint64, figure uint32, everybody bool) {
-	r.act(func(time.Time) []Datagram { return r.state.BroadcastInfo(tableVersion, figure, everybody) })
+// BroadcastInfo publishes information without delay, see State.BroadcastInfo.
+func (r *Runner) BroadcastInfo(tableVersion uint64, load uint32, toAll bool) {
+	r.execute(func(time.Time) []Datagram { return r.state.BroadcastInfo(tableVersion, load, toAll) })
 }
 
-// AnnounceLeaving tells the others that this node wants no shards any more.
+// AnnounceLeaving publishes that this node takes no more shards.
 func (r *Runner) AnnounceLeaving() {
-	r.act(func(time.Time) []Datagram { return r.state.AnnounceLeaving() })
+	r.execute(func(time.Time) []Datagram { return r.state.AnnounceLeaving() })
 }
 
-// Statistics returns what the protocol did so far.
+// Statistics returns the protocol's counters.
 func (r *Runner) Statistics() Statistics {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.state.Statistics()
 }
 
-// Traffic returns what was sent and received so far.
+// Traffic returns the counters of datagrams sent and received.
 func (r *Runner) Traffic() Traffic {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -151,7 +151,7 @@
 }
 
 func (r *Runner) read() error {
-	buffer := make([]byte, readBuffer)
+	buffer := make([]byte, readBufferBytes)
 	for {
 		size, from, err := r.options.Conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -161,7 +161,7 @@
 			return fmt.Errorf("read: %w", err)
 		}
 		payload := buffer[:size]
-		r.act(func(now time.Time) []Datagram {
+		r.execute(func(now time.Time) []Datagram {
 			r.traffic.ReceivedMessages++
 			r.traffic.ReceivedBytes += uint64(size)
 			return r.state.Receive(now, unmapped(from), payload)
@@ -169,21 +169,21 @@
 	}
 }
 
-// unmapped undoes the IPv6 form in which a socket of both families gives IPv4
-// addresses.
+// unmapped converts an IPv4-mapped IPv6 address, as returned by a dual-stack socket, to
+// IPv4.
 func unmapped(address netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
 
-// act runs one step of the state and sends what it returns.
-func (r *Runner) act(step func(now time.Time) []Datagram) {
+// execute runs one step of the state machine and sends the resulting datagrams.
+func (r *Runner) execute(step func(now time.Time) []Datagram) {
 	r.mutex.Lock()
 	datagrams := step(time.Now())
 	for _, datagram := range datagrams {
 		r.traffic.SentMessages++
 		r.traffic.SentBytes += uint64(len(datagram.Payload))
 	}
-	earlier := r.due().Before(r.wakeAt)
+	earlier := r.nextDue().Before(r.wakeAt)
 	later, superseded := r.state.Superseded()
 	r.mutex.Unlock()
 	for _, datagram := range datagrams {
@@ -198,11 +198,11 @@
 		}
 	}
 	if superseded {
-		r.noticeSuperseded(later)
+		r.signalSuperseded(later)
 	}
 }
 
-func (r *Runner) noticeSuperseded(later identity.Incarnation) {
+func (r *Runner) signalSuperseded(later identity.Incarnation) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	select {
@@ -214,56 +214,56 @@
 	}
 }
 
-// due returns when the timer loop has something to do; the caller holds the mutex.
-func (r *Runner) due() time.Time {
+// nextDue returns when the timer loop has work to do. The caller must hold the mutex.
+func (r *Runner) nextDue() time.Time {
 	next := r.state.Next()
-	if at, changed := r.publishAt(); changed && at.Before(next) {
+	if at, changed := r.nextPublish(); changed && at.Before(next) {
 		return at
 	}
 	return next
 }
 
-// publishAt returns when the next view is due; the caller holds the mutex.
-func (r *Runner) publishAt() (time.Time, bool) {
+// nextPublish returns when the next view is due. The caller must hold the mutex.
+func (r *Runner) nextPublish() (time.Time, bool) {
 	version, info := r.state.Changes()
 	switch {
 	case version != r.published.version:
-		return r.published.at.Add(max(viewPause, time.Duration(r.state.live)*viewPausePerMember)), true
+		return r.published.at.Add(max(minViewInterval, time.Duration(r.state.live)*viewIntervalPerMember)), true
 	case info != r.published.info:
-		return r.published.at.Add(infoPause), true
+		return r.published.at.Add(minInfoInterval), true
 	default:
 		return time.Time{}, false
 	}
 }
 
-// runTimers ticks and publishes views. It returns nil when ctx ends and the
-// reader's error when reading fails.
-func (r *Runner) runTimers(ctx context.Context, reading <-chan error) error {
+// runTimers ticks the state and publishes views. It returns nil when ctx ends, or the
+// reader's error.
+func (r *Runner) runTimers(ctx context.Context, readDone <-chan error) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case err := <-reading:
-			return readEnd(err)
+		case err := <-readDone:
+			return unexpectedEnd(err)
 		case <-timer.C:
 		case <-r.wake:
 		}
-		r.act(r.tickIfDue)
+		r.execute(r.tickIfDue)
 		r.publish()
 		r.mutex.Lock()
-		r.wakeAt = r.due()
+		r.wakeAt = r.nextDue()
 		timer.Reset(time.Until(r.wakeAt))
 		r.mutex.Unlock()
 	}
 }
 
-// errClosed is the reader's end without an error while the runner still runs.
+// errClosed is returned if the socket is closed while the runner is running.
 var errClosed = errors.New("socket closed")
 
-// readEnd makes an early end of the reader an error.
-func readEnd(err error) error {
+// unexpectedEnd turns an early end of the reader into an error.
+func unexpectedEnd(err error) error {
 	if err == nil {
 		return errClosed
 	}
@@ -280,7 +280,7 @@
 func (r *Runner) publish() {
 	r.mutex.Lock()
 	now := time.Now()
-	at, changed := r.publishAt()
+	at, changed := r.nextPublish()
 	if !changed || now.Before(at) {
 		r.mutex.Unlock()
 		return
--- a/internal/membership/runner_test.go
+++ b/internal/membership/runner_test.go
@@ -29,16 +29,16 @@
 	}
 }
 
-// started is a runner with its latest view.
-type started struct {
+// runningNode is a runner with its latest view.
+type runningNode struct {
 	runner *membership.Runner
 	views  chan membership.View
 	stop   context.CancelFunc
 	done   chan error
 }
 
-func start(node identity.Node, conn membership.PacketConn, seeds ...netip.AddrPort) *started {
-	s := &started{views: make(chan membership.View, 1), done: make(chan error, 1)}
+func start(node identity.Node, conn membership.PacketConn, seeds ...netip.AddrPort) *runningNode {
+	s := &runningNode{views: make(chan membership.View, 1), done: make(chan error, 1)}
 	s.runner = membership.NewRunner(membership.Options{
 		Self: node, Config: membership.DefaultConfig(), Seeds: seeds, Conn: conn, RandomSeed: 1,
 		OnView: func(view membership.View) {
@@ -55,8 +55,8 @@
 	return s
 }
 
-// alive returns how many members the latest view holds alive.
-func (s *started) alive() int {
+// aliveCount returns the number of alive members in the latest view.
+func (s *runningNode) aliveCount() int {
 	view := <-s.views
 	s.views <- view
 	count := 0
@@ -74,7 +74,7 @@
 		links := network.New(1)
 		defer links.Close()
 		links.SetFaults(network.Faults{DatagramLoss: 0.05})
-		var runners []*started
+		var runners []*runningNode
 		for i := range 6 {
 			node := runnerNode(i)
 			endpoint := links.Join(node, peer.NewRegistry())
@@ -82,18 +82,18 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, runner := range runners {
-			is.Equal(runner.alive(), 6)
+			is.Equal(runner.aliveCount(), 6)
 		}
 		links.Endpoint("node-4").Kill()
 		time.Sleep(8 * time.Second)
-		is.Equal(runners[0].alive(), 5)
+		is.Equal(runners[0].aliveCount(), 5)
 		runners[5].runner.AnnounceLeaving()
 		time.Sleep(3 * time.Second)
-		is.Equal(runners[0].alive(), 4)
+		is.Equal(runners[0].aliveCount(), 4)
 		for i, runner := range runners {
 			runner.stop()
 			err := <-runner.done
-			is.True(err == nil || i == 4) // the killed one lost its socket
+			is.True(err == nil || i == 4) // the killed node's socket was closed
 		}
 	})
 }
@@ -111,14 +111,14 @@
 	secondNode, secondConn := listen(1)
 	first := start(firstNode, firstConn)
 	second := start(secondNode, secondConn, firstNode.ProbeAddress)
-	for _, runner := range []*started{first, second} {
-		for runner.alive() != 2 {
+	for _, runner := range []*runningNode{first, second} {
+		for runner.aliveCount() != 2 {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 	second.stop()
 	is.NoErr(<-second.done)
-	for first.alive() != 1 { // told by the one that left, long before a probe fails
+	for first.aliveCount() != 1 { // notified by the leaving node, long before a probe fails
 		time.Sleep(10 * time.Millisecond)
 	}
 	first.stop()
@@ -126,28 +126,28 @@
 	is.True(first.runner.Traffic().ReceivedMessages > 0)
 }
 
-func TestRunnerOfAFormerLife(t *testing.T) {
+func TestRunnerOfOldIncarnationIsSuperseded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		links := network.New(1)
 		defer links.Close()
-		former := runnerNode(1)
+		old := runnerNode(1)
 		time.Sleep(time.Second)
-		present := runnerNode(1)
-		present.ProbeAddress = netip.MustParseAddrPort("127.0.0.9:7200")
+		current := runnerNode(1)
+		current.ProbeAddress = netip.MustParseAddrPort("127.0.0.9:7200")
 		other := runnerNode(0)
-		var runners []*started
-		for _, node := range []identity.Node{other, present} {
+		var runners []*runningNode
+		for _, node := range []identity.Node{other, current} {
 			endpoint := links.Join(node, peer.NewRegistry())
 			runners = append(runners, start(node, endpoint.Packets(), other.ProbeAddress))
 		}
 		time.Sleep(2 * time.Second)
-		former.Name = "renamed on the network alone"
-		endpoint := links.Join(former, peer.NewRegistry())
-		former.Name = present.Name
-		late := start(former, endpoint.Packets(), other.ProbeAddress)
+		old.Name = "renamed on the network alone"
+		endpoint := links.Join(old, peer.NewRegistry())
+		old.Name = current.Name
+		late := start(old, endpoint.Packets(), other.ProbeAddress)
 		<-late.runner.Superseded()
-		is.Equal(runners[0].alive(), 2)
+		is.Equal(runners[0].aliveCount(), 2)
 		for _, runner := range append(runners, late) {
 			runner.stop()
 			is.NoErr(<-runner.done)
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -9,23 +9,23 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// headerRoom is the space kept for a datagram's header where updates are packed
-// before it is known.
-const headerRoom = 512
+// headerReserve is the space reserved for the header of a sync reply, whose updates are
+// packed first.
+const headerReserve = 512
 
-// send adds a datagram to the outbox. What is held against the receiver goes
-// first, so that it can refute; news fills the rest.
+// send adds a datagram to the outbox. Adverse information about the receiver comes first,
+// so that the receiver can refute it. Gossip fills the remaining space.
 func (s *State) send(to netip.AddrPort, receiver *record, message *datagram) {
 	if !to.IsValid() {
 		return
 	}
 	message.digest = s.digest()
 	message.sender = s.self.update
-	header := wire.NewEncoder(make([]byte, 0, headerRoom))
+	header := wire.NewEncoder(make([]byte, 0, headerReserve))
 	message.encodeHeader(header)
-	packer := packer{room: MaxDatagram - len(header.Bytes()) - 2}
+	packer := packer{limit: MaxDatagram - len(header.Bytes()) - 2}
 	if receiver != nil {
-		packer.accuse(receiver)
+		packer.addRefutable(receiver)
 	}
 	for i := range message.updates {
 		packer.add(&message.updates[i])
@@ -38,18 +38,18 @@
 	s.outbox = append(s.outbox, Datagram{To: to, Payload: payload})
 }
 
-// packer collects encoded updates up to its room.
+// packer collects encoded updates up to its limit in bytes.
 type packer struct {
 	packed wire.Encoder
-	room   int
+	limit  int
 	count  uint16
 }
 
-// add appends an update and tells whether it fitted.
+// add appends an update and reports whether it fits.
 func (p *packer) add(u *update) bool {
 	var encoded wire.Encoder
 	u.encode(&encoded)
-	if len(p.packed.Bytes())+len(encoded.Bytes()) > p.room {
+	if len(p.packed.Bytes())+len(encoded.Bytes()) > p.limit {
 		return false
 	}
 	p.packed = *wire.NewEncoder(append(p.packed.Bytes(), encoded.Bytes()...))
@@ -57,138 +57,137 @@
 	return true
 }
 
-// accuse tells the receiver what is held or rumoured against it.
-func (p *packer) accuse(receiver *record) {
-	if receiver.condition.accusation() {
+// addRefutable adds any adverse information about the receiver.
+func (p *packer) addRefutable(receiver *record) {
+	if receiver.wireStatus.adverse() {
 		p.add(&receiver.update)
 		return
 	}
-	if receiver.rumoured && receiver.rumour >= receiver.refutation {
-		accusation := receiver.update
-		accusation.condition, accusation.refutation = conditionDead, receiver.rumour
-		p.add(&accusation)
+	if receiver.reportedDead && receiver.reportedDeadAt >= receiver.refutation {
+		adverse := receiver.update
+		adverse.wireStatus, adverse.refutation = wireDead, receiver.reportedDeadAt
+		p.add(&adverse)
 	}
 }
 
-// packGossip adds the news that was passed on least, and drops what was passed
-// on often enough.
+// packGossip adds the least transmitted updates, and drops those that have been transmitted
+// often enough.
 func (s *State) packGossip(p *packer) {
-	slices.SortStableFunc(s.gossip, func(a, b *record) int { return cmp.Compare(b.remaining, a.remaining) })
+	slices.SortStableFunc(s.gossip, func(a, b *record) int { return cmp.Compare(b.transmitsLeft, a.transmitsLeft) })
 	kept := s.gossip[:0]
 	full := false
-	for _, known := range s.gossip {
-		if known.remaining > 0 && !full && p.add(&known.update) {
-			known.remaining--
-		} else if known.remaining > 0 {
+	for _, member := range s.gossip {
+		if member.transmitsLeft > 0 && !full && p.add(&member.update) {
+			member.transmitsLeft--
+		} else if member.transmitsLeft > 0 {
 			full = true
 		}
-		if known.remaining > 0 {
-			kept = append(kept, known)
+		if member.transmitsLeft > 0 {
+			kept = append(kept, member)
 		} else {
-			known.queued = false
+			member.queued = false
 		}
 	}
 	clear(s.gossip[len(kept):])
 	s.gossip = kept
 }
 
-// syncAgain is about the pause before the next sync where the last one brought no answer, or
-// members that this node did not know: its answer was lost, or there are more of them.
-const syncAgain = 300 * time.Millisecond
+// syncRetryInterval is the approximate delay of the next sync if there was no reply to the
+// last one, or if it contained unknown members, so that more may be missing.
+const syncRetryInterval = 300 * time.Millisecond
 
-// noteSync takes that a datagram of a sync's answer brought members that this node did not
-// know, or none. Where none did, the next sync is put off.
-func (s *State) noteSync(now time.Time, brought bool) {
+// recordSync records whether a datagram of a sync reply contained unknown members. The next
+// sync follows soon if so, and is postponed otherwise.
+func (s *State) recordSync(now time.Time, foundNew bool) {
 	switch {
-	case brought && !s.syncBrought:
-		s.syncBrought = true
-		s.nextSync = now.Add(s.soon())
-	case !s.syncBrought:
-		// The answer may have been cut short where many asked.
+	case foundNew && !s.syncFoundNew:
+		s.syncFoundNew = true
+		s.nextSync = now.Add(s.syncRetryDelay())
+	case !s.syncFoundNew:
+		// The reply may have been truncated because of other requests.
 		pause := s.config.SyncInterval / 2
 		s.nextSync = now.Add(pause + time.Duration(s.random.Int64N(int64(pause)+1)))
 	}
 }
 
-// soon returns the pause before the next sync while there may be more to learn.
-func (s *State) soon() time.Duration {
-	return syncAgain + time.Duration(s.random.Int64N(int64(syncAgain)))
+// syncRetryDelay returns the randomized delay of the next sync.
+func (s *State) syncRetryDelay() time.Duration {
+	return syncRetryInterval + time.Duration(s.random.Int64N(int64(syncRetryInterval)))
 }
 
-// compareViews asks a member for what differs once views have differed for
-// longer than news takes.
+// compareViews requests a sync from the sender if views have differed for longer than
+// gossip takes.
 func (s *State) compareViews(now time.Time, from netip.AddrPort, message *datagram) {
 	if message.digest == s.digest() {
-		s.differsSince = time.Time{}
+		s.viewsDifferSince = time.Time{}
 		return
 	}
-	if s.differsSince.IsZero() {
-		s.differsSince = now
+	if s.viewsDifferSince.IsZero() {
+		s.viewsDifferSince = now
 	}
 	sender := s.records[message.sender.node.Name]
-	if sender == nil || sender.condition.gone() || sender.generation(&message.sender) != 0 {
+	if sender == nil || sender.wireStatus.terminal() || sender.compareGeneration(&message.sender) != 0 {
 		return
 	}
-	if now.Sub(s.differsSince) < s.config.SyncPatience || now.Before(s.nextSync) {
+	if now.Sub(s.viewsDifferSince) < s.config.SyncPatience || now.Before(s.nextSync) {
 		return
 	}
 	s.statistics.Syncs++
-	s.nextSync = now.Add(s.soon())
-	s.syncBrought = false
+	s.nextSync = now.Add(s.syncRetryDelay())
+	s.syncFoundNew = false
 	s.sequence++
 	s.send(from, sender, &datagram{kind: kindSyncRequest, sequence: s.sequence, buckets: s.digests[:]})
 }
 
 const (
-	// syncBytesPerSecond is what a node sends in answers to syncs, a quarter of the slowest
-	// links, and syncBurst what of it may go out at once: two whole answers of a thousand
-	// members.
+	// syncBytesPerSecond and syncBurst limit the rate of a node's sync replies, so that
+	// they do not saturate its link.
 	syncBytesPerSecond = 1 << 20
 	syncBurst          = 200 << 10
-	// leastSyncDatagrams are answered in any case. A thousand nodes that start at once all
-	// ask the one that they know; they ask the members that they learn of for the rest.
-	leastSyncDatagrams = 2
+	// minSyncDatagrams are sent regardless of the limit. When many nodes start at once and
+	// sync with the same seed, they obtain the rest from members that they learn of.
+	minSyncDatagrams = 2
 )
 
-// syncRoom returns how many datagrams the answer to a sync may have now.
-func (s *State) syncRoom(now time.Time) int {
-	s.syncLeft = min(s.syncLeft+syncBytesPerSecond*now.Sub(s.syncLeftAt).Seconds(), syncBurst)
-	s.syncLeftAt = now
-	return max(int(s.syncLeft)/MaxDatagram, leastSyncDatagrams)
+// syncDatagramLimit returns the current limit of datagrams in a sync reply.
+func (s *State) syncDatagramLimit(now time.Time) int {
+	s.syncBudget = min(s.syncBudget+syncBytesPerSecond*now.Sub(s.syncBudgetAt).Seconds(), syncBurst)
+	s.syncBudgetAt = now
+	return max(int(s.syncBudget)/MaxDatagram, minSyncDatagrams)
 }
 
-// answerSync sends the members of the buckets that differ, from any of them on, as far as
-// the answer has room.
-func (s *State) answerSync(now time.Time, to netip.AddrPort, message *datagram) {
-	room := s.syncRoom(now)
+// handleSyncRequest sends the members of the differing buckets, starting at a random member
+// and up to the current limit.
+func (s *State) handleSyncRequest(now time.Time, to netip.AddrPort, message *datagram) {
+	maxDatagrams := s.syncDatagramLimit(now)
 	reply := &datagram{kind: kindSyncReply, sequence: message.sequence}
 	size, sent := 0, 0
 	flush := func() {
 		if len(reply.updates) > 0 {
 			s.send(to, nil, reply)
 			sent++
-			s.syncLeft -= MaxDatagram
+			s.syncBudget -= MaxDatagram
 		}
 		reply = &datagram{kind: kindSyncReply, sequence: message.sequence}
 		size = 0
 	}
 	first := s.random.IntN(len(s.byName))
 	for i := range s.byName {
-		known := s.byName[(first+i)%len(s.byName)]
-		if known == s.self {
+		member := s.byName[(first+i)%len(s.byName)]
+		if member == s.self {
 			continue
 		}
-		if sent >= room {
+		if sent >= maxDatagrams {
 			return
 		}
-		bucket := bucketOf(known.node.Name)
+		bucket := bucketOf(member.node.Name)
 		if s.digests[bucket] == message.buckets[bucket] {
 			continue
 		}
-		for _, report := range known.reports() {
+		for _, report := range member.reports() {
 			var encoded wire.Encoder
 			report.encode(&encoded)
-			if size+len(encoded.Bytes()) > MaxDatagram-headerRoom {
+			if size+len(encoded.Bytes()) > MaxDatagram-headerReserve {
 				flush()
 			}
 			size += len(encoded.Bytes())
@@ -198,13 +197,13 @@
 	flush()
 }
 
-// reports returns what a node that may not know the member has to be told: a
-// suspect is introduced with its addresses before it is accused.
+// reports returns the updates for a node that may not know the member. A suspect is first
+// reported as alive, since only that report carries its addresses.
 func (r *record) reports() []update {
-	if r.condition != conditionSuspect {
+	if r.wireStatus != wireSuspect {
 		return []update{r.update}
 	}
 	introduction := r.update
-	introduction.condition = conditionAlive
+	introduction.wireStatus = wireAlive
 	return []update{introduction, r.update}
 }
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -19,47 +19,47 @@
 	testseed.MainWith(m, map[string]string{"rapid.checks": "12", "rapid.seed": "1"})
 }
 
-// simulation runs many States in virtual time over links with faults. It is
-// single-threaded: an event is a datagram's arrival or a node's tick.
+// simulation runs many States in virtual time over faulty links. It is single-threaded; an
+// event is the arrival of a datagram or the tick of a node.
 type simulation struct {
 	now     time.Time
 	config  Config
 	random  *rand.Rand
-	nodes   []*simulated
-	byProbe map[netip.AddrPort]*simulated
+	nodes   []*simulatedNode
+	byProbe map[netip.AddrPort]*simulatedNode
 	flights []flight
 	loss    float64
 	latency time.Duration
-	// cut tells whether what one node sends to another is lost.
-	cut func(from, to *simulated) bool
-	// deafen drops this share of what the node of that index receives.
-	deafen map[int]float64
-	// tap sees each datagram that arrives.
+	// partition reports whether datagrams from one node to another are lost.
+	partition func(from, to *simulatedNode) bool
+	// receiveLoss is the loss rate of datagrams to the node with an index.
+	receiveLoss map[int]float64
+	// tap is called with each datagram that arrives.
 	tap   func(arrived flight)
 	sent  int
 	bytes int
-	// largest is the largest datagram seen.
+	// largest is the size of the largest datagram.
 	largest int
-	// linkBytes is what a node's link carries in a second, 0 sets no bound; lost counts what
-	// was beyond.
+	// linkBytes is the capacity of a node's link per second; 0 is unlimited. lost counts
+	// the datagrams dropped for lack of capacity.
 	linkBytes, lost int
 }
 
-type simulated struct {
+type simulatedNode struct {
 	index   int
 	node    identity.Node
 	state   *State
 	down    bool
-	frozen  bool
+	paused  bool
 	waiting []flight
-	// queued is how many bytes waited for its link at sentAt.
+	// queued is the number of bytes waiting for the node's link at sentAt.
 	queued float64
 	sentAt time.Time
 }
 
 type flight struct {
 	at       time.Time
-	from, to *simulated
+	from, to *simulatedNode
 	payload  []byte
 }
 
@@ -67,17 +67,17 @@
 
 func newSimulation(count, zones int, seed uint64) *simulation {
 	s := &simulation{
-		now:     time.Unix(1_000_000, 0),
-		config:  DefaultConfig(),
-		random:  rand.New(rand.NewPCG(seed, 0)),
-		byProbe: map[netip.AddrPort]*simulated{},
-		latency: 2 * time.Millisecond,
-		cut:     func(_, _ *simulated) bool { return false },
-		deafen:  map[int]float64{},
+		now:         time.Unix(1_000_000, 0),
+		config:      DefaultConfig(),
+		random:      rand.New(rand.NewPCG(seed, 0)),
+		byProbe:     map[netip.AddrPort]*simulatedNode{},
+		latency:     2 * time.Millisecond,
+		partition:   func(_, _ *simulatedNode) bool { return false },
+		receiveLoss: map[int]float64{},
 	}
 	for i := range count {
 		address := netip.AddrFrom4([4]byte{10, 0, byte(i / 200), byte(i%200 + 1)})
-		added := &simulated{index: i, node: identity.Node{
+		added := &simulatedNode{index: i, node: identity.Node{
 			Name:         identity.NodeName(fmt.Sprintf("node-%03d", i)),
 			Zone:         identity.Zone(fmt.Sprintf("zone-%d", i%zones)),
 			Region:       "region",
@@ -91,8 +91,8 @@
 	return s
 }
 
-// start begins a new life of the node.
-func (s *simulation) start(n *simulated) {
+// start starts a new incarnation of the node.
+func (s *simulation) start(n *simulatedNode) {
 	n.node.Incarnation = identity.Incarnation(s.now.UnixNano())
 	random := rand.New(rand.NewPCG(s.random.Uint64(), 0))
 	seeds := []netip.AddrPort{s.nodes[0].node.ProbeAddress}
@@ -100,21 +100,21 @@
 		seeds = append(seeds, s.nodes[1].node.ProbeAddress)
 	}
 	n.state = NewState(s.now, n.node, s.config, seeds, random)
-	n.down, n.frozen, n.waiting = false, false, nil
+	n.down, n.paused, n.waiting = false, false, nil
 }
 
-func (s *simulation) send(from *simulated, datagrams []Datagram) {
+func (s *simulation) send(from *simulatedNode, datagrams []Datagram) {
 	for _, datagram := range datagrams {
 		s.sent++
 		s.bytes += len(datagram.Payload)
 		s.largest = max(s.largest, len(datagram.Payload))
-		if s.beyondLink(from, len(datagram.Payload)) {
+		if s.exceedsLink(from, len(datagram.Payload)) {
 			s.lost++
 			continue
 		}
 		to := s.byProbe[datagram.To]
-		lost := s.random.Float64() < s.loss || (to != nil && s.random.Float64() < s.deafen[to.index])
-		if to == nil || lost || s.cut(from, to) {
+		lost := s.random.Float64() < s.loss || (to != nil && s.random.Float64() < s.receiveLoss[to.index])
+		if to == nil || lost || s.partition(from, to) {
 			continue
 		}
 		delay := s.latency + time.Duration(s.random.Int64N(int64(s.latency)))
@@ -122,11 +122,11 @@
 	}
 }
 
-// linkQueue is how much of what a node has sent may wait for its link.
+// linkQueue is the maximum queueing delay of a node's link.
 const linkQueue = 250 * time.Millisecond
 
-// beyondLink counts a datagram and tells whether its sender's link has no room for it.
-func (s *simulation) beyondLink(from *simulated, bytes int) bool {
+// exceedsLink queues a datagram, or reports that its sender's link has no capacity for it.
+func (s *simulation) exceedsLink(from *simulatedNode, bytes int) bool {
 	if s.linkBytes == 0 {
 		return false
 	}
@@ -146,17 +146,17 @@
 	}
 	switch {
 	case arrived.to.down:
-	case arrived.to.frozen:
+	case arrived.to.paused:
 		arrived.to.waiting = append(arrived.to.waiting, arrived)
 	default:
 		s.send(arrived.to, arrived.to.state.Receive(s.now, arrived.from.node.ProbeAddress, arrived.payload))
 	}
 }
 
-// thaw lets the node's timers run before it reads what arrived meanwhile, which
-// is the worse order.
-func (s *simulation) thaw(n *simulated) {
-	n.frozen = false
+// resume runs the node's timers before it receives the datagrams that have arrived
+// meanwhile, which is the worse order.
+func (s *simulation) resume(n *simulatedNode) {
+	n.paused = false
 	s.send(n, n.state.Tick(s.now))
 	waiting := n.waiting
 	n.waiting = nil
@@ -165,8 +165,8 @@
 	}
 }
 
-// run lets time pass and calls check after each step; it stops early when check
-// returns true, and tells whether it did.
+// run advances the time and calls check after each step. It stops early and returns true
+// once check does.
 func (s *simulation) run(duration time.Duration, check func() bool) bool {
 	for end := s.now.Add(duration); s.now.Before(end); {
 		s.now = s.now.Add(simulationStep)
@@ -180,7 +180,7 @@
 			}
 		}
 		for _, node := range s.nodes {
-			if !node.down && !node.frozen && !s.now.Before(node.state.Next()) {
+			if !node.down && !node.paused && !s.now.Before(node.state.Next()) {
 				s.send(node, node.state.Tick(s.now))
 			}
 		}
@@ -191,9 +191,9 @@
 	return false
 }
 
-// agreed tells whether all running nodes hold exactly the running nodes as alive
-// in their present lives.
-func (s *simulation) agreed() bool {
+// converged reports whether all running nodes consider exactly the running nodes alive,
+// with their current incarnations.
+func (s *simulation) converged() bool {
 	running := 0
 	for _, node := range s.nodes {
 		if !node.down {
@@ -204,12 +204,12 @@
 		if node.down {
 			continue
 		}
-		if node.state.live != running || node.state.suspected > 0 {
+		if node.state.live != running || node.state.suspectCount > 0 {
 			return false
 		}
 		for _, other := range s.nodes {
-			known := node.state.records[other.node.Name]
-			if !other.down && (known == nil || known.node.Incarnation != other.node.Incarnation) {
+			member := node.state.records[other.node.Name]
+			if !other.down && (member == nil || member.node.Incarnation != other.node.Incarnation) {
 				return false
 			}
 		}
@@ -225,43 +225,43 @@
 	return all
 }
 
-func (s *simulation) mustAgree(t interface {
+func (s *simulation) mustConverge(t interface {
 	Helper()
 	Fatalf(string, ...any)
 }, within time.Duration, what string,
 ) time.Duration {
 	t.Helper()
 	from := s.now
-	if !s.run(within, s.agreed) {
+	if !s.run(within, s.converged) {
 		t.Fatalf("%s: no agreement within %v", what, within)
 	}
 	return s.now.Sub(from)
 }
 
-// deathBound is the time in which all must have learned of a death: to be
-// probed, suspected and buried, and for the news to spread.
-func deathBound(s *simulation) time.Duration {
+// detectionBound is the time in which all nodes must detect a failure: probing, suspicion
+// and dissemination.
+func detectionBound(s *simulation) time.Duration {
 	return s.config.ProbeInterval*8 + 2*s.nodes[0].state.suspicionTime()
 }
 
-func TestJoinAndDeath(t *testing.T) {
+func TestJoinAndFailureDetection(t *testing.T) {
 	for _, size := range []int{2, 3, 6, 24, 100} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			s := newSimulation(size, 3, 7)
-			joined := s.mustAgree(t, 20*time.Second, "join")
+			joined := s.mustConverge(t, 20*time.Second, "join")
 			s.run(5*time.Second, nil)
 			s.nodes[size-1].down = true
-			bound := deathBound(s)
-			died := s.mustAgree(t, bound, "death")
+			bound := detectionBound(s)
+			died := s.mustConverge(t, bound, "death")
 			t.Logf("joined in %v, death agreed in %v of %v", joined, died, bound)
 		})
 	}
 }
 
-func TestNoFalseDeathUnderLoss(t *testing.T) {
+func TestNoFalsePositivesUnderLoss(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSimulation(24, 3, seed)
-		s.mustAgree(t, 20*time.Second, "join")
+		s.mustConverge(t, 20*time.Second, "join")
 		s.loss = 0.05
 		s.run(5*time.Minute, nil)
 		if deaths := s.deaths(); deaths > 0 {
@@ -270,12 +270,12 @@
 	}
 }
 
-// A node that gets less than half of what is sent to it accuses others again and
-// again; they must live on all the same.
-func TestDeafNodeBuriesNobody(t *testing.T) {
+// A node that receives less than half of its datagrams keeps suspecting others, which must
+// be able to refute.
+func TestNodeWithReceiveLossDeclaresNobodyDead(t *testing.T) {
 	s := newSimulation(24, 3, 3)
-	s.mustAgree(t, 20*time.Second, "join")
-	s.deafen[5] = 0.6
+	s.mustConverge(t, 20*time.Second, "join")
+	s.receiveLoss[5] = 0.6
 	s.run(2*time.Minute, nil)
 	if s.nodes[5].state.Statistics().Suspicions == 0 {
 		t.Error("the deaf node accused nobody, so the test shows nothing")
@@ -285,87 +285,87 @@
 	}
 }
 
-func TestDatagramsFit(t *testing.T) {
+func TestDatagramsStayWithinMaxSize(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(100, 3, 1)
-	s.mustAgree(t, 20*time.Second, "join")
+	s.mustConverge(t, 20*time.Second, "join")
 	is.True(s.largest <= MaxDatagram)
 }
 
-func TestAsymmetricCutOfOneLink(t *testing.T) {
+func TestAsymmetricLinkFailure(t *testing.T) {
 	s := newSimulation(12, 3, 3)
-	s.mustAgree(t, 20*time.Second, "join")
-	s.cut = func(from, to *simulated) bool { return from.index == 4 && to.index == 9 }
+	s.mustConverge(t, 20*time.Second, "join")
+	s.partition = func(from, to *simulatedNode) bool { return from.index == 4 && to.index == 9 }
 	s.run(time.Minute, nil)
-	if accused := s.nodes[4].state.Statistics().Suspicions; accused > 0 {
-		t.Errorf("%d accusations of a node that others reach", accused)
+	if suspicions := s.nodes[4].state.Statistics().Suspicions; suspicions > 0 {
+		t.Errorf("%d accusations of a node that others reach", suspicions)
 	}
 }
 
-func TestFrozenNodeAccusesNobody(t *testing.T) {
+func TestPausedNodeSuspectsNobody(t *testing.T) {
 	s := newSimulation(12, 3, 3)
-	s.mustAgree(t, 20*time.Second, "join")
-	frozen := s.nodes[5]
-	frozen.frozen = true
+	s.mustConverge(t, 20*time.Second, "join")
+	paused := s.nodes[5]
+	paused.paused = true
 	s.run(30*time.Second, nil)
-	before := frozen.state.Statistics()
-	s.thaw(frozen)
-	s.mustAgree(t, 20*time.Second, "thaw")
-	if after := frozen.state.Statistics(); after.Suspicions != before.Suspicions {
+	before := paused.state.Statistics()
+	s.resume(paused)
+	s.mustConverge(t, 20*time.Second, "thaw")
+	if after := paused.state.Statistics(); after.Suspicions != before.Suspicions {
 		t.Errorf("the thawed node accused %d members", after.Suspicions-before.Suspicions)
 	}
 }
 
-func TestJoiningAQuietSite(t *testing.T) {
+func TestRestartInStableSite(t *testing.T) {
 	s := newSimulation(60, 3, 5)
-	s.mustAgree(t, 20*time.Second, "first join")
+	s.mustConverge(t, 20*time.Second, "first join")
 	s.run(time.Minute, nil)
 	s.start(s.nodes[7])
-	s.mustAgree(t, 6*time.Second, "restart at a quiet site")
+	s.mustConverge(t, 6*time.Second, "restart at a quiet site")
 }
 
-func TestRestartIsALaterLife(t *testing.T) {
+func TestRestartSupersedesOldIncarnation(t *testing.T) {
 	s := newSimulation(12, 3, 5)
-	s.mustAgree(t, 20*time.Second, "join")
+	s.mustConverge(t, 20*time.Second, "join")
 	restarted := s.nodes[5]
-	former := restarted.state
+	old := restarted.state
 	restarted.down = true
 	s.run(700*time.Millisecond, nil)
 	s.start(restarted)
-	s.mustAgree(t, 10*time.Second, "restart")
-	// The former life speaks up again: nobody takes it for the present one, and
-	// it learns that it is over.
-	old := &simulated{index: restarted.index, node: former.self.node, state: former}
+	s.mustConverge(t, 10*time.Second, "restart")
+	// The old incarnation sends again. It must not change any record of the current one,
+	// and must learn that it is superseded.
+	oldNode := &simulatedNode{index: restarted.index, node: old.self.node, state: old}
 	s.tap = func(arrived flight) {
 		if arrived.to == restarted {
-			former.Receive(s.now, arrived.from.node.ProbeAddress, arrived.payload)
+			old.Receive(s.now, arrived.from.node.ProbeAddress, arrived.payload)
 		}
 	}
 	for range 20 {
-		s.send(old, former.Tick(s.now))
+		s.send(oldNode, old.Tick(s.now))
 		s.run(100*time.Millisecond, nil)
-		if !s.agreed() {
+		if !s.converged() {
 			t.Fatal("the former life of a node changed what others hold of it")
 		}
 	}
-	if _, superseded := former.Superseded(); !superseded {
+	if _, superseded := old.Superseded(); !superseded {
 		t.Error("the former life did not learn that it is over")
 	}
 }
 
-func TestZoneCutHeals(t *testing.T) {
+func TestZonePartitionHeals(t *testing.T) {
 	for _, size := range []int{6, 24, 90} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			s := newSimulation(size, 3, 11)
-			s.mustAgree(t, 20*time.Second, "join")
-			s.cut = func(from, to *simulated) bool { return (from.index%3 == 0) != (to.index%3 == 0) }
+			s.mustConverge(t, 20*time.Second, "join")
+			s.partition = func(from, to *simulatedNode) bool { return (from.index%3 == 0) != (to.index%3 == 0) }
 			s.run(2*time.Minute, nil)
 			if live := s.nodes[0].state.live; live != size/3 {
 				t.Fatalf("the cut zone holds %d members alive, want its own %d", live, size/3)
 			}
 			deaths := s.deaths()
-			s.cut = func(_, _ *simulated) bool { return false }
-			healed := s.mustAgree(t, 30*time.Second, "heal")
+			s.partition = func(_, _ *simulatedNode) bool { return false }
+			healed := s.mustConverge(t, 30*time.Second, "heal")
 			if s.deaths() != deaths {
 				t.Errorf("healing buried %d members", s.deaths()-deaths)
 			}
@@ -377,13 +377,13 @@
 func TestLeavingAndLeave(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(12, 3, 13)
-	s.mustAgree(t, 20*time.Second, "join")
+	s.mustConverge(t, 20*time.Second, "join")
 	leaving := s.nodes[4]
 	s.send(leaving, leaving.state.AnnounceLeaving())
 	seen := func(want Status) func() bool {
 		return func() bool {
 			for _, node := range s.nodes {
-				if known := node.state.records[leaving.node.Name]; !node.down && known.condition.status() != want {
+				if member := node.state.records[leaving.node.Name]; !node.down && member.wireStatus.status() != want {
 					return false
 				}
 			}
@@ -398,48 +398,47 @@
 	is.True(s.run(5*time.Second, seen(Dead)))
 }
 
-func TestInfoRidesAlong(t *testing.T) {
+func TestInfoIsPiggybacked(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(6, 3, 17)
-	s.mustAgree(t, 20*time.Second, "join")
+	s.mustConverge(t, 20*time.Second, "join")
 	version, _ := s.nodes[0].state.Changes()
 	s.nodes[3].state.SetInfo(9, 44)
 	is.True(s.run(10*time.Second, func() bool {
 		for _, node := range s.nodes {
-			known := node.state.records[s.nodes[3].node.Name]
-			if known.tableVersion != 9 || known.figure != 44 {
+			member := node.state.records[s.nodes[3].node.Name]
+			if member.tableVersion != 9 || member.load != 44 {
 				return false
 			}
 		}
 		return true
 	}))
 	after, _ := s.nodes[0].state.Changes()
-	is.Equal(version, after) // what rides along makes no new placement
+	is.Equal(version, after) // piggybacked information does not change the view's version
 }
 
-// TestMembershipConverges puts a site through random faults and expects that,
-// once they are over, all agree on who runs.
+// All nodes must agree on the running nodes after any sequence of faults.
 func TestMembershipConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.IntRange(4, 24).Draw(t, "nodes"), 3, rapid.Uint64().Draw(t, "seed"))
-		s.mustAgree(t, 20*time.Second, "join")
+		s.mustConverge(t, 20*time.Second, "join")
 		s.loss = rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "loss")
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
-			s.disturb(t)
+			s.injectFault(t)
 			s.run(time.Duration(rapid.IntRange(100, 15_000).Draw(t, "pause"))*time.Millisecond, nil)
 		}
 		s.loss = 0
-		s.cut = func(_, _ *simulated) bool { return false }
+		s.partition = func(_, _ *simulatedNode) bool { return false }
 		for _, node := range s.nodes {
-			if node.frozen {
-				s.thaw(node)
+			if node.paused {
+				s.resume(node)
 			}
 		}
-		s.mustAgree(t, 40*time.Second, "after the faults")
+		s.mustConverge(t, 40*time.Second, "after the faults")
 	})
 }
 
-func (s *simulation) disturb(t *rapid.T) {
+func (s *simulation) injectFault(t *rapid.T) {
 	node := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
 	switch rapid.SampledFrom([]string{"kill", "restart", "freeze", "thaw", "cut zone", "cut one way", "heal"}).Draw(t, "fault") {
 	case "kill":
@@ -447,16 +446,16 @@
 	case "restart":
 		s.start(node)
 	case "freeze":
-		node.frozen = !node.down
+		node.paused = !node.down
 	case "thaw":
-		s.thaw(node)
+		s.resume(node)
 	case "cut zone":
-		s.cut = func(from, to *simulated) bool {
+		s.partition = func(from, to *simulatedNode) bool {
 			return (from.node.Zone == node.node.Zone) != (to.node.Zone == node.node.Zone)
 		}
 	case "cut one way":
-		s.cut = func(from, _ *simulated) bool { return from == node }
+		s.partition = func(from, _ *simulatedNode) bool { return from == node }
 	case "heal":
-		s.cut = func(_, _ *simulated) bool { return false }
+		s.partition = func(_, _ *simulatedNode) bool { return false }
 	}
 }
--- a/internal/membership/recorded_test.go
+++ b/internal/membership/wire_format_test.go
@@ -11,14 +11,14 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// TestRecordedBytesOfADatagram: what builds tell each other of members stays as it is.
-func TestRecordedBytesOfADatagram(t *testing.T) {
+// The wire format must stay compatible with other versions.
+func TestDatagramWireFormat(t *testing.T) {
 	is := is.New(t)
 	address := netip.MustParseAddrPort("10.0.0.1:7")
 	node := identity.Node{Name: "n", Zone: "z", Region: "r", Incarnation: 9, PeerAddress: address, ProbeAddress: address}
 	sent := datagram{
 		kind: kindPing, sequence: 3, digest: 5, target: identity.Node{Name: "m"},
-		sender: update{node: node, condition: conditionAlive, refutation: 1, figure: 800},
+		sender: update{node: node, wireStatus: wireAlive, refutation: 1, load: 800},
 	}
 	encoder := wire.NewEncoder(nil)
 	sent.encodeHeader(encoder)
@@ -36,7 +36,7 @@
 
 func FuzzDecodeDatagram(f *testing.F) {
 	encoder := wire.NewEncoder(nil)
-	(&datagram{kind: kindPing, sender: update{node: identity.Node{Name: "n"}, condition: conditionAlive}}).encodeHeader(encoder)
+	(&datagram{kind: kindPing, sender: update{node: identity.Node{Name: "n"}, wireStatus: wireAlive}}).encodeHeader(encoder)
 	f.Add(encoder.Bytes())
 	f.Fuzz(func(_ *testing.T, encoded []byte) { _, _ = decodeDatagram(encoded) })
 }
