--- a/internal/membership/cold_start_test.go
+++ b/internal/membership/cold_start_test.go
@@ -33,5 +33,5 @@
 	startedAt := s.now
 	target := count * 98 / 100
 	is.True(s.run(recoveryBound, func() bool { return s.minLive() >= target }))
-	t.Logf("all know 98 in 100 after %v, %d datagrams and %d kB a node, %d lost", s.now.Sub(startedAt), s.sent/count, s.bytes/1000/count, s.lost)
+	t.Logf("all nodes know 98 %% of the members after %v; %d datagrams and %d kB sent per node, %d datagrams lost", s.now.Sub(startedAt), s.sent/count, s.bytes/1000/count, s.lost)
 }
--- a/internal/membership/datagram.go
+++ b/internal/membership/datagram.go
@@ -141,7 +141,7 @@
 	}
 	message.sender = decodeUpdate(decoder)
 	if message.sender.wireStatus == wireSuspect || message.sender.wireStatus == wireDead {
-		decoder.Fail(fmt.Errorf("sender accuses itself"))
+		decoder.Fail(fmt.Errorf("sender reports itself as suspect or dead"))
 	}
 	for count := decoder.Uint16(); count > 0 && decoder.Err() == nil; count-- {
 		message.updates = append(message.updates, decodeUpdate(decoder))
@@ -172,14 +172,14 @@
 	var u update
 	u.wireStatus = wireStatus(d.Uint8())
 	if u.wireStatus < wireAlive || u.wireStatus > wireLeft {
-		d.Fail(fmt.Errorf("condition %d", u.wireStatus))
+		d.Fail(fmt.Errorf("status %d", u.wireStatus))
 		return u
 	}
 	u.node.Name = decodeName[identity.NodeName](d)
 	u.node.Incarnation = identity.Incarnation(d.Uint64())
 	u.refutation = d.Uint32()
 	if u.node.Name == "" {
-		d.Fail(errors.New("member without a name"))
+		d.Fail(errors.New("member has no name"))
 	}
 	if u.wireStatus.adverse() {
 		return u
@@ -191,7 +191,7 @@
 	u.tableVersion = d.Uint64()
 	u.load = d.Uint32()
 	if d.Err() == nil && !u.node.ProbeAddress.IsValid() {
-		d.Fail(fmt.Errorf("member %s without a probe address", u.node.Name))
+		d.Fail(fmt.Errorf("member %s has no probe address", u.node.Name))
 	}
 	return u
 }
@@ -199,7 +199,7 @@
 func decodeName[T ~string](d *wire.Decoder) T {
 	name := d.String()
 	if len(name) > maxNameLength {
-		d.Fail(fmt.Errorf("name of %d bytes", len(name)))
+		d.Fail(fmt.Errorf("name has %d bytes", len(name)))
 	}
 	return T(name)
 }
--- a/internal/membership/runner.go
+++ b/internal/membership/runner.go
@@ -188,7 +188,7 @@
 	r.mutex.Unlock()
 	for _, datagram := range datagrams {
 		if _, err := r.options.Conn.WriteToUDPAddrPort(datagram.Payload, datagram.To); err != nil {
-			r.options.Logger.Debug("membership datagram not sent", "to", datagram.To, "error", err)
+			r.options.Logger.Debug("cannot send membership datagram", "to", datagram.To, "error", err)
 		}
 	}
 	if earlier {
@@ -208,7 +208,7 @@
 	select {
 	case <-r.superseded:
 	default:
-		r.options.Logger.Error("a later life of this node runs elsewhere",
+		r.options.Logger.Error("a later incarnation of this node is running elsewhere",
 			"node", r.options.Self.Name, "incarnation", r.options.Self.Incarnation, "later", later)
 		close(r.superseded)
 	}
@@ -260,7 +260,7 @@
 }
 
 // errClosed is returned if the socket is closed while the runner is running.
-var errClosed = errors.New("socket closed")
+var errClosed = errors.New("socket closed unexpectedly")
 
 // unexpectedEnd turns an early end of the reader into an error.
 func unexpectedEnd(err error) error {
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -233,7 +233,7 @@
 	t.Helper()
 	from := s.now
 	if !s.run(within, s.converged) {
-		t.Fatalf("%s: no agreement within %v", what, within)
+		t.Fatalf("%s: not converged within %v", what, within)
 	}
 	return s.now.Sub(from)
 }
@@ -253,7 +253,7 @@
 			s.nodes[size-1].down = true
 			bound := detectionBound(s)
 			died := s.mustConverge(t, bound, "death")
-			t.Logf("joined in %v, death agreed in %v of %v", joined, died, bound)
+			t.Logf("joined in %v, failure detected in %v, bound %v", joined, died, bound)
 		})
 	}
 }
@@ -278,7 +278,7 @@
 	s.receiveLoss[5] = 0.6
 	s.run(2*time.Minute, nil)
 	if s.nodes[5].state.Statistics().Suspicions == 0 {
-		t.Error("the deaf node accused nobody, so the test shows nothing")
+		t.Error("the node with receive loss suspected nobody, so the test shows nothing")
 	}
 	if deaths := s.deaths(); deaths > 0 {
 		t.Errorf("%d false deaths", deaths)
@@ -298,7 +298,7 @@
 	s.partition = func(from, to *simulatedNode) bool { return from.index == 4 && to.index == 9 }
 	s.run(time.Minute, nil)
 	if suspicions := s.nodes[4].state.Statistics().Suspicions; suspicions > 0 {
-		t.Errorf("%d accusations of a node that others reach", suspicions)
+		t.Errorf("%d suspicions of a node that other members reach", suspicions)
 	}
 }
 
@@ -310,9 +310,9 @@
 	s.run(30*time.Second, nil)
 	before := paused.state.Statistics()
 	s.resume(paused)
-	s.mustConverge(t, 20*time.Second, "thaw")
+	s.mustConverge(t, 20*time.Second, "resume")
 	if after := paused.state.Statistics(); after.Suspicions != before.Suspicions {
-		t.Errorf("the thawed node accused %d members", after.Suspicions-before.Suspicions)
+		t.Errorf("the resumed node suspected %d members", after.Suspicions-before.Suspicions)
 	}
 }
 
@@ -321,7 +321,7 @@
 	s.mustConverge(t, 20*time.Second, "first join")
 	s.run(time.Minute, nil)
 	s.start(s.nodes[7])
-	s.mustConverge(t, 6*time.Second, "restart at a quiet site")
+	s.mustConverge(t, 6*time.Second, "restart in a stable site")
 }
 
 func TestRestartSupersedesOldIncarnation(t *testing.T) {
@@ -345,11 +345,11 @@
 		s.send(oldNode, old.Tick(s.now))
 		s.run(100*time.Millisecond, nil)
 		if !s.converged() {
-			t.Fatal("the former life of a node changed what others hold of it")
+			t.Fatal("the old incarnation of a node changed its records")
 		}
 	}
 	if _, superseded := old.Superseded(); !superseded {
-		t.Error("the former life did not learn that it is over")
+		t.Error("the old incarnation did not learn that it is superseded")
 	}
 }
 
@@ -361,13 +361,13 @@
 			s.partition = func(from, to *simulatedNode) bool { return (from.index%3 == 0) != (to.index%3 == 0) }
 			s.run(2*time.Minute, nil)
 			if live := s.nodes[0].state.live; live != size/3 {
-				t.Fatalf("the cut zone holds %d members alive, want its own %d", live, size/3)
+				t.Fatalf("the partitioned zone considers %d members alive, want its own %d", live, size/3)
 			}
 			deaths := s.deaths()
 			s.partition = func(_, _ *simulatedNode) bool { return false }
 			healed := s.mustConverge(t, 30*time.Second, "heal")
 			if s.deaths() != deaths {
-				t.Errorf("healing buried %d members", s.deaths()-deaths)
+				t.Errorf("%d members declared dead after the partition healed", s.deaths()-deaths)
 			}
 			t.Logf("healed in %v", healed)
 		})
@@ -440,20 +440,20 @@
 
 func (s *simulation) injectFault(t *rapid.T) {
 	node := s.nodes[rapid.IntRange(0, len(s.nodes)-1).Draw(t, "node")]
-	switch rapid.SampledFrom([]string{"kill", "restart", "freeze", "thaw", "cut zone", "cut one way", "heal"}).Draw(t, "fault") {
+	switch rapid.SampledFrom([]string{"kill", "restart", "pause", "resume", "partition zone", "block one direction", "heal"}).Draw(t, "fault") {
 	case "kill":
 		node.down = true
 	case "restart":
 		s.start(node)
-	case "freeze":
+	case "pause":
 		node.paused = !node.down
-	case "thaw":
+	case "resume":
 		s.resume(node)
-	case "cut zone":
+	case "partition zone":
 		s.partition = func(from, to *simulatedNode) bool {
 			return (from.node.Zone == node.node.Zone) != (to.node.Zone == node.node.Zone)
 		}
-	case "cut one way":
+	case "block one direction":
 		s.partition = func(from, _ *simulatedNode) bool { return from == node }
 	case "heal":
 		s.partition = func(_, _ *simulatedNode) bool { return false }
