--- a/internal/peer/caller.go
+++ b/internal/peer/caller.go
@@ -9,9 +9,9 @@
 	"sync"
 )
 
-// partCost is what a part counts against the window besides its bytes, so that
-// many empty parts are bounded too.
-const partCost = 64
+// partOverhead is counted against the window for each part in addition to its bytes, so
+// that empty parts are bounded too.
+const partOverhead = 64
 
 // clientConnection is the dialling side of a connection.
 type clientConnection struct {
@@ -24,25 +24,25 @@
 	nextRequest uint64
 }
 
-// incoming is one whole message or failure of an answer.
-type incoming struct {
-	form    frameType
-	kind    Kind
-	payload []byte
+// incomingMessage is a complete message or failure of a response.
+type incomingMessage struct {
+	frameType frameType
+	kind      Kind
+	payload   []byte
 }
 
-// outgoingCall is one request that waits for its answer.
+// outgoingCall is a request that waits for its response.
 type outgoingCall struct {
 	request  uint64
 	assembly assembler
-	// ready has room for one signal that queue has grown.
+	// ready has capacity for one signal that queue has grown.
 	ready chan struct{}
 
-	// mutex guards queue, whose size the part window bounds.
+	// mutex guards queue, whose size is bounded by the window for parts.
 	mutex sync.Mutex
-	queue []incoming
-	// queued is the cost of what stands in queue.
-	queued int
+	queue []incomingMessage
+	// queuedBytes is the total cost of queue.
+	queuedBytes int
 }
 
 func newClientConnection(socket net.Conn, t *Transport) *clientConnection {
@@ -66,7 +66,7 @@
 }
 
 func (c *clientConnection) open() *outgoingCall {
-	c.begin()
+	c.beginRequest()
 	c.callsMutex.Lock()
 	defer c.callsMutex.Unlock()
 	c.nextRequest++
@@ -79,19 +79,19 @@
 	return call
 }
 
-// release forgets a call; an answer that comes later is dropped.
+// release unregisters a call. A later response is dropped.
 func (c *clientConnection) release(call *outgoingCall) {
 	c.callsMutex.Lock()
 	delete(c.calls, call.request)
 	c.callsMutex.Unlock()
-	c.end()
+	c.endRequest()
 }
 
-// call sends a request and hands its parts on until the final message.
+// call sends a request and passes parts to onPart until the final message.
 func (c *clientConnection) call(ctx context.Context, kind Kind, fields []byte, onPart func(Message) error) (Message, error) {
 	call := c.open()
 	defer c.release(call)
-	position, err := c.sendMessage(ctx, header{form: frameRequest, kind: kind, request: call.request}, fields)
+	position, err := c.sendMessage(ctx, header{frameType: frameRequest, kind: kind, request: call.request}, fields)
 	if err != nil {
 		c.cancel(call)
 		return nil, c.unreachable(err, position)
@@ -103,22 +103,22 @@
 			c.cancel(call)
 			return nil, c.unreachable(err, position)
 		}
-		if received.form != framePart {
+		if received.frameType != framePart {
 			return c.finish(received)
 		}
-		if err := c.handOn(received, onPart); err != nil {
+		if err := c.deliver(received, onPart); err != nil {
 			c.cancel(call)
 			return nil, err
 		}
-		consumed += len(received.payload) + partCost
+		consumed += len(received.payload) + partOverhead
 		if consumed >= c.options.PartWindowBytes/2 {
-			c.grant(call, consumed)
+			c.extendWindow(call, consumed)
 			consumed = 0
 		}
 	}
 }
 
-func (c *clientConnection) handOn(part incoming, onPart func(Message) error) error {
+func (c *clientConnection) deliver(part incomingMessage, onPart func(Message) error) error {
 	if onPart == nil {
 		return nil
 	}
@@ -129,8 +129,8 @@
 	return onPart(message)
 }
 
-func (c *clientConnection) finish(received incoming) (Message, error) {
-	switch received.form {
+func (c *clientConnection) finish(received incomingMessage) (Message, error) {
+	switch received.frameType {
 	case frameFinal:
 		return c.registry.Decode(received.kind, received.payload)
 	case frameUnknownKind:
@@ -142,28 +142,29 @@
 	}
 }
 
-// unreachable wraps why a call has no answer, with what is certain about it.
+// unreachable wraps the reason why a call has no response, as ErrNotSent if the request was
+// certainly not sent.
 func (c *clientConnection) unreachable(cause error, position uint64) error {
-	neverLeft, failure := c.failure(position)
-	if failure != nil && neverLeft {
+	notSent, failure := c.failure(position)
+	if failure != nil && notSent {
 		return fmt.Errorf("%w: %w: %w", ErrNotSent, errConnectionEnded, cause)
 	}
 	return fmt.Errorf("%w: %w", ErrUnreachable, cause)
 }
 
 func (c *clientConnection) cancel(call *outgoingCall) {
-	c.sendControl(header{form: frameCancel, request: call.request}, nil)
+	c.sendControl(header{frameType: frameCancel, request: call.request}, nil)
 }
 
-func (c *clientConnection) grant(call *outgoingCall, bytes int) {
+func (c *clientConnection) extendWindow(call *outgoingCall, bytes int) {
 	var payload [4]byte
 	binary.BigEndian.PutUint32(payload[:], uint32(bytes))
-	c.sendControl(header{form: frameWindow, request: call.request}, payload[:])
+	c.sendControl(header{frameType: frameWindow, request: call.request}, payload[:])
 }
 
-// next waits for the next message of a call's answer. What arrived before the
-// connection ended is still handed out.
-func (c *clientConnection) next(ctx context.Context, call *outgoingCall) (incoming, error) {
+// next waits for the next message of a call's response. Messages that arrived before the
+// connection ended are still returned.
+func (c *clientConnection) next(ctx context.Context, call *outgoingCall) (incomingMessage, error) {
 	for {
 		if received, found := call.take(); found {
 			return received, nil
@@ -171,36 +172,36 @@
 		select {
 		case <-call.ready:
 		case <-ctx.Done():
-			return incoming{}, ctx.Err()
+			return incomingMessage{}, ctx.Err()
 		case <-c.closed:
 			if received, found := call.take(); found {
 				return received, nil
 			}
 			_, failure := c.failure(0)
-			return incoming{}, failure
+			return incomingMessage{}, failure
 		}
 	}
 }
 
-func (o *outgoingCall) take() (incoming, bool) {
+func (o *outgoingCall) take() (incomingMessage, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if len(o.queue) == 0 {
-		return incoming{}, false
+		return incomingMessage{}, false
 	}
 	received := o.queue[0]
-	o.queue[0] = incoming{}
+	o.queue[0] = incomingMessage{}
 	o.queue = o.queue[1:]
-	o.queued -= len(received.payload) + partCost
+	o.queuedBytes -= len(received.payload) + partOverhead
 	return received, true
 }
 
-func (o *outgoingCall) put(received incoming, limit int) error {
+func (o *outgoingCall) put(received incomingMessage, limit int) error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.queued += len(received.payload) + partCost
-	if received.form == framePart && o.queued > limit {
-		return fmt.Errorf("%w: %d bytes of parts beyond the window", errProtocol, o.queued)
+	o.queuedBytes += len(received.payload) + partOverhead
+	if received.frameType == framePart && o.queuedBytes > limit {
+		return fmt.Errorf("%w: %d bytes of parts beyond the window", errProtocol, o.queuedBytes)
 	}
 	o.queue = append(o.queue, received)
 	select {
@@ -210,34 +211,34 @@
 	return nil
 }
 
-// receive takes one frame from the other side.
+// receive handles one frame from the serving side.
 func (c *clientConnection) receive(h header, payload []byte) error {
-	switch h.form {
+	switch h.frameType {
 	case framePong:
 		return nil
 	case framePart, frameFinal, frameFailure, frameUnknownKind, frameRefused:
 	default:
-		return fmt.Errorf("%w: frame type %d at the caller", errProtocol, h.form)
+		return fmt.Errorf("%w: frame type %d at the caller", errProtocol, h.frameType)
 	}
 	c.callsMutex.Lock()
 	call := c.calls[h.request]
 	c.callsMutex.Unlock()
 	if call == nil {
-		return nil // a call that was given up
+		return nil // released
 	}
-	whole, complete, err := call.assembly.add(h, payload)
+	message, complete, err := call.assembly.add(h, payload)
 	if err != nil || !complete {
 		return err
 	}
 	c.stats.MessagesReceived.Add(1)
 	limit := c.options.PartWindowBytes + c.options.MaxMessageBytes
-	return call.put(incoming{form: h.form, kind: h.kind, payload: whole}, limit)
+	return call.put(incomingMessage{frameType: h.frameType, kind: h.kind, payload: message}, limit)
 }
 
 var _ Client = (*Transport)(nil)
 
-// errConnectionEnded marks calls whose connection ended before they left.
+// errConnectionEnded marks calls whose connection ended before the request was sent.
 var errConnectionEnded = errors.New("peer: connection ended")
 
-// errStopping is why a stopping node refuses requests.
+// errStopping is the reason for refusing requests during a shutdown.
 var errStopping = errors.New("peer: the node is stopping")
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -12,57 +12,58 @@
 )
 
 const (
-	// writeHighWater is how many bytes wait for the socket before senders of
-	// messages wait too. Control frames never wait.
+	// writeHighWater is the number of pending bytes above which senders of messages block.
+	// Control frames never block.
 	writeHighWater = 1 << 20
-	// readBufferSize holds some usual frames; longer ones are read past the buffer. Each
-	// connection has one, and a node that all others ask at their start has a thousand.
+	// readBufferSize is the size of the read buffer of each connection. It holds several
+	// typical frames; longer ones bypass the buffer. It is small, since a node may have a
+	// thousand connections.
 	readBufferSize = 8 << 10
 )
 
-// errSilent tells that the other side gave no sign of life for too long.
-var errSilent = errors.New("peer: connection silent")
+// errHeartbeatTimeout means that nothing was received for SilenceTimeout.
+var errHeartbeatTimeout = errors.New("peer: connection silent")
 
-// connection frames messages over one socket. Its reader never waits for
-// anything but the socket, so one slow request does not hold up another.
+// connection frames messages over one socket. Its reader waits only for the socket, so that
+// a slow request does not block others.
 //
-// While requests are under way the connection is watched for signs of life;
-// an idle one costs nothing and is closed after a while.
+// While requests are in flight, heartbeats detect a dead connection. An idle connection
+// sends none and is closed after a timeout.
 type connection struct {
 	socket  net.Conn
 	options *Options
 	stats   *Stats
-	// pings is set on the side that dialled.
-	pings bool
-	start time.Time
-	// lastRead is when bytes came in last, since start.
+	// isClient is set on the dialling side, which sends the pings.
+	isClient bool
+	start    time.Time
+	// lastRead is the time of the last read, relative to start.
 	lastRead atomic.Int64
 	wake     chan struct{}
 	closed   chan struct{}
 
-	// mutex guards all below.
+	// mutex guards all fields below.
 	mutex   sync.Mutex
 	pending []byte
-	// appended counts bytes ever put into pending; attempted those that were
-	// handed to the socket. A request that begins at or after attempted when the
-	// connection fails certainly never left.
+	// appended counts the bytes ever appended to pending; attempted counts those passed to
+	// the socket. If the connection fails, data at positions from attempted on was
+	// certainly not sent.
 	appended  uint64
 	attempted uint64
 	written   uint64
-	// progress is closed when pending was emptied or written; nil while nobody waits.
+	// progress is closed when pending was taken or written; nil if nothing waits for it.
 	progress chan struct{}
 	active   int
-	// idleSince is when active fell to 0 last.
+	// idleSince is when active last became 0.
 	idleSince time.Time
-	// lastTick is when the timer fired last, or a watch began.
+	// lastTick is when the timer last fired or was started for the first request.
 	lastTick time.Time
 	timer    *time.Timer
 	err      error
 }
 
-func newConnection(socket net.Conn, options *Options, stats *Stats, pings bool) *connection {
+func newConnection(socket net.Conn, options *Options, stats *Stats, isClient bool) *connection {
 	c := &connection{
-		socket: socket, options: options, stats: stats, pings: pings,
+		socket: socket, options: options, stats: stats, isClient: isClient,
 		start:  time.Now(),
 		wake:   make(chan struct{}, 1),
 		closed: make(chan struct{}),
@@ -75,17 +76,17 @@
 	return c
 }
 
-// idleTimeout is longer at the accepting side, so that the side which knows of
-// the next request is the one that closes.
+// idleTimeout is longer on the accepting side, so that normally the side that sends
+// requests closes the connection.
 func (c *connection) idleTimeout() time.Duration {
-	if c.pings {
+	if c.isClient {
 		return c.options.IdleTimeout
 	}
 	return 3 * c.options.IdleTimeout
 }
 
-// sendMessage puts a message on its way in chunks and returns the position of
-// its first byte. It waits while too much is on its way already.
+// sendMessage appends a message in chunks and returns the position of its first byte. It
+// blocks while too many bytes are pending.
 func (c *connection) sendMessage(ctx context.Context, h header, fields []byte) (uint64, error) {
 	c.stats.countSent(h.kind, len(fields))
 	var position uint64
@@ -131,7 +132,7 @@
 	}
 }
 
-// sendControl puts a small frame on its way without waiting.
+// sendControl appends a small frame without blocking.
 func (c *connection) sendControl(h header, payload []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -157,14 +158,14 @@
 	return c.progress
 }
 
-func (c *connection) signalLocked() {
+func (c *connection) signalProgressLocked() {
 	if c.progress != nil {
 		close(c.progress)
 		c.progress = nil
 	}
 }
 
-// flush waits until all that was put on its way is written, or the connection ended.
+// flush waits until all appended bytes are written or the connection has ended.
 func (c *connection) flush(ctx context.Context) {
 	for {
 		c.mutex.Lock()
@@ -183,7 +184,7 @@
 	}
 }
 
-// writeLoop hands what is pending to the socket, as much at once as there is.
+// writeLoop writes all pending bytes at once whenever there are any.
 func (c *connection) writeLoop() {
 	var buffer []byte
 	for {
@@ -195,7 +196,7 @@
 		c.mutex.Lock()
 		buffer, c.pending = c.pending, buffer[:0]
 		c.attempted = c.appended
-		c.signalLocked()
+		c.signalProgressLocked()
 		c.mutex.Unlock()
 		written, err := c.socket.Write(buffer)
 		c.stats.BytesSent.Add(int64(written))
@@ -205,7 +206,7 @@
 		}
 		c.mutex.Lock()
 		c.written += uint64(written)
-		c.signalLocked()
+		c.signalProgressLocked()
 		c.mutex.Unlock()
 		if cap(buffer) > 2*writeHighWater {
 			buffer = nil
@@ -213,7 +214,7 @@
 	}
 }
 
-// readLoop hands every frame to handle until the connection or handle fails.
+// readLoop passes every frame to handle until the connection or handle fails.
 func (c *connection) readLoop(handle func(h header, payload []byte) error) {
 	reader := bufio.NewReaderSize(&countingReader{c}, readBufferSize)
 	var scratch [headerSize]byte
@@ -238,8 +239,8 @@
 	return count, err
 }
 
-// begin tells that a request is under way; the first one starts the watch.
-func (c *connection) begin() {
+// beginRequest counts a request in flight. The first one starts the heartbeats.
+func (c *connection) beginRequest() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.active++
@@ -251,8 +252,8 @@
 	c.timer.Reset(c.options.HeartbeatInterval)
 }
 
-// end tells that a request is over; the last one ends the watch.
-func (c *connection) end() {
+// endRequest counts the end of a request. The last one stops the heartbeats.
+func (c *connection) endRequest() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.active--
@@ -262,15 +263,15 @@
 	}
 }
 
-// rearmLocked sets the timer again and tells whether to look for signs of life.
-// A timer that fired for a heartbeat may get here after the last request ended;
-// only the time since then counts as idle.
+// rearmLocked resets the timer and reports whether to check for a heartbeat timeout. A
+// timer that fired for a heartbeat may run after the last request has ended; only the time
+// since then counts as idle.
 func (c *connection) rearmLocked() bool {
 	if c.err != nil {
 		return false
 	}
 	if c.active > 0 {
-		c.forgiveStallLocked()
+		c.resetAfterPauseLocked()
 		c.timer.Reset(c.options.HeartbeatInterval)
 		return true
 	}
@@ -282,10 +283,9 @@
 	return false
 }
 
-// forgiveStallLocked begins the watch anew after a time in which this process
-// itself did not run: what came in meanwhile was not read yet, so the silence
-// tells nothing of the other side.
-func (c *connection) forgiveStallLocked() {
+// resetAfterPauseLocked restarts the heartbeat timeout after a pause of this process. Data
+// that arrived during the pause has not been read yet.
+func (c *connection) resetAfterPauseLocked() {
 	now := time.Now()
 	if now.Sub(c.lastTick) > 2*c.options.HeartbeatInterval {
 		c.lastRead.Store(int64(now.Sub(c.start)))
@@ -293,7 +293,8 @@
 	c.lastTick = now
 }
 
-// tick checks for signs of life, or closes a connection that idled too long.
+// tick checks for a heartbeat timeout, or closes a connection that has been idle for too
+// long.
 func (c *connection) tick() {
 	c.mutex.Lock()
 	watch := c.rearmLocked()
@@ -303,18 +304,18 @@
 	}
 	silence := time.Since(c.start) - time.Duration(c.lastRead.Load())
 	if silence > c.options.SilenceTimeout {
-		c.fail(fmt.Errorf("%w for %s", errSilent, silence.Round(time.Millisecond)))
+		c.fail(fmt.Errorf("%w for %s", errHeartbeatTimeout, silence.Round(time.Millisecond)))
 		return
 	}
-	if c.pings {
-		c.sendControl(header{form: framePing}, nil)
+	if c.isClient {
+		c.sendControl(header{frameType: framePing}, nil)
 	}
 }
 
-// errIdle is why a connection without requests is closed.
+// errIdle is the reason for closing a connection without requests.
 var errIdle = errors.New("peer: connection idle")
 
-// fail ends the connection; the first reason stands.
+// fail ends the connection. Only the first error is kept.
 func (c *connection) fail(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -331,12 +332,12 @@
 	}
 	c.timer.Stop()
 	close(c.closed)
-	_ = c.socket.Close() // nothing can be done about a socket that does not close
+	_ = c.socket.Close() // nothing can be done about a close error
 }
 
-// failure returns why the connection ended, nil if it did not, and whether what
-// began at position certainly never left.
-func (c *connection) failure(position uint64) (neverLeft bool, err error) {
+// failure returns the error that ended the connection, or nil, and whether data at position
+// was certainly not sent.
+func (c *connection) failure(position uint64) (notSent bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return position >= c.attempted, c.err
--- a/internal/peer/connection_test.go
+++ b/internal/peer/connection_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// A process that was stopped itself does not take its own silence for the other
-// side's; a silence that goes on afterwards still ends the connection.
-func TestStallOfThisProcessIsForgivenOnce(t *testing.T) {
+// A pause of this process must not count as a heartbeat timeout, but lack of data after it
+// must.
+func TestProcessPauseResetsHeartbeatTimeoutOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		near, far := net.Pipe()
@@ -20,17 +20,17 @@
 		options := Options{}.withDefaults()
 		c := newConnection(near, &options, &Stats{}, true)
 		go c.writeLoop()
-		c.begin()
+		c.beginRequest()
 		time.Sleep(time.Second)
-		// As if the timer of that second fired ten seconds late.
+		// Simulates that the timer fires ten seconds late.
 		c.mutex.Lock()
 		c.start = c.start.Add(-10 * time.Second)
 		c.lastTick = c.lastTick.Add(-10 * time.Second)
 		c.mutex.Unlock()
 		time.Sleep(time.Second)
-		neverLeft, err := c.failure(0)
+		notSent, err := c.failure(0)
 		is.NoErr(err)
-		is.True(!neverLeft) // pings left
+		is.True(!notSent) // pings were sent
 		time.Sleep(2 * time.Second)
 		_, err = c.failure(0)
 		is.True(err != nil)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,9 +1,9 @@
-// Package peer is the protocol between stepseam nodes: typed messages in
-// encoding/binary form, framed over TCP. Every request names a kind; its answer
-// is zero or more parts and then one final message or one error.
+// Package peer implements the protocol between nodes: typed messages in binary encoding,
+// framed over TCP. Every request has a kind. Its response is any number of parts followed
+// by one final message or error.
 //
-// The package knows no message types itself. Each subsystem keeps its own
-// messages beside its code and adds them to the node's Registry.
+// The package defines no message types. Each subsystem registers its own messages in the
+// node's Registry.
 package peer
 
 import (
@@ -15,11 +15,11 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Kind numbers a message type on the wire. Kinds are never reused.
+// Kind identifies a message type on the wire. Kinds are never reused.
 type Kind uint16
 
-// The ranges of kinds, one per subsystem. Each subsystem declares its kinds as
-// its range's first number plus a small constant.
+// The ranges of kinds, one per subsystem. A subsystem's kinds are the start of its range
+// plus a small constant.
 const (
 	KindRangeJournal      Kind = 100
 	KindRangePrograms     Kind = 200
@@ -34,7 +34,7 @@
 	kindRangeSize = 100
 )
 
-// Message is one typed message of the internal protocol.
+// Message is a typed message of the protocol.
 type Message interface {
 	Kind() Kind
 	// Encode appends the message's fields.
@@ -43,18 +43,18 @@
 	Decode(d *wire.Decoder)
 }
 
-// ErrUnreachable tells that a request did not reach the other node, or that its
-// answer got lost: the request may or may not have been acted on.
+// ErrUnreachable means that there is no response from the other node: the request may or
+// may not have been handled.
 var ErrUnreachable = errors.New("peer: unreachable")
 
-// ErrNotSent is an ErrUnreachable for which the request certainly never left.
+// ErrNotSent is an ErrUnreachable whose request was certainly not handled.
 var ErrNotSent = fmt.Errorf("%w: not sent", ErrUnreachable)
 
-// ErrUnknownKind tells that the other side does not know the message kind.
+// ErrUnknownKind means that the other node does not know the kind of a message.
 var ErrUnknownKind = errors.New("peer: unknown message kind")
 
-// RemoteError is an error that the other node's handler returned, as text.
-// Handlers that need typed refusals answer with a message instead.
+// RemoteError is an error returned by the other node's handler, as text. Handlers with
+// typed errors return them in a message instead.
 type RemoteError struct{ Text string }
 
 // Error returns the other node's text.
@@ -62,21 +62,21 @@
 
 // Client sends requests to other nodes. It is safe for concurrent use.
 type Client interface {
-	// Call sends request to the node at address and returns the final message.
-	// Parts that come before it are handed to onPart in order; a nil onPart
-	// drops them; an error from onPart ends the call with that error. When ctx
-	// ends, the handler on the other side sees its context cancelled.
+	// Call sends request to the node at address and returns the final message. Preceding
+	// parts are passed to onPart in order, or dropped if it is nil. An error from onPart
+	// ends the call with that error. When ctx ends, the context of the handler on the other
+	// node is cancelled.
 	Call(ctx context.Context, address netip.AddrPort, request Message, onPart func(Message) error) (Message, error)
 }
 
-// Handler answers the requests of the kinds it is registered for.
+// Handler handles the requests of the kinds that it is registered for.
 type Handler interface {
-	// Handle acts on request and returns the final message. It may send parts
-	// before; sendPart returns an error once the caller is gone.
+	// Handle handles request and returns the final message. It may send parts before.
+	// sendPart returns an error if the caller no longer waits for the response.
 	Handle(ctx context.Context, request Message, sendPart func(Message) error) (Message, error)
 }
 
-// HandlerFunc is a function that serves as a Handler.
+// HandlerFunc adapts a function to a Handler.
 type HandlerFunc func(ctx context.Context, request Message, sendPart func(Message) error) (Message, error)
 
 // Handle calls f.
@@ -84,8 +84,8 @@
 	return f(ctx, request, sendPart)
 }
 
-// Registry knows how to make an empty message of each kind, and which handler
-// takes it. It is filled while the node is wired and only read afterwards.
+// Registry maps kinds to constructors of messages and to handlers. It must not be modified
+// once the transport is in use.
 type Registry struct {
 	makers   map[Kind]func() Message
 	handlers map[Kind]Handler
@@ -96,7 +96,7 @@
 	return &Registry{makers: map[Kind]func() Message{}, handlers: map[Kind]Handler{}}
 }
 
-// Add registers a message type by a function that makes an empty one.
+// Add registers message types by functions that return an empty message.
 func (r *Registry) Add(makers ...func() Message) {
 	for _, maker := range makers {
 		r.makers[maker().Kind()] = maker
@@ -109,7 +109,7 @@
 // Handler returns the handler for kind, or nil.
 func (r *Registry) Handler(kind Kind) Handler { return r.handlers[kind] }
 
-// Decode makes the message of kind from its encoded fields.
+// Decode decodes a message of the given kind.
 func (r *Registry) Decode(kind Kind, fields []byte) (Message, error) {
 	maker, found := r.makers[kind]
 	if !found {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,27 +16,27 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// The pauses after a connection could not be accepted.
+// The bounds of the exponential delay after an accept error.
 const (
-	minAcceptPause = 5 * time.Millisecond
-	maxAcceptPause = time.Second
+	minAcceptDelay = 5 * time.Millisecond
+	maxAcceptDelay = time.Second
 )
 
-// errCallerGone is what sendPart returns once nobody waits for the parts.
-var errCallerGone = errors.New("peer: the caller is gone")
+// errCallerDisconnected is returned by sendPart if the caller no longer waits.
+var errCallerDisconnected = errors.New("peer: the caller is gone")
 
-// server is the serving side of a transport.
+// server is the accepting side of a transport.
 type server struct {
 	transport *Transport
-	// handling counts the handlers at work in each range of kinds. Each range has
-	// room of its own, so that calls that wait for minutes cannot keep lease
-	// renewals and records of the journal out.
-	handling [handlerRanges]atomic.Int64
-	stopping atomic.Bool
-	life     context.Context
-	kill     context.CancelFunc
+	// activeHandlers counts the running handlers per range of kinds. Each range has a limit
+	// of its own, so that calls that wait for minutes cannot block lease renewals and
+	// journal records.
+	activeHandlers [handlerRanges]atomic.Int64
+	stopping       atomic.Bool
+	baseContext    context.Context
+	cancelBase     context.CancelFunc
 
-	// mutex guards listeners and connections, and orders admission against stop.
+	// mutex guards listeners and connections, and orders admissions with respect to stop.
 	mutex       sync.Mutex
 	listeners   map[net.Listener]bool
 	connections map[*serverConnection]bool
@@ -44,41 +44,41 @@
 }
 
 func newServer(transport *Transport) server {
-	life, kill := context.WithCancel(context.Background())
+	baseContext, cancelBase := context.WithCancel(context.Background())
 	return server{
-		transport: transport, life: life, kill: kill,
+		transport: transport, baseContext: baseContext, cancelBase: cancelBase,
 		listeners: map[net.Listener]bool{}, connections: map[*serverConnection]bool{},
 	}
 }
 
-// Serve takes connections from listener until it is closed, by Shutdown or
-// Close, and then returns nil. The registry must be complete by now.
+// Serve accepts connections from listener until Shutdown or Close closes it, and then
+// returns nil. The registry must be complete before.
 func (t *Transport) Serve(listener net.Listener) error {
-	t.server.track(listener)
-	pause := minAcceptPause
+	t.server.addListener(listener)
+	delay := minAcceptDelay
 	for {
 		socket, err := listener.Accept()
 		if err == nil {
-			pause = minAcceptPause
+			delay = minAcceptDelay
 			go t.server.accept(socket)
 			continue
 		}
 		if t.server.stopping.Load() || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		// Such as too many open files: it passes, and a node that took no more
-		// connections would be lost.
+		// Errors such as too many open files are transient, so the node must keep
+		// accepting.
 		t.options.Logger.Error("peer connection not accepted", "address", listener.Addr(), "error", err)
 		select {
-		case <-time.After(pause):
-		case <-t.server.life.Done():
+		case <-time.After(delay):
+		case <-t.server.baseContext.Done():
 		}
-		pause = min(2*pause, maxAcceptPause)
+		delay = min(2*delay, maxAcceptDelay)
 	}
 }
 
-// Shutdown closes the listeners, refuses new requests (as ErrNotSent at their
-// callers) and waits until all handlers returned, or ctx ends.
+// Shutdown closes the listeners, refuses new requests, which callers see as ErrNotSent, and
+// waits until all handlers have returned or ctx ends.
 func (t *Transport) Shutdown(ctx context.Context) error {
 	t.server.stop()
 	done := make(chan struct{})
@@ -91,25 +91,25 @@
 		t.server.flush(ctx)
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("peer: shutdown with %d handlers at work: %w", t.server.atWork(), ctx.Err())
+		return fmt.Errorf("peer: shutdown with %d handlers at work: %w", t.server.totalActive(), ctx.Err())
 	}
 }
 
-// handlerRanges is the number of ranges of kinds; kinds above them share the last.
+// handlerRanges is the number of ranges of kinds. Kinds above share the last range.
 const handlerRanges = 10
 
 func handlerRange(kind Kind) int { return min(int(kind/kindRangeSize), handlerRanges-1) }
 
-// atWork returns the number of handlers at work.
-func (s *server) atWork() int64 {
+// totalActive returns the number of running handlers.
+func (s *server) totalActive() int64 {
 	var total int64
-	for i := range s.handling {
-		total += s.handling[i].Load()
+	for i := range s.activeHandlers {
+		total += s.activeHandlers[i].Load()
 	}
 	return total
 }
 
-// flush waits until the answers of all handlers are written.
+// flush waits until the responses of all handlers are written.
 func (s *server) flush(ctx context.Context) {
 	s.mutex.Lock()
 	connections := slices.Collect(maps.Keys(s.connections))
@@ -119,7 +119,7 @@
 	}
 }
 
-func (s *server) track(listener net.Listener) {
+func (s *server) addListener(listener net.Listener) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listeners[listener] = true
@@ -133,13 +133,13 @@
 	defer s.mutex.Unlock()
 	s.stopping.Store(true)
 	for listener := range s.listeners {
-		_ = listener.Close() // a listener that is closed already is what is wanted
+		_ = listener.Close() // it may be closed already
 	}
 }
 
 func (s *server) close() {
 	s.stop()
-	s.kill()
+	s.cancelBase()
 	s.mutex.Lock()
 	connections := s.connections
 	s.connections = map[*serverConnection]bool{}
@@ -164,12 +164,12 @@
 	s.mutex.Lock()
 	s.connections[connection] = true
 	s.mutex.Unlock()
-	if s.life.Err() != nil {
+	if s.baseContext.Err() != nil {
 		connection.fail(net.ErrClosed)
 	}
 	go connection.writeLoop()
 	connection.readLoop(connection.receive)
-	connection.abandon()
+	connection.cancelAll()
 	s.mutex.Lock()
 	delete(s.connections, connection)
 	s.mutex.Unlock()
@@ -199,34 +199,34 @@
 	requests      map[uint64]*incomingRequest
 }
 
-// incomingRequest is one request that is being received or handled.
+// incomingRequest is a request that is being received or handled.
 type incomingRequest struct {
 	number uint64
-	// assembly and complete are used by the reader alone.
-	assembly assembler
-	complete bool
-	ctx      context.Context
-	cancel   context.CancelFunc
-	granted  chan struct{}
-	// credit is how many bytes of parts may still be sent.
+	// assembly and complete are used only by the reader.
+	assembly       assembler
+	complete       bool
+	ctx            context.Context
+	cancel         context.CancelFunc
+	windowExtended chan struct{}
+	// credit is the remaining window for parts in bytes.
 	credit atomic.Int64
 }
 
-// receive takes one frame from the caller's side.
+// receive handles one frame from the dialling side.
 func (c *serverConnection) receive(h header, payload []byte) error {
-	switch h.form {
+	switch h.frameType {
 	case framePing:
-		c.sendControl(header{form: framePong}, nil)
+		c.sendControl(header{frameType: framePong}, nil)
 		return nil
 	case frameRequest:
 		return c.receiveRequest(h, payload)
 	case frameCancel:
-		c.drop(h.request)
+		c.remove(h.request)
 		return nil
 	case frameWindow:
 		return c.receiveWindow(h, payload)
 	default:
-		return fmt.Errorf("%w: frame type %d at the server", errProtocol, h.form)
+		return fmt.Errorf("%w: frame type %d at the server", errProtocol, h.frameType)
 	}
 }
 
@@ -235,7 +235,7 @@
 	if request.complete {
 		return fmt.Errorf("%w: request %d came twice", errProtocol, h.request)
 	}
-	whole, complete, err := request.assembly.add(h, payload)
+	message, complete, err := request.assembly.add(h, payload)
 	if err != nil || !complete {
 		return err
 	}
@@ -243,64 +243,64 @@
 	c.stats.MessagesReceived.Add(1)
 	if reason := c.server.admit(h.kind); reason != nil {
 		c.stats.Refused.Add(1)
-		c.drop(h.request)
-		c.sendControl(header{form: frameRefused, request: h.request}, []byte(reason.Error()))
+		c.remove(h.request)
+		c.sendControl(header{frameType: frameRefused, request: h.request}, []byte(reason.Error()))
 		return nil
 	}
-	go c.handle(request, h.kind, whole)
+	go c.handle(request, h.kind, message)
 	return nil
 }
 
-// admit takes room for one handler, or tells why there is none.
+// admit counts a new handler, or returns the reason why it is refused.
 func (s *server) admit(kind Kind) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.stopping.Load() {
 		return errStopping
 	}
-	room := &s.handling[handlerRange(kind)]
-	if room.Load() >= int64(s.transport.options.MaxHandlers) {
-		return fmt.Errorf("peer: %d requests of the kind's range at work", room.Load())
+	active := &s.activeHandlers[handlerRange(kind)]
+	if active.Load() >= int64(s.transport.options.MaxHandlers) {
+		return fmt.Errorf("peer: %d requests of the kind's range at work", active.Load())
 	}
-	room.Add(1)
+	active.Add(1)
 	s.handlers.Add(1)
 	return nil
 }
 
-// request returns the request of that number, new at its first chunk.
+// request returns the request with a number, and creates it for its first chunk.
 func (c *serverConnection) request(number uint64) *incomingRequest {
 	c.requestsMutex.Lock()
 	defer c.requestsMutex.Unlock()
 	if found := c.requests[number]; found != nil {
 		return found
 	}
-	ctx, cancel := context.WithCancel(c.server.life)
+	ctx, cancel := context.WithCancel(c.server.baseContext)
 	request := &incomingRequest{
 		number:   number,
 		assembly: assembler{limit: c.options.MaxMessageBytes},
 		ctx:      ctx, cancel: cancel,
-		granted: make(chan struct{}, 1),
+		windowExtended: make(chan struct{}, 1),
 	}
 	request.credit.Store(int64(c.options.PartWindowBytes))
 	c.requests[number] = request
-	c.begin()
+	c.beginRequest()
 	return request
 }
 
-// drop forgets a request whose answer is sent or not wanted.
-func (c *serverConnection) drop(number uint64) {
+// remove deletes a request that has ended or been cancelled.
+func (c *serverConnection) remove(number uint64) {
 	c.requestsMutex.Lock()
 	request := c.requests[number]
 	delete(c.requests, number)
 	c.requestsMutex.Unlock()
 	if request != nil {
 		request.cancel()
-		c.end()
+		c.endRequest()
 	}
 }
 
-// abandon cancels all requests of a connection that ended.
-func (c *serverConnection) abandon() {
+// cancelAll cancels all requests after the connection has ended.
+func (c *serverConnection) cancelAll() {
 	c.requestsMutex.Lock()
 	requests := c.requests
 	c.requests = map[uint64]*incomingRequest{}
@@ -322,20 +322,20 @@
 	}
 	request.credit.Add(int64(binary.BigEndian.Uint32(payload)))
 	select {
-	case request.granted <- struct{}{}:
+	case request.windowExtended <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-// handle runs the handler and sends its answer.
+// handle runs the handler and sends its response.
 func (c *serverConnection) handle(request *incomingRequest, kind Kind, fields []byte) {
 	defer c.server.handlers.Done()
-	defer c.server.handling[handlerRange(kind)].Add(-1)
-	defer c.drop(request.number)
+	defer c.server.activeHandlers[handlerRange(kind)].Add(-1)
+	defer c.remove(request.number)
 	handler := c.server.transport.registry.Handler(kind)
 	if handler == nil {
-		c.sendControl(header{form: frameUnknownKind, kind: kind, request: request.number}, nil)
+		c.sendControl(header{frameType: frameUnknownKind, kind: kind, request: request.number}, nil)
 		return
 	}
 	message, err := c.server.transport.registry.Decode(kind, fields)
@@ -345,43 +345,43 @@
 		})
 	}
 	if request.ctx.Err() != nil {
-		return // nobody waits
+		return // the caller no longer waits
 	}
 	if err != nil {
 		text := err.Error()
-		c.sendControl(header{form: frameFailure, request: request.number}, []byte(text[:min(len(text), chunkSize)]))
+		c.sendControl(header{frameType: frameFailure, request: request.number}, []byte(text[:min(len(text), chunkSize)]))
 		return
 	}
-	// An error here is the connection's end, which the caller notices itself.
-	_ = c.sendAnswer(request, frameFinal, message)
+	// An error means that the connection has ended, which the caller detects itself.
+	_ = c.sendResponse(request, frameFinal, message)
 }
 
-func (c *serverConnection) sendAnswer(request *incomingRequest, form frameType, message Message) error {
+func (c *serverConnection) sendResponse(request *incomingRequest, frameType frameType, message Message) error {
 	encoder := wire.NewEncoder(nil)
 	message.Encode(encoder)
-	_, err := c.sendMessage(request.ctx, header{form: form, kind: message.Kind(), request: request.number}, encoder.Bytes())
+	_, err := c.sendMessage(request.ctx, header{frameType: frameType, kind: message.Kind(), request: request.number}, encoder.Bytes())
 	return err
 }
 
-// sendPart sends a part once the window has room; a part larger than what is
-// left goes out whole and is paid for by later grants.
+// sendPart sends a part once the window is open. A part larger than the window is sent
+// whole and deducted from later extensions.
 func (c *serverConnection) sendPart(request *incomingRequest, part Message) error {
 	for request.credit.Load() <= 0 {
 		select {
-		case <-request.granted:
+		case <-request.windowExtended:
 		case <-request.ctx.Done():
-			return errCallerGone
+			return errCallerDisconnected
 		}
 	}
 	if request.ctx.Err() != nil {
-		return errCallerGone
+		return errCallerDisconnected
 	}
 	encoder := wire.NewEncoder(nil)
 	part.Encode(encoder)
-	request.credit.Add(-int64(len(encoder.Bytes()) + partCost))
-	_, err := c.sendMessage(request.ctx, header{form: framePart, kind: part.Kind(), request: request.number}, encoder.Bytes())
+	request.credit.Add(-int64(len(encoder.Bytes()) + partOverhead))
+	_, err := c.sendMessage(request.ctx, header{frameType: framePart, kind: part.Kind(), request: request.number}, encoder.Bytes())
 	if err != nil {
-		return fmt.Errorf("%w: %w", errCallerGone, err)
+		return fmt.Errorf("%w: %w", errCallerDisconnected, err)
 	}
 	return nil
 }
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// TestEachRangeOfKindsHasRoomOfItsOwn: questions of one range that are held must not keep
-// those of another out.
-func TestEachRangeOfKindsHasRoomOfItsOwn(t *testing.T) {
+// Blocked requests of one range must not use up the handlers of another.
+func TestKindRangesHaveSeparateHandlerLimits(t *testing.T) {
 	ranges := []Kind{KindRangeJournal, KindRangePrograms, KindRangeTable, KindRangeBackends, KindRangeOperator, KindRangeLedger, KindRangeRelay, KindRangeLimits, KindRangeDistribution}
 	seen := map[int]Kind{}
 	for _, kind := range ranges {
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -6,37 +6,36 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// countedKinds is the number of kinds that are counted apart; kinds above it
-// are counted together.
-const countedKinds = 1024
+// trackedKinds is the number of kinds with separate counters. Kinds above share one.
+const trackedKinds = 1024
 
-// Stats counts what a transport did since it was made. It is safe for
-// concurrent use.
+// Stats counts the events of a transport. It is safe for concurrent use.
 type Stats struct {
 	BytesSent        atomic.Int64
 	BytesReceived    atomic.Int64
 	MessagesSent     atomic.Int64
 	MessagesReceived atomic.Int64
-	// Dials counts connections asked for, DialFailures those not made.
+	// Dials counts attempts to connect, DialFailures the failed ones.
 	Dials        atomic.Int64
 	DialFailures atomic.Int64
-	// Broken counts connections that ended with requests under way.
+	// Broken counts connections that ended with requests in flight.
 	Broken atomic.Int64
-	// Refused counts requests that were handed to no handler for lack of room.
+	// Refused counts requests that were not passed to a handler, because of its limit or a
+	// shutdown.
 	Refused atomic.Int64
 
-	sentByKind [countedKinds]atomic.Int64
+	sentByKind [trackedKinds]atomic.Int64
 }
 
-// SentBytes returns the bytes of messages of kind that were sent, without framing.
-func (s *Stats) SentBytes(kind Kind) int64 { return s.sentByKind[min(kind, countedKinds-1)].Load() }
+// SentBytes returns the bytes sent in messages of a kind, without framing.
+func (s *Stats) SentBytes(kind Kind) int64 { return s.sentByKind[min(kind, trackedKinds-1)].Load() }
 
 func (s *Stats) countSent(kind Kind, bytes int) {
 	s.MessagesSent.Add(1)
-	s.sentByKind[min(kind, countedKinds-1)].Add(int64(bytes))
+	s.sentByKind[min(kind, trackedKinds-1)].Add(int64(bytes))
 }
 
-// statDescriptions are the metrics that a transport shows, with their counters.
+// statDescriptions are the transport's metrics with their counters.
 var statDescriptions = []struct {
 	description *prometheus.Desc
 	value       func(*Stats) *atomic.Int64
@@ -55,19 +54,19 @@
 	return prometheus.NewDesc("stepseam_peer_"+name, help, nil, nil)
 }
 
-// collector shows a transport's counters as metrics.
+// collector exposes a transport's counters as metrics.
 type collector struct{ stats *Stats }
 
 // Describe implements prometheus.Collector.
 func (c *collector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, shown := range statDescriptions {
-		descriptions <- shown.description
+	for _, stat := range statDescriptions {
+		descriptions <- stat.description
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
-	for _, shown := range statDescriptions {
-		metrics <- prometheus.MustNewConstMetric(shown.description, prometheus.CounterValue, float64(shown.value(c.stats).Load()))
+	for _, stat := range statDescriptions {
+		metrics <- prometheus.MustNewConstMetric(stat.description, prometheus.CounterValue, float64(stat.value(c.stats).Load()))
 	}
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -17,7 +17,7 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Defaults of Options.
+// The defaults of Options.
 const (
 	defaultDialTimeout       = time.Second
 	defaultHeartbeatInterval = 450 * time.Millisecond
@@ -31,26 +31,26 @@
 	maxDialBackoff = time.Second
 )
 
-// Options are a transport's settings; zero fields take their defaults. A dead
-// connection with requests under way is noticed within SilenceTimeout plus
-// HeartbeatInterval, below two seconds by default.
+// Options configures a Transport; zero fields have defaults. A dead connection with
+// requests in flight is detected within SilenceTimeout plus HeartbeatInterval, which is
+// less than two seconds by default.
 type Options struct {
 	DialTimeout       time.Duration
 	HeartbeatInterval time.Duration
 	SilenceTimeout    time.Duration
-	// IdleTimeout closes connections without requests.
+	// IdleTimeout is how long a connection without requests is kept.
 	IdleTimeout time.Duration
-	// MaxMessageBytes bounds one message, whatever its chunks.
+	// MaxMessageBytes bounds the size of one message.
 	MaxMessageBytes int
-	// MaxHandlers bounds the requests of each range of kinds that are handled at
-	// once; more are refused.
+	// MaxHandlers bounds the handlers running concurrently in each range of kinds. Further
+	// requests are refused.
 	MaxHandlers int
-	// PartWindowBytes is how many bytes of parts one request may have on their way.
+	// PartWindowBytes is the flow-control window for the parts of one request.
 	PartWindowBytes int
 	// Dial opens a connection; nil dials TCP.
 	Dial   func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 	Logger *slog.Logger
-	// Registerer takes the transport's metrics; it may be nil.
+	// Registerer registers the transport's metrics; it may be nil.
 	Registerer prometheus.Registerer
 }
 
@@ -72,9 +72,9 @@
 	return o
 }
 
-// Transport carries the peer protocol over TCP: one connection per direction
-// between two nodes, on which all requests are multiplexed. It implements
-// Client; Serve takes the other nodes' connections.
+// Transport implements the protocol over TCP. There is one connection per direction between
+// two nodes, on which all requests are multiplexed. It implements Client; Serve accepts the
+// connections of other nodes.
 type Transport struct {
 	registry *Registry
 	options  Options
@@ -87,8 +87,8 @@
 	closed bool
 }
 
-// NewTransport returns a transport. The registry may be filled until the first
-// Call or Serve.
+// NewTransport returns a transport. The registry may be filled until the first Call or
+// Serve.
 func NewTransport(registry *Registry, options Options) *Transport {
 	t := &Transport{
 		registry: registry,
@@ -105,8 +105,8 @@
 // Stats returns the transport's counters.
 func (t *Transport) Stats() *Stats { return &t.stats }
 
-// Call implements Client. Errors before the request was handed to the socket,
-// and refusals of a node that handed it to no handler, are ErrNotSent.
+// Call implements Client. It returns ErrNotSent for errors before the request was passed to
+// the socket, and for requests that the other node has refused.
 func (t *Transport) Call(ctx context.Context, address netip.AddrPort, request Message, onPart func(Message) error) (Message, error) {
 	encoder := wire.NewEncoder(nil)
 	request.Encode(encoder)
@@ -116,7 +116,7 @@
 	}
 	message, err := t.callOnce(ctx, address, request.Kind(), fields, onPart)
 	if errors.Is(err, errConnectionEnded) && errors.Is(err, ErrNotSent) {
-		// The connection idled out or broke just before; a new one is worth a try.
+		// The connection was idle for too long or broke just before, so retry on a new one.
 		message, err = t.callOnce(ctx, address, request.Kind(), fields, onPart)
 	}
 	return message, err
@@ -134,8 +134,7 @@
 	return message, err
 }
 
-// Close ends all connections at once; Shutdown of the serving side comes first
-// in a planned stop.
+// Close closes all connections immediately. For a graceful stop, call Shutdown first.
 func (t *Transport) Close() {
 	t.mutex.Lock()
 	t.closed = true
@@ -148,14 +147,14 @@
 	t.server.close()
 }
 
-// link is the way to one address: a connection, or a dial under way, or a time
-// before which no new dial is made.
+// link is the state of the connection to one address: connected, dialling, or waiting to
+// retry a failed dial.
 type link struct {
 	transport *Transport
 	address   netip.AddrPort
 
-	// mutex guards all below. dialling is not nil while a dial is under way and
-	// closed after it.
+	// mutex guards all fields below. dialling is closed at the end of a dial and nil if
+	// there is none in progress.
 	mutex      sync.Mutex
 	connection *clientConnection
 	dialling   chan struct{}
@@ -179,8 +178,8 @@
 	return found, nil
 }
 
-// connect returns the live connection to address, dialling if there is none.
-// All callers share one dial.
+// connect returns the connection to address and dials if there is none. Concurrent callers
+// share one dial.
 func (t *Transport) connect(ctx context.Context, address netip.AddrPort) (*clientConnection, error) {
 	link, err := t.link(address)
 	if err != nil {
@@ -199,7 +198,7 @@
 	}
 }
 
-// current returns the live connection, or the dial to wait for, or why not.
+// current returns the connection, a dial to wait for, or the error of the last dial.
 func (l *link) current() (*clientConnection, <-chan struct{}, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -227,7 +226,7 @@
 	defer cancel()
 	socket, err := t.options.Dial(ctx, l.address)
 	if err == nil {
-		_ = socket.SetWriteDeadline(time.Now().Add(t.options.DialTimeout)) // a socket that cannot fails at the write
+		_ = socket.SetWriteDeadline(time.Now().Add(t.options.DialTimeout)) // if this fails, so does the write
 		_, err = socket.Write([]byte(preface))
 		_ = socket.SetWriteDeadline(time.Time{})
 	}
@@ -249,8 +248,8 @@
 	}
 }
 
-// dialBackoff doubles with each failure in a row, with jitter so that nodes do
-// not dial a returning one all at once.
+// dialBackoff returns an exponential delay with jitter, so that nodes do not all dial a
+// recovered node at once.
 func dialBackoff(failures int) time.Duration {
 	limit := min(minDialBackoff<<min(failures-1, 10), maxDialBackoff)
 	return limit/2 + rand.N(limit/2)
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -31,7 +31,7 @@
 func (m *blob) Encode(e *wire.Encoder) { e.Blob(m.data) }
 func (m *blob) Decode(d *wire.Decoder) { m.data = d.Blob() }
 
-// handle answers by what the request begins with.
+// handle behaves according to the prefix of the request.
 func handle(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 	data := request.(*blob).data
 	switch {
@@ -57,15 +57,14 @@
 	registry := peer.NewRegistry()
 	registry.Add(func() peer.Message { return &blob{} })
 	registry.Handle(kindBlob, handler)
-	registry.Add(func() peer.Message { return &journalled{} })
+	registry.Add(func() peer.Message { return &journalMessage{} })
 	registry.Handle(peer.KindRangeJournal+1, peer.HandlerFunc(func(context.Context, peer.Message, func(peer.Message) error) (peer.Message, error) {
-		return &journalled{}, nil
+		return &journalMessage{}, nil
 	}))
 	return registry
 }
 
-// pipeListener hands the far ends of pipes to the serving side, so that a
-// transport runs in virtual time.
+// pipeListener accepts the far ends of pipes, so that a transport runs in virtual time.
 type pipeListener struct {
 	sockets chan net.Conn
 	once    sync.Once
@@ -104,7 +103,7 @@
 	}
 }
 
-// pair is a calling and a serving transport in a synctest bubble.
+// pair is a client and a server transport in a synctest bubble.
 type pair struct {
 	listener *pipeListener
 	server   *peer.Transport
@@ -169,7 +168,7 @@
 	server.Close()
 }
 
-func TestPartsComeInOrderAndASlowReaderBlocksNoOther(t *testing.T) {
+func TestPartsAreOrderedAndSlowReaderDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, peer.Options{})
@@ -181,7 +180,7 @@
 				is.Equal(string(part.(*blob).data[:4]), fmt.Sprintf("%04d", next))
 				if next == 0 {
 					close(first)
-					time.Sleep(time.Hour) // the slow reader
+					time.Sleep(time.Hour) // slow reader
 				}
 				next++
 				return nil
@@ -207,7 +206,7 @@
 		var remote *peer.RemoteError
 		is.True(errors.As(err, &remote))
 		is.Equal(remote.Text, "refused")
-		_, err = p.client.Call(t.Context(), anyAddress, &unknown{}, nil)
+		_, err = p.client.Call(t.Context(), anyAddress, &unknownMessage{}, nil)
 		is.True(errors.Is(err, peer.ErrUnknownKind))
 		stop := errors.New("stop")
 		_, err = p.call(t.Context(), "parts", func(peer.Message) error { return stop })
@@ -215,7 +214,7 @@
 	})
 }
 
-// failingListener fails a few times before it accepts.
+// failingListener returns a few errors before it accepts.
 type failingListener struct {
 	*pipeListener
 	failures int
@@ -229,7 +228,7 @@
 	return l.pipeListener.Accept()
 }
 
-func TestServeOutlivesFailuresToAccept(t *testing.T) {
+func TestServeContinuesAfterAcceptErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		listener := &failingListener{pipeListener: newPipeListener(), failures: 5}
@@ -247,16 +246,16 @@
 	})
 }
 
-// journalled is a message of the journal's range.
-type journalled struct{ blob }
+// journalMessage is a message in the journal's range.
+type journalMessage struct{ blob }
 
-func (*journalled) Kind() peer.Kind { return peer.KindRangeJournal + 1 }
+func (*journalMessage) Kind() peer.Kind { return peer.KindRangeJournal + 1 }
 
-type unknown struct{ blob }
+type unknownMessage struct{ blob }
 
-func (*unknown) Kind() peer.Kind { return 999 }
+func (*unknownMessage) Kind() peer.Kind { return 999 }
 
-func TestCancelReachesTheHandler(t *testing.T) {
+func TestCancelPropagatesToHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, peer.Options{})
@@ -268,7 +267,7 @@
 	})
 }
 
-func TestStoppingNodeRefusesAsNotSentAndFinishesWhatRuns(t *testing.T) {
+func TestShutdownRefusesNewRequestsAndWaitsForHandlers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, peer.Options{MaxHandlers: 1})
@@ -279,9 +278,9 @@
 		}()
 		<-started
 		_, err := p.call(t.Context(), "second", nil)
-		is.True(errors.Is(err, peer.ErrNotSent)) // no room for a second handler
-		_, err = p.client.Call(t.Context(), anyAddress, &journalled{}, nil)
-		is.NoErr(err) // another range of kinds has room of its own
+		is.True(errors.Is(err, peer.ErrNotSent)) // over the limit of handlers
+		_, err = p.client.Call(t.Context(), anyAddress, &journalMessage{}, nil)
+		is.NoErr(err) // other ranges have limits of their own
 		stopped := make(chan error, 1)
 		go func() { stopped <- p.server.Shutdown(t.Context()) }()
 		synctest.Wait()
@@ -293,14 +292,14 @@
 	})
 }
 
-func TestSilentPeerIsNoticedWithinTwoSeconds(t *testing.T) {
+func TestUnresponsivePeerIsDetectedWithinTwoSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		listener := newPipeListener()
 		client := peer.NewTransport(newRegistry(handle), peer.Options{Dial: listener.dial})
 		defer client.Close()
 		go func() {
-			// A half-open peer: takes everything in and never answers.
+			// A half-open peer reads everything and never responds.
 			socket, _ := listener.Accept()
 			_, _ = io.Copy(io.Discard, socket)
 		}()
@@ -313,7 +312,7 @@
 	})
 }
 
-func TestVanishedCallerEndsItsHandlersWithinTwoSeconds(t *testing.T) {
+func TestLostCallerCancelsHandlersWithinTwoSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ended := make(chan time.Time, 1)
@@ -327,7 +326,7 @@
 		defer server.Close()
 		socket, err := listener.dial(t.Context(), anyAddress)
 		is.NoErr(err)
-		// One request by hand, and then silence on an open connection.
+		// Sends one handcrafted request and then nothing on an open connection.
 		_, err = socket.Write([]byte("STEPSEAM\x01\x00\x00\x00\x04\x01\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00"))
 		is.NoErr(err)
 		start := time.Now()
@@ -335,16 +334,16 @@
 	})
 }
 
-func TestLongCallsAndIdleConnectionsLive(t *testing.T) {
+func TestLongCallsAndIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, peer.Options{})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 		defer cancel()
-		_, err := p.call(ctx, "wait", nil) // heartbeats carry it to the caller's own deadline
+		_, err := p.call(ctx, "wait", nil) // heartbeats keep it open until the caller's deadline
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		is.Equal(p.client.Stats().Dials.Load(), int64(1))
-		time.Sleep(50 * time.Second) // idle, but not for long enough to be closed
+		time.Sleep(50 * time.Second) // idle for less than the timeout
 		_, err = p.call(t.Context(), "x", nil)
 		is.NoErr(err)
 		is.Equal(p.client.Stats().Dials.Load(), int64(1))
@@ -369,18 +368,18 @@
 		}()
 		_, err := client.Call(t.Context(), anyAddress, &blob{[]byte("x")}, nil)
 		is.True(errors.Is(err, peer.ErrUnreachable))
-		is.True(!errors.Is(err, peer.ErrNotSent)) // a part of it left
+		is.True(!errors.Is(err, peer.ErrNotSent)) // a part of it was sent
 		for range 1000 {
 			_, err = client.Call(t.Context(), anyAddress, &blob{[]byte("x")}, nil)
 			is.True(errors.Is(err, peer.ErrNotSent))
 			time.Sleep(10 * time.Millisecond)
 		}
 		dials := client.Stats().Dials.Load()
-		is.True(dials > 8 && dials < 40) // ten seconds of a dead address
+		is.True(dials > 8 && dials < 40) // in ten seconds of failing dials
 	})
 }
 
-func TestDamagedFramesEndOnlyTheirConnection(t *testing.T) {
+func TestInvalidFramesCloseOnlyTheirConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := newPair(t, peer.Options{MaxMessageBytes: 1 << 20})
@@ -393,7 +392,7 @@
 			is.NoErr(err)
 			_, _ = socket.Write([]byte(garbage))
 			_, err = io.Copy(io.Discard, socket)
-			is.NoErr(err) // the server closed it
+			is.NoErr(err) // closed by the server
 		}
 		_, err := p.client.Call(t.Context(), anyAddress, &blob{make([]byte, 2<<20)}, nil)
 		is.True(errors.Is(err, peer.ErrNotSent)) // over the limit
@@ -402,9 +401,9 @@
 	})
 }
 
-// Whatever frames a connection brings, the server neither fails nor keeps work
-// for it, and other connections go on.
-func TestAnyFramesLeaveTheServerWhole(t *testing.T) {
+// Arbitrary frames must neither crash the server, nor leave handlers running, nor affect
+// other connections.
+func TestServerSurvivesArbitraryFrames(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		stream := []byte("STEPSEAM\x01")
 		for range rapid.IntRange(0, 30).Draw(rt, "frames") {
