--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -23,7 +23,7 @@
 )
 
 // errCallerDisconnected is returned by sendPart if the caller no longer waits.
-var errCallerDisconnected = errors.New("peer: the caller is gone")
+var errCallerDisconnected = errors.New("peer: the caller has disconnected")
 
 // server is the accepting side of a transport.
 type server struct {
@@ -68,7 +68,7 @@
 		}
 		// Errors such as too many open files are transient, so the node must keep
 		// accepting.
-		t.options.Logger.Error("peer connection not accepted", "address", listener.Addr(), "error", err)
+		t.options.Logger.Error("cannot accept peer connection", "address", listener.Addr(), "error", err)
 		select {
 		case <-time.After(delay):
 		case <-t.server.baseContext.Done():
@@ -91,7 +91,7 @@
 		t.server.flush(ctx)
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("peer: shutdown with %d handlers at work: %w", t.server.totalActive(), ctx.Err())
+		return fmt.Errorf("peer: shutdown with %d handlers running: %w", t.server.totalActive(), ctx.Err())
 	}
 }
 
@@ -152,7 +152,7 @@
 // accept checks the preface and serves one connection until it ends.
 func (s *server) accept(socket net.Conn) {
 	if err := readPreface(socket, s.transport.options.SilenceTimeout); err != nil {
-		s.transport.options.Logger.Warn("peer connection refused", "remote", socket.RemoteAddr(), "error", err)
+		s.transport.options.Logger.Warn("rejected peer connection", "remote", socket.RemoteAddr(), "error", err)
 		_ = socket.Close()
 		return
 	}
