--- a/internal/fleet/codec.go
+++ b/internal/fleet/codec.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// codecVersion starts each encoded replica. A newer build may add fields behind those of
-// this version, which readers of this version pass over; it raises the number only where
-// they must not read the rest.
+// codecVersion is the first byte of each encoded replica. Later versions may append fields,
+// which readers of this version ignore. The number increases only if older readers must not
+// decode the rest.
 const codecVersion = 1
 
 var (
@@ -19,12 +19,11 @@
 	errCodecState   = errors.New("fleet: the encoded replica's state is not known")
 )
 
-// codecStates are the states by their numbers on the wire.
+// codecStates maps encoded numbers to states.
 var codecStates = []State{StateReady, StateDraining}
 
-// Encode returns the replica as nodes tell it each other: some 40 bytes, a sixth of its
-// entry in the store. Numbers have the variable length of encoding/binary, texts and
-// addresses their length in front.
+// Encode encodes a replica in the compact form that nodes exchange. Numbers are varints;
+// strings and addresses are prefixed with their length.
 func Encode(replica *Replica) []byte {
 	encoded := make([]byte, 0, 64)
 	encoded = append(encoded, codecVersion)
@@ -47,7 +46,7 @@
 	return append(binary.AppendUvarint(encoded, uint64(len(text))), text...)
 }
 
-// Decode reads the replica of an instance.
+// Decode decodes the replica of an instance.
 func Decode(instance string, encoded []byte) (Replica, error) {
 	if len(encoded) == 0 || encoded[0] != codecVersion {
 		return Replica{}, errCodecVersion
@@ -77,7 +76,7 @@
 	return replica, nil
 }
 
-// codecReader reads fields and remembers whether the input was too short for them.
+// codecReader decodes fields and records whether the input was too short.
 type codecReader struct {
 	rest  []byte
 	short bool
--- a/internal/fleet/directory.go
+++ b/internal/fleet/directory.go
@@ -1,10 +1,8 @@
-// Package fleet holds what a node knows of the replicas: their entries in the
-// store and which of them take new work. It is pure; Directory is safe for
-// concurrent use.
+// Package fleet holds a node's view of the replicas: their entries in the store, and which
+// of them may be sent new work. It does no I/O. Directory is safe for concurrent use.
 //
-// A change costs the same however many replicas there are, but for the shift of a slice
-// of pointers of one service in one zone: 0.8 us among 60 replicas, 3 us among 20,000
-// (BenchmarkChange).
+// The cost of a change does not depend on the number of replicas, except for the insertion
+// into a sorted slice of the replicas of one service in one zone.
 package fleet
 
 import (
@@ -14,42 +12,45 @@
 )
 
 const (
-	// lapsedLife is how long a replica whose entry is gone may still be used. With
-	// the time until that is heard, it is shorter than replicas take to leave.
-	lapsedLife = 700 * time.Millisecond
-	// unsettledLife is the same after the store was heard again, when entries are gone
-	// because replicas could not write. Those that live are back about two seconds after
-	// its return, which a node hears of up to half a second late; nodes are bound by
-	// entries that go from three seconds after its return on.
-	unsettledLife = 2200 * time.Millisecond
-	// quietLife is how long nothing must have been heard of a life before one that says
-	// that it started earlier takes its place: the clock of the replica's machine went
-	// back, since a word of the same life that was only late would have come before.
-	quietLife = 10 * time.Second
+	// lapsedGracePeriod is how long a replica may be used after its entry was removed.
+	// Including the delay until the removal is detected, it is shorter than the shutdown of
+	// a replica.
+	lapsedGracePeriod = 700 * time.Millisecond
+	// recoveryGracePeriod replaces lapsedGracePeriod after the store has recovered, when
+	// entries may be missing because replicas could not write them. Live replicas write
+	// them again about two seconds after the recovery, which a node detects up to half a
+	// second late. Removals later than three seconds after the recovery take effect as
+	// usual.
+	recoveryGracePeriod = 2200 * time.Millisecond
+	// incarnationTTL is how long an incarnation without updates takes precedence over one
+	// with an earlier start time. After that the clock of the replica's machine must have
+	// been set back, since a delayed update of an earlier incarnation would have arrived
+	// before.
+	incarnationTTL = 10 * time.Second
 )
 
-// Directory holds the newest entry of each replica.
+// Directory holds the latest entry of each replica.
 type Directory struct {
-	// mutex guards all below but purgeAt.
+	// mutex guards all fields below except purgeAt.
 	mutex    sync.RWMutex
 	replicas map[string]*entry
 	services map[string]*service
-	// lapsed holds those whose entries are gone and that may still be used.
+	// lapsed holds the replicas without an entry that may still be used.
 	lapsed map[string]*entry
-	// unsettledUntil is until when entries may be gone because the store was away,
-	// by a monotonic reading.
-	unsettledUntil time.Duration
-	// purgeAt is when the next of lapsed must not be used any more, in nanoseconds; 0 is
-	// never.
+	// recoveringUntil is the end of the grace period for entries that were missing when the
+	// store recovered, as a monotonic reading.
+	recoveringUntil time.Duration
+	// purgeAt is the time at which the next of lapsed expires, in nanoseconds; 0 if none
+	// does.
 	purgeAt atomic.Int64
 }
 
-// service holds the replicas of one service that may take work, by zone.
+// service holds the usable replicas of one service by zone.
 type service struct {
 	zones map[string]*group
 	count int
-	// listed holds all of them in one slice; nil where it has to be made anew.
-	listed []Replica
+	// usable caches all of them in one slice; nil if it is outdated.
+	usable []Replica
 }
 
 // NewDirectory returns an empty directory.
@@ -57,28 +58,28 @@
 	return &Directory{replicas: map[string]*entry{}, services: map[string]*service{}, lapsed: map[string]*entry{}}
 }
 
-// StoreRecovered tells that the store was away until now.
+// StoreRecovered records that the store was unavailable until now.
 func (d *Directory) StoreRecovered(now time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.unsettledUntil = now + unsettledLife
+	d.recoveringUntil = now + recoveryGracePeriod
 }
 
-// Replace sets the whole, as a snapshot of the store tells it, and returns what
-// differs from before. now is a monotonic reading.
+// Replace sets all replicas to those of a snapshot of the store and returns the
+// differences. now is a monotonic reading.
 func (d *Directory) Replace(all []Replica, now time.Duration) []Change {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.purge(now)
-	named := make(map[string]bool, len(all))
+	present := make(map[string]bool, len(all))
 	for i := range all {
-		named[all[i].Instance] = true
+		present[all[i].Instance] = true
 	}
 	var changes []Change
 	for instance, known := range d.replicas {
-		if !named[instance] {
+		if !present[instance] {
 			d.lapse(known, now)
-			changes = append(changes, Change{Instance: instance, PreviousIncarnation: known.life})
+			changes = append(changes, Change{Instance: instance, PreviousIncarnation: known.incarnationID})
 		}
 	}
 	for i := range all {
@@ -90,8 +91,8 @@
 	return changes
 }
 
-// Apply takes changes in the order of the store and returns those that matter, each with
-// the life that it ends.
+// Apply applies changes in the order of the store. It returns the effective ones, with the
+// incarnation that each of them ends.
 func (d *Directory) Apply(changes []Change, now time.Duration) []Change {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -105,7 +106,7 @@
 	return effective
 }
 
-// apply needs the mutex.
+// apply applies one change. The caller must hold the mutex.
 func (d *Directory) apply(change *Change, now time.Duration) bool {
 	if change.Replica != nil {
 		return d.put(change, now)
@@ -114,7 +115,7 @@
 	if !found {
 		return false
 	}
-	change.PreviousIncarnation = known.life
+	change.PreviousIncarnation = known.incarnationID
 	if change.Unreadable {
 		d.drop(known)
 	} else {
@@ -123,89 +124,89 @@
 	return true
 }
 
-// put takes a replica's entry and tells whether more of it is new than what each of its
-// writes changes. It needs the mutex.
+// put stores a replica's entry and reports whether it changed more than a heartbeat does.
+// The caller must hold the mutex.
 func (d *Directory) put(change *Change, now time.Duration) bool {
 	replica := *change.Replica
 	known, found := d.replicas[replica.Instance]
-	if found && replica.StartedAtMs < known.replica.StartedAtMs && now-known.heard < quietLife {
-		return false // a late word of an earlier life
+	if found && replica.StartedAtMs < known.replica.StartedAtMs && now-known.updatedAt < incarnationTTL {
+		return false // a delayed update of an earlier incarnation
 	}
 	if found && !differs(&known.replica, &replica) {
 		change.ColdOnly = replica.ColdRemaining > 0 || known.replica.ColdRemaining > 0
-		known.replica.Sequence, known.replica.ColdRemaining, known.heard = replica.Sequence, replica.ColdRemaining, now
+		known.replica.Sequence, known.replica.ColdRemaining, known.updatedAt = replica.Sequence, replica.ColdRemaining, now
 		return change.ColdOnly
 	}
 	if found {
-		d.unlist(known)
+		d.removeUsable(known)
 	}
-	if lapsed, gone := d.lapsed[replica.Instance]; gone {
-		d.unlist(lapsed)
+	if lapsed, wasLapsed := d.lapsed[replica.Instance]; wasLapsed {
+		d.removeUsable(lapsed)
 		delete(d.lapsed, replica.Instance)
 	}
-	made := newEntry(replica, now)
-	if found && known.life != made.life {
-		change.PreviousIncarnation = known.life
+	created := newEntry(replica, now)
+	if found && known.incarnationID != created.incarnationID {
+		change.PreviousIncarnation = known.incarnationID
 	}
-	d.replicas[replica.Instance] = made
+	d.replicas[replica.Instance] = created
 	if replica.State == StateReady {
-		d.list(made)
+		d.addUsable(created)
 	}
 	return true
 }
 
-// differs tells whether more of a replica is new than what each of its writes changes.
+// differs reports whether a replica changed more than a heartbeat does.
 func differs(known, replica *Replica) bool {
 	before := *known
-	before.Sequence, before.ColdRemaining, before.life = replica.Sequence, replica.ColdRemaining, replica.life
+	before.Sequence, before.ColdRemaining, before.incarnationID = replica.Sequence, replica.ColdRemaining, replica.incarnationID
 	return before != *replica
 }
 
-// lapse keeps a replica whose entry is gone for a while, unless it was draining. It needs
-// the mutex.
+// lapse removes an entry but keeps the replica for a grace period, unless it was draining.
+// The caller must hold the mutex.
 func (d *Directory) lapse(known *entry, now time.Duration) {
 	d.drop(known)
 	if known.replica.State != StateReady {
 		return
 	}
-	until := now + lapsedLife
-	if now < d.unsettledUntil {
-		until = d.unsettledUntil
+	expiresAt := now + lapsedGracePeriod
+	if now < d.recoveringUntil {
+		expiresAt = d.recoveringUntil
 	}
-	gone := *known
-	gone.replica.State, gone.until = StateLapsed, until
-	d.lapsed[known.replica.Instance] = &gone
-	d.list(&gone)
-	if next := d.purgeAt.Load(); next == 0 || int64(until) < next {
-		d.purgeAt.Store(int64(until))
+	lapsed := *known
+	lapsed.replica.State, lapsed.expiresAt = StateLapsed, expiresAt
+	d.lapsed[known.replica.Instance] = &lapsed
+	d.addUsable(&lapsed)
+	if next := d.purgeAt.Load(); next == 0 || int64(expiresAt) < next {
+		d.purgeAt.Store(int64(expiresAt))
 	}
 }
 
-// drop forgets a replica's entry. It needs the mutex.
+// drop removes an entry. The caller must hold the mutex.
 func (d *Directory) drop(known *entry) {
-	d.unlist(known)
+	d.removeUsable(known)
 	delete(d.replicas, known.replica.Instance)
 }
 
-// purge drops what must not be used any more. It needs the mutex.
+// purge removes expired replicas. The caller must hold the mutex.
 func (d *Directory) purge(now time.Duration) {
 	next := d.purgeAt.Load()
 	if next == 0 || int64(now) < next {
 		return
 	}
 	next = 0
-	for instance, gone := range d.lapsed {
-		if gone.expired(now) {
-			d.unlist(gone)
+	for instance, lapsed := range d.lapsed {
+		if lapsed.expired(now) {
+			d.removeUsable(lapsed)
 			delete(d.lapsed, instance)
-		} else if next == 0 || int64(gone.until) < next {
-			next = int64(gone.until)
+		} else if next == 0 || int64(lapsed.expiresAt) < next {
+			next = int64(lapsed.expiresAt)
 		}
 	}
 	d.purgeAt.Store(next)
 }
 
-// purgeDue purges if something is due.
+// purgeDue calls purge if a replica has expired.
 func (d *Directory) purgeDue(now time.Duration) {
 	if next := d.purgeAt.Load(); next == 0 || int64(now) < next {
 		return
@@ -215,77 +216,77 @@
 	d.purge(now)
 }
 
-// list adds a replica to those that may take work. It needs the mutex.
-func (d *Directory) list(added *entry) {
-	of, known := d.services[added.replica.Service]
+// addUsable adds a replica to the usable ones. The caller must hold the mutex.
+func (d *Directory) addUsable(added *entry) {
+	svc, known := d.services[added.replica.Service]
 	if !known {
-		of = &service{zones: map[string]*group{}}
-		d.services[added.replica.Service] = of
+		svc = &service{zones: map[string]*group{}}
+		d.services[added.replica.Service] = svc
 	}
-	zone, known := of.zones[added.replica.Zone]
+	zone, known := svc.zones[added.replica.Zone]
 	if !known {
 		zone = &group{}
-		of.zones[added.replica.Zone] = zone
+		svc.zones[added.replica.Zone] = zone
 	}
 	zone.insert(added)
-	of.count++
-	of.listed = nil
+	svc.count++
+	svc.usable = nil
 }
 
-// unlist takes a replica out of those that may take work, if it is among them. It needs
-// the mutex.
-func (d *Directory) unlist(gone *entry) {
-	if gone.replica.State == StateDraining {
+// removeUsable removes a replica from the usable ones, if it is among them. The caller must
+// hold the mutex.
+func (d *Directory) removeUsable(removed *entry) {
+	if removed.replica.State == StateDraining {
 		return
 	}
-	of, known := d.services[gone.replica.Service]
+	svc, known := d.services[removed.replica.Service]
 	if !known {
 		return
 	}
-	zone, known := of.zones[gone.replica.Zone]
+	zone, known := svc.zones[removed.replica.Zone]
 	if !known {
 		return
 	}
 	before := len(zone.ring)
-	zone.remove(gone)
+	zone.remove(removed)
 	if len(zone.ring) == before {
 		return
 	}
-	of.count--
-	of.listed = nil
+	svc.count--
+	svc.usable = nil
 	if len(zone.ring) == 0 {
-		delete(of.zones, gone.replica.Zone)
+		delete(svc.zones, removed.replica.Zone)
 	}
 }
 
-// Remove forgets a life of a replica that has proved to be gone, such as one whose address
-// another instance answers at.
-func (d *Directory) Remove(instance string, born int64) {
+// Remove deletes an incarnation of a replica that is known to have ended, for instance
+// because another instance responds at its address.
+func (d *Directory) Remove(instance string, startedAtMs int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if known, found := d.replicas[instance]; found && known.replica.StartedAtMs == born {
+	if known, found := d.replicas[instance]; found && known.replica.StartedAtMs == startedAtMs {
 		d.drop(known)
 	}
-	if gone, found := d.lapsed[instance]; found && gone.replica.StartedAtMs == born {
-		d.unlist(gone)
+	if lapsed, found := d.lapsed[instance]; found && lapsed.replica.StartedAtMs == startedAtMs {
+		d.removeUsable(lapsed)
 		delete(d.lapsed, instance)
 	}
 }
 
-// InZone returns how many replicas of a zone may take work.
+// InZone returns the number of usable replicas in a zone.
 func (d *Directory) InZone(zone string) int {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
 	total := 0
-	for _, of := range d.services {
-		if listed, known := of.zones[zone]; known {
-			total += len(listed.ring)
+	for _, svc := range d.services {
+		if in, known := svc.zones[zone]; known {
+			total += len(in.ring)
 		}
 	}
 	return total
 }
 
-// Size returns how many replicas are known.
+// Size returns the number of replicas with entries.
 func (d *Directory) Size() int {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
--- a/internal/fleet/group.go
+++ b/internal/fleet/group.go
@@ -8,36 +8,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// group holds the replicas of one service in one zone that may take work, in the order of
-// their hashes, so that one is found for a key, or drawn, without a look at the others.
-// The directory's lock guards it.
+// group holds the usable replicas of one service in one zone, sorted by hash, so that a
+// replica is found for a key or at random without a scan. The directory's lock guards it.
 type group struct {
 	ring []*entry
 }
 
-// entry is what is known of one replica.
+// entry is the directory's state of one replica.
 type entry struct {
 	replica Replica
-	// life is the replica's, computed once.
-	life string
-	// hash places the entry in its group's ring; equal hashes go by instance.
+	// incarnationID caches the replica's incarnation ID.
+	incarnationID string
+	// hash is the entry's position in the ring. Equal hashes are ordered by instance.
 	hash uint64
-	// heard is when the last word of this life was heard, by a monotonic reading.
-	heard time.Duration
-	// until is when an entry that is gone must not be used any more; 0 while it is there.
-	until time.Duration
+	// updatedAt is the time of the last update of this incarnation, as a monotonic reading.
+	updatedAt time.Duration
+	// expiresAt is the end of the grace period of a removed entry; 0 if it is present.
+	expiresAt time.Duration
 }
 
 func newEntry(replica Replica, now time.Duration) *entry {
-	life := replica.IncarnationID()
+	incarnationID := replica.IncarnationID()
 	if replica.StartedAtMs != 0 {
-		replica.life = life
+		replica.incarnationID = incarnationID
 	}
-	return &entry{replica: replica, life: life, hash: xxhash.Sum64String(replica.Instance), heard: now}
+	return &entry{replica: replica, incarnationID: incarnationID, hash: xxhash.Sum64String(replica.Instance), updatedAt: now}
 }
 
-// expired tells whether the entry is gone for too long to be used.
-func (e *entry) expired(now time.Duration) bool { return e.until > 0 && now >= e.until }
+// expired reports whether the grace period of a removed entry has ended.
+func (e *entry) expired(now time.Duration) bool { return e.expiresAt > 0 && now >= e.expiresAt }
 
 func compareEntries(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.replica.Instance, b.replica.Instance))
@@ -52,15 +51,15 @@
 	g.ring = slices.Insert(g.ring, position, added)
 }
 
-func (g *group) remove(gone *entry) {
-	if position, found := slices.BinarySearchFunc(g.ring, gone, compareEntries); found {
+func (g *group) remove(removed *entry) {
+	if position, found := slices.BinarySearchFunc(g.ring, removed, compareEntries); found {
 		g.ring = slices.Delete(g.ring, position, position+1)
 	}
 }
 
-// from calls visit with the entries from a place of the ring on, each once, until it
-// returns false.
-func (g *group) from(position int, visit func(*entry) bool) {
+// forEachFrom calls visit with each entry once, starting at a position of the ring, until
+// visit returns false.
+func (g *group) forEachFrom(position int, visit func(*entry) bool) {
 	for i := range g.ring {
 		if !visit(g.ring[(position+i)%len(g.ring)]) {
 			return
@@ -68,8 +67,8 @@
 	}
 }
 
-// after returns the place of the first entry whose hash is at least key.
-func (g *group) after(key uint64) int {
-	position, _ := slices.BinarySearchFunc(g.ring, key, func(one *entry, key uint64) int { return cmp.Compare(one.hash, key) })
+// successor returns the position of the first entry whose hash is at least key.
+func (g *group) successor(key uint64) int {
+	position, _ := slices.BinarySearchFunc(g.ring, key, func(e *entry, key uint64) int { return cmp.Compare(e.hash, key) })
 	return position
 }
--- a/internal/fleet/lives_test.go
+++ b/internal/fleet/incarnations_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-func bornAt(born int64, sequence uint64) Replica {
+func startedAt(startedAtMs int64, sequence uint64) Replica {
 	replica := replicaIn("a", StateReady, sequence)
-	replica.StartedAtMs = born
+	replica.StartedAtMs = startedAtMs
 	return replica
 }
 
@@ -18,12 +18,11 @@
 	return d.Apply([]Change{{Instance: replica.Instance, Replica: &replica}}, now)
 }
 
-// TestLaterLifeCountsWhateverItsSequence: a replica that starts again under its instance has
-// nothing of what was known of it, and its counts start anew.
-func TestLaterLifeCountsWhateverItsSequence(t *testing.T) {
+// A restarted replica has a new incarnation ID, and its sequence starts again.
+func TestLaterIncarnationReplacesEarlierOne(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
-	first, second := bornAt(1000, 70), bornAt(2000, 1)
+	first, second := startedAt(1000, 70), startedAt(2000, 1)
 	is.Equal(len(apply(d, first, 0)), 1)
 	changes := apply(d, second, time.Second)
 	is.Equal(len(changes), 1)
@@ -33,41 +32,41 @@
 	is.Equal(d.Size(), 1)
 	_, found := d.ByIncarnation(first.IncarnationID(), time.Second)
 	is.True(!found)
-	found2, found := d.ByIncarnation(second.IncarnationID(), time.Second)
+	replica, found := d.ByIncarnation(second.IncarnationID(), time.Second)
 	is.True(found)
-	is.Equal(found2.Instance, "a")
+	is.Equal(replica.Instance, "a")
 }
 
-// TestLateWordOfAnEarlierLifeChangesNothing: not even that it drains, or with a higher count.
-func TestLateWordOfAnEarlierLifeChangesNothing(t *testing.T) {
+// This includes draining updates and those with a higher sequence.
+func TestDelayedUpdateOfEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
-	apply(d, bornAt(2000, 1), 0)
-	late := bornAt(1000, 99)
+	apply(d, startedAt(2000, 1), 0)
+	late := startedAt(1000, 99)
 	late.State = StateDraining
 	is.Equal(len(apply(d, late, time.Second)), 0)
 	is.Equal(len(d.Usable("s", time.Second)), 1)
 	is.Equal(d.Usable("s", time.Second)[0].StartedAtMs, int64(2000))
 }
 
-// TestEarlierBirthCountsOnceTheLaterLifeIsSilent: the clock of the replica's machine went
-// back before it started again. It is out of use for quietLife at the most.
-func TestEarlierBirthCountsOnceTheLaterLifeIsSilent(t *testing.T) {
+// The clock of the replica's machine was set back before a restart. The replica must be
+// usable again after incarnationTTL.
+func TestEarlierStartTimeIsAcceptedAfterTTL(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
-	apply(d, bornAt(2000, 1), 0)
-	again := bornAt(1500, 1)
-	is.Equal(len(apply(d, again, quietLife-1)), 0)
-	is.Equal(len(apply(d, again, quietLife)), 1)
-	is.Equal(d.Usable("s", quietLife)[0].StartedAtMs, int64(1500))
-	// Where the entry went in between, it counts at once.
-	d.Apply([]Change{{Instance: "a"}}, quietLife)
-	is.Equal(len(apply(d, bornAt(1200, 1), quietLife)), 1)
+	apply(d, startedAt(2000, 1), 0)
+	again := startedAt(1500, 1)
+	is.Equal(len(apply(d, again, incarnationTTL-1)), 0)
+	is.Equal(len(apply(d, again, incarnationTTL)), 1)
+	is.Equal(d.Usable("s", incarnationTTL)[0].StartedAtMs, int64(1500))
+	// If the entry was removed in between, the new one is accepted immediately.
+	d.Apply([]Change{{Instance: "a"}}, incarnationTTL)
+	is.Equal(len(apply(d, startedAt(1200, 1), incarnationTTL)), 1)
 }
 
-// TestEntryThatNamesNoReplicaTakesItOutOfUseAtOnce: there is no time of grace as for entries
-// that are gone, and the next good entry brings it back.
-func TestEntryThatNamesNoReplicaTakesItOutOfUseAtOnce(t *testing.T) {
+// An unreadable entry has no grace period. The next valid entry makes the replica usable
+// again.
+func TestUnreadableEntryRemovesReplicaImmediately(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
 	d.Replace([]Replica{replicaIn("a", StateReady, 1), replicaIn("b", StateReady, 1)}, 0)
@@ -80,7 +79,7 @@
 	is.Equal(len(d.Usable("s", 0)), 2)
 }
 
-func TestInstancesMayLookLikeLives(t *testing.T) {
+func TestInstanceNameMayResembleIncarnationID(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
 	odd := replicaIn("a@1", StateReady, 1)
@@ -89,7 +88,7 @@
 	is.True(found)
 }
 
-func TestColdBeatsAreToldAsMinor(t *testing.T) {
+func TestColdHeartbeatsAreColdOnly(t *testing.T) {
 	is := is.New(t)
 	d := NewDirectory()
 	cold := replicaIn("a", StateReady, 1)
@@ -99,20 +98,20 @@
 	changes := apply(d, cold, 0)
 	is.True(len(changes) == 1 && changes[0].ColdOnly)
 	cold.Sequence, cold.ColdRemaining = 3, 0
-	is.Equal(len(apply(d, cold, 0)), 1) // it has turned warm
+	is.Equal(len(apply(d, cold, 0)), 1) // no longer cold
 	cold.Sequence = 4
 	is.Equal(len(apply(d, cold, 0)), 0)
 }
 
-func TestEncodedReplicasSurvive(t *testing.T) {
+func TestReplicaCodecRoundTrip(t *testing.T) {
 	is := is.New(t)
-	replica := bornAt(1234, 9)
+	replica := startedAt(1234, 9)
 	replica.Zone, replica.Slots, replica.ColdRemaining = "z", 6, time.Second
 	replica.Address = netip.MustParseAddrPort("10.0.0.1:80")
 	read, err := Decode("a", Encode(&replica))
 	is.NoErr(err)
 	is.Equal(read, replica)
-	newer := append(Encode(&replica), 1, 2, 3) // a later build's further fields
+	newer := append(Encode(&replica), 1, 2, 3) // fields of a later version
 	read, err = Decode("a", newer)
 	is.NoErr(err)
 	is.Equal(read, replica)
@@ -123,7 +122,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	replica := bornAt(1234, 9)
+	replica := startedAt(1234, 9)
 	f.Add(Encode(&replica))
 	f.Add([]byte{codecVersion, 0xff})
 	f.Fuzz(func(_ *testing.T, encoded []byte) { _, _ = Decode("a", encoded) })
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -9,19 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-// naive is a directory that looks at everything for each question.
-type naive struct {
-	replicas map[string]Replica
-	lapsed   map[string]lapsedReplica
-	unsettle time.Duration
+// referenceModel is a directory without indexes.
+type referenceModel struct {
+	replicas        map[string]Replica
+	lapsed          map[string]lapsedReplica
+	recoveringUntil time.Duration
 }
 
 type lapsedReplica struct {
-	replica Replica
-	until   time.Duration
+	replica   Replica
+	expiresAt time.Duration
 }
 
-func (n *naive) apply(instance string, replica *Replica, now time.Duration) {
+func (n *referenceModel) apply(instance string, replica *Replica, now time.Duration) {
 	if replica != nil {
 		n.replicas[instance] = *replica
 		delete(n.lapsed, instance)
@@ -33,22 +33,22 @@
 		return
 	}
 	known.State = StateLapsed
-	until := now + lapsedLife
-	if now < n.unsettle {
-		until = n.unsettle
+	expiresAt := now + lapsedGracePeriod
+	if now < n.recoveringUntil {
+		expiresAt = n.recoveringUntil
 	}
-	n.lapsed[instance] = lapsedReplica{known, until}
+	n.lapsed[instance] = lapsedReplica{known, expiresAt}
 }
 
-func (n *naive) usable(service string, now time.Duration) []string {
+func (n *referenceModel) usable(service string, now time.Duration) []string {
 	var names []string
 	for instance, replica := range n.replicas {
 		if replica.Service == service && replica.State == StateReady {
 			names = append(names, instance+" ready")
 		}
 	}
-	for instance, gone := range n.lapsed {
-		if gone.replica.Service == service && now < gone.until {
+	for instance, lapsed := range n.lapsed {
+		if lapsed.replica.Service == service && now < lapsed.expiresAt {
 			names = append(names, instance+" lapsed")
 		}
 	}
@@ -56,12 +56,11 @@
 	return names
 }
 
-// TestDirectoryAnswersLikeOneThatLooksAtEverything: lists, searches, counts and lives agree
-// with a model after any changes.
-func TestDirectoryAnswersLikeOneThatLooksAtEverything(t *testing.T) {
+// Lists, searches and counts must agree with a simple model after any changes.
+func TestDirectoryMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDirectory()
-		model := &naive{replicas: map[string]Replica{}, lapsed: map[string]lapsedReplica{}}
+		model := &referenceModel{replicas: map[string]Replica{}, lapsed: map[string]lapsedReplica{}}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond
@@ -80,7 +79,7 @@
 				model.apply(instance, nil, now)
 			case 4:
 				d.StoreRecovered(now)
-				model.unsettle = now + unsettledLife
+				model.recoveringUntil = now + recoveryGracePeriod
 			case 5:
 				d.Remove(instance, 0)
 				delete(model.replicas, instance)
@@ -91,22 +90,22 @@
 	})
 }
 
-func compare(t *rapid.T, d *Directory, model *naive, now time.Duration) {
+func compare(t *rapid.T, d *Directory, model *referenceModel, now time.Duration) {
 	all := func(*Replica) bool { return true }
 	for _, service := range []string{"s", "t"} {
 		want := model.usable(service, now)
 		if have := names(d.Usable(service, now)); !slices.Equal(have, want) {
 			t.Fatalf("usable %v, want %v", have, want)
 		}
-		var drawn, after []Replica
+		var sampled, ordered []Replica
 		for _, zone := range d.Zones(service) {
-			drawn = d.Draw(drawn, service, zone, 0.7, 100, all, now)
-			after = d.After(after, service, zone, 1<<63, 100, all, now)
+			sampled = d.Draw(sampled, service, zone, 0.7, 100, all, now)
+			ordered = d.After(ordered, service, zone, 1<<63, 100, all, now)
 		}
-		if have := names(drawn); !slices.Equal(have, want) {
+		if have := names(sampled); !slices.Equal(have, want) {
 			t.Fatalf("drawn %v, want %v", have, want)
 		}
-		if have := names(after); !slices.Equal(have, want) {
+		if have := names(ordered); !slices.Equal(have, want) {
 			t.Fatalf("after %v, want %v", have, want)
 		}
 		if have := d.Any(service, all, now); have != (len(want) > 0) {
@@ -127,7 +126,7 @@
 	return listed
 }
 
-// BenchmarkChange is the cost of a changed entry, by the number of replicas.
+// BenchmarkChange measures a changed entry by the number of replicas.
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{60, 900, 8714, 20000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/fleet/search.go
+++ b/internal/fleet/search.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Ready returns the replicas of all services that are ready by their entries.
+// Ready returns the replicas of all services with the state ready.
 func (d *Directory) Ready() []Replica {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
@@ -18,139 +18,137 @@
 	return ready
 }
 
-// Count returns how many replicas of a service may take work, those whose entries have
-// just gone among them.
+// Count returns the number of usable replicas of a service, including lapsed ones.
 func (d *Directory) Count(name string) int {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	if of, known := d.services[name]; known {
-		return of.count
+	if svc, known := d.services[name]; known {
+		return svc.count
 	}
 	return 0
 }
 
-// Zones returns the zones in which replicas of a service may take work.
+// Zones returns the zones with usable replicas of a service.
 func (d *Directory) Zones(name string) []string {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	of, known := d.services[name]
+	svc, known := d.services[name]
 	if !known {
 		return nil
 	}
-	zones := make([]string, 0, len(of.zones))
-	for zone := range of.zones {
+	zones := make([]string, 0, len(svc.zones))
+	for zone := range svc.zones {
 		zones = append(zones, zone)
 	}
 	return zones
 }
 
-// Usable returns the replicas of a service that may get new work: those that are
-// ready, and for a short time those whose entries are gone. The caller must not
-// change the slice. It looks at all of them.
+// Usable returns the replicas of a service that may be sent new work: the ready ones, and
+// lapsed ones for a grace period. The caller must not modify the slice. The cost may be
+// linear in their number.
 func (d *Directory) Usable(name string, now time.Duration) []Replica {
 	d.purgeDue(now)
 	d.mutex.RLock()
-	of, known := d.services[name]
-	if !known || of.listed != nil {
+	svc, known := d.services[name]
+	if !known || svc.usable != nil {
 		defer d.mutex.RUnlock()
 		if !known {
 			return nil
 		}
-		return of.listed
+		return svc.usable
 	}
 	d.mutex.RUnlock()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if of, known = d.services[name]; !known {
+	if svc, known = d.services[name]; !known {
 		return nil
 	}
-	listed := make([]Replica, 0, of.count)
-	for _, zone := range of.zones {
-		for _, one := range zone.ring {
-			listed = append(listed, one.replica)
+	usable := make([]Replica, 0, svc.count)
+	for _, zone := range svc.zones {
+		for _, e := range zone.ring {
+			usable = append(usable, e.replica)
 		}
 	}
-	of.listed = listed
-	return listed
+	svc.usable = usable
+	return usable
 }
 
-// ByIncarnation returns the replica whose present life has a name, if it may take work.
-func (d *Directory) ByIncarnation(life string, now time.Duration) (Replica, bool) {
+// ByIncarnation returns the replica with an incarnation ID and whether it is usable.
+func (d *Directory) ByIncarnation(incarnationID string, now time.Duration) (Replica, bool) {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	for _, instance := range [2]string{life, instanceOf(life)} {
-		if known, found := d.replicas[instance]; found && known.life == life {
+	for _, instance := range [2]string{incarnationID, instanceOf(incarnationID)} {
+		if known, found := d.replicas[instance]; found && known.incarnationID == incarnationID {
 			return known.replica, known.replica.State == StateReady
 		}
-		if gone, found := d.lapsed[instance]; found && gone.life == life {
-			return gone.replica, !gone.expired(now)
+		if lapsed, found := d.lapsed[instance]; found && lapsed.incarnationID == incarnationID {
+			return lapsed.replica, !lapsed.expired(now)
 		}
 	}
 	return Replica{}, false
 }
 
-// instanceOf returns the instance of a life that names its start, see Replica.Life.
-func instanceOf(life string) string {
-	instance, _, _ := strings.Cut(life, "@")
+// instanceOf returns the instance of an incarnation ID, see Replica.IncarnationID.
+func instanceOf(incarnationID string) string {
+	instance, _, _ := strings.Cut(incarnationID, "@")
 	return instance
 }
 
-// maxSteps bounds how many replicas that don't fit are passed over in one search.
+// maxSteps bounds the number of ineligible replicas that one search skips.
 const maxSteps = 64
 
-// After appends to found up to count replicas of a service in a zone that fit, which all
-// nodes find for the same key in the same order (consistent hashing).
-func (d *Directory) After(found []Replica, name, zone string, key uint64, count int, fits func(*Replica) bool, now time.Duration) []Replica {
-	return d.search(found, name, zone, count, fits, now, func(in *group) int { return in.after(key) })
+// After appends to found up to count eligible replicas of a service in a zone, in the order
+// of consistent hashing for key, which is the same at all nodes.
+func (d *Directory) After(found []Replica, name, zone string, key uint64, count int, eligible func(*Replica) bool, now time.Duration) []Replica {
+	return d.search(found, name, zone, count, eligible, now, func(in *group) int { return in.successor(key) })
 }
 
-// Draw appends to found up to count replicas of a service in a zone that fit, from a place
-// that draw in [0,1) names.
-func (d *Directory) Draw(found []Replica, name, zone string, draw float64, count int, fits func(*Replica) bool, now time.Duration) []Replica {
-	return d.search(found, name, zone, count, fits, now, func(in *group) int { return int(draw * float64(len(in.ring))) })
+// Draw appends to found up to count eligible replicas of a service in a zone, starting at
+// the given fraction of the ring, from 0 to less than 1.
+func (d *Directory) Draw(found []Replica, name, zone string, fraction float64, count int, eligible func(*Replica) bool, now time.Duration) []Replica {
+	return d.search(found, name, zone, count, eligible, now, func(in *group) int { return int(fraction * float64(len(in.ring))) })
 }
 
-func (d *Directory) search(found []Replica, name, zone string, count int, fits func(*Replica) bool, now time.Duration, begin func(*group) int) []Replica {
+func (d *Directory) search(found []Replica, name, zone string, count int, eligible func(*Replica) bool, now time.Duration, start func(*group) int) []Replica {
 	d.purgeDue(now)
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	of, known := d.services[name]
-	if !known || of.zones[zone] == nil {
+	svc, known := d.services[name]
+	if !known || svc.zones[zone] == nil {
 		return found
 	}
-	in := of.zones[zone]
-	left, steps := count, maxSteps+count
-	in.from(begin(in), func(one *entry) bool {
+	in := svc.zones[zone]
+	remaining, steps := count, maxSteps+count
+	in.forEachFrom(start(in), func(e *entry) bool {
 		steps--
-		if !one.expired(now) && fits(&one.replica) {
-			found = append(found, one.replica)
-			left--
+		if !e.expired(now) && eligible(&e.replica) {
+			found = append(found, e.replica)
+			remaining--
 		}
-		return left > 0 && steps > 0
+		return remaining > 0 && steps > 0
 	})
 	return found
 }
 
-// First returns a replica of a service that fits, if there is any. It looks at as many as
-// it takes.
-func (d *Directory) First(name string, fits func(*Replica) bool, now time.Duration) []Replica {
+// First returns an eligible replica of a service, if there is one. It may scan all of them.
+func (d *Directory) First(name string, eligible func(*Replica) bool, now time.Duration) []Replica {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	of, known := d.services[name]
+	svc, known := d.services[name]
 	if !known {
 		return nil
 	}
-	for _, zone := range of.zones {
-		for _, one := range zone.ring {
-			if !one.expired(now) && fits(&one.replica) {
-				return []Replica{one.replica}
+	for _, zone := range svc.zones {
+		for _, e := range zone.ring {
+			if !e.expired(now) && eligible(&e.replica) {
+				return []Replica{e.replica}
 			}
 		}
 	}
 	return nil
 }
 
-// Any tells whether a replica of a service may take work that fits.
-func (d *Directory) Any(name string, fits func(*Replica) bool, now time.Duration) bool {
-	return len(d.First(name, fits, now)) > 0
+// Any reports whether there is an eligible usable replica of a service.
+func (d *Directory) Any(name string, eligible func(*Replica) bool, now time.Duration) bool {
+	return len(d.First(name, eligible, now)) > 0
 }
