--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -1,6 +1,5 @@
-// Package keepalive makes TCP connections that notice when the other side, or the way
-// there, has gone silent for good: no reset tells of that, only acknowledgements that
-// don't come.
+// Package keepalive configures TCP connections to detect an unreachable peer by missing
+// acknowledgements, since a lost host or network path sends no reset.
 package keepalive
 
 import (
@@ -11,25 +10,24 @@
 )
 
 const (
-	// SilentAfter ends a connection whose data is not acknowledged for so long. It is
-	// several retransmissions on a link that loses packets.
+	// SilentAfter is how long sent data may remain unacknowledged before the connection is
+	// closed. It allows for several retransmissions on a lossy link.
 	SilentAfter = 1200 * time.Millisecond
-	// probeAfter is how long a connection rests before it is probed, and probePause the
-	// time between probes; the kernel counts in seconds.
-	probeAfter = time.Second
-	probePause = time.Second
-	// probes is how many may go unanswered.
-	probes = 1
+	// idleBeforeProbe is the idle time before the first keepalive probe and probeInterval
+	// the time between probes. The kernel's resolution is one second.
+	idleBeforeProbe = time.Second
+	probeInterval   = time.Second
+	// maxProbes is the number of unacknowledged probes that closes the connection.
+	maxProbes = 1
 	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux's tcp.h.
 	tcpUserTimeout = 18
 )
 
-// Dialer returns a dialer of such connections. It gives a connection up that is not made
-// within timeout.
+// Dialer returns a dialer of such connections. timeout bounds the dial.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, Control: setUserTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probePause, Count: probes},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: idleBeforeProbe, Interval: probeInterval, Count: maxProbes},
 	}
 }
 
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -9,15 +9,15 @@
 	"github.com/matryer/is"
 )
 
-func TestConnectionsAreWatched(t *testing.T) {
+func TestDialerSetsSocketOptions(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	made, err := Dialer(time.Second).Dial("tcp4", listener.Addr().String())
+	conn, err := Dialer(time.Second).Dial("tcp4", listener.Addr().String())
 	is.NoErr(err)
-	defer func() { _ = made.Close() }()
-	raw, err := made.(*net.TCPConn).SyscallConn()
+	defer func() { _ = conn.Close() }()
+	raw, err := conn.(*net.TCPConn).SyscallConn()
 	is.NoErr(err)
 	option := func(level, name int) int {
 		value := 0
