--- a/internal/aggregator/aggregates.go
+++ b/internal/aggregator/aggregates.go
@@ -107,11 +107,11 @@
 
 // NewAggregates returns an empty Aggregates.
 func NewAggregates() *Aggregates {
-	made := &Aggregates{}
-	for i := range made.shards {
-		made.shards[i].byKey = map[ReplicaKey]*aggregate{}
+	created := &Aggregates{}
+	for i := range created.shards {
+		created.shards[i].byKey = map[ReplicaKey]*aggregate{}
 	}
-	return made
+	return created
 }
 
 func (a *Aggregates) shard(key ReplicaKey) *aggregateShard { return &a.shards[uint32(key)%shardCount] }
--- a/internal/aggregator/aggregates_test.go
+++ b/internal/aggregator/aggregates_test.go
@@ -134,8 +134,8 @@
 		if replica == 0 {
 			load = 0
 		}
-		for _, one := range changes {
-			if one.replica == replica && one.at <= at {
+		for _, c := range changes {
+			if c.replica == replica && c.at <= at {
 				load++
 			}
 		}
@@ -147,19 +147,19 @@
 		if age > 0 {
 			observedAt = now.Truncate(age) - latency // all nodes see the loads as of the last refresh
 		}
-		best, least := 0, 1<<30
+		best, lowest := 0, 1<<30
 		for _, replica := range random.Perm(replicas) {
-			if load := loadAt(replica, observedAt); load < least {
-				best, least = replica, load
+			if load := loadAt(replica, observedAt); load < lowest {
+				best, lowest = replica, load
 			}
 		}
 		changes = append(changes, change{now + latency, best})
 	}
-	most := 0
+	maximum := 0
 	for replica := range replicas {
-		most = max(most, loadAt(replica, time.Second))
+		maximum = max(maximum, loadAt(replica, time.Second))
 	}
-	return most
+	return maximum
 }
 
 func TestImmediateReportsPreventHerding(t *testing.T) {
--- a/internal/aggregator/outcomes_test.go
+++ b/internal/aggregator/outcomes_test.go
@@ -64,13 +64,13 @@
 		service.Report(replica, loads.Load{}, nil)
 		service.ReportOutcome(replica, outlier.NoResponse, 0.25*float64(number)/100)
 	}
-	const soon = 300 * time.Millisecond
+	const timeLimit = 300 * time.Millisecond
 	select {
 	case changed := <-changes:
 		is.Equal(changed.Change, outlier.NowEjected)
 		is.Equal(changed.Instance, replica.Instance)
 		is.Equal(changed.Failures, 3)
-	case <-time.After(soon):
+	case <-time.After(timeLimit):
 		t.Fatal("the replica was not ejected in time")
 	}
 	for number := range s.services {
@@ -201,8 +201,8 @@
 	}
 	const detectionBudget = 12 // failures per faulty replica for detection, probes and early reinstatement
 	offered := float64(requests*c.faulty) / modelReplicas * c.failureRate
-	if most := float64(detectionBudget*c.faulty) + (0.2+c.loss)*offered; float64(c.failures) > most {
-		t.Fatalf("%d failures exceed the bound of %.0f; about %.0f are expected without ejection", c.failures, most, offered)
+	if maximum := float64(detectionBudget*c.faulty) + (0.2+c.loss)*offered; float64(c.failures) > maximum {
+		t.Fatalf("%d failures exceed the bound of %.0f; about %.0f are expected without ejection", c.failures, maximum, offered)
 	}
 	if len(c.healthyEjected) > 1 {
 		t.Fatalf("healthy replicas were ejected: %v", c.healthyEjected)
--- a/internal/aggregator/service_test.go
+++ b/internal/aggregator/service_test.go
@@ -34,7 +34,7 @@
 func (o *testObserver) InvalidDatagram()                { o.invalid.Add(1) }
 
 func newSite(t *testing.T) *site {
-	made := &site{t: t}
+	created := &site{t: t}
 	free, err := loopback.Free(loopback.Own())
 	if err != nil {
 		t.Fatal(err)
@@ -47,21 +47,21 @@
 			t.Fatal(err)
 		}
 		node := identity.Node{Name: identity.NodeName(fmt.Sprintf("n%d", number)), Zone: "z", PeerAddress: address}
-		made.nodes = append(made.nodes, node)
+		created.nodes = append(created.nodes, node)
 		startedAt := time.Now()
-		made.services = append(made.services, New(Config{
+		created.services = append(created.services, New(Config{
 			Conn: conn, Placement: NewPlacement(node.Name), Now: func() time.Duration { return time.Since(startedAt) },
 			Observer: &testObserver{},
 		}))
 	}
-	for _, service := range made.services {
+	for _, service := range created.services {
 		ctx, cancel := context.WithCancel(t.Context())
-		made.stops = append(made.stops, cancel)
+		created.stops = append(created.stops, cancel)
 		t.Cleanup(cancel)
 		go service.Run(ctx)
 	}
-	made.setView(made.nodes...)
-	return made
+	created.setView(created.nodes...)
+	return created
 }
 
 // stop stops a node; its socket is closed when stop returns.
--- a/internal/limits/allocator.go
+++ b/internal/limits/allocator.go
@@ -183,8 +183,8 @@
 	s.allocator.SetShare(s.limitFraction(now))
 	switch {
 	case len(remaining) > 0:
-		for _, one := range remaining {
-			s.allocator.Import(tenant, one, limit, now)
+		for _, account := range remaining {
+			s.allocator.Import(tenant, account, limit, now)
 		}
 	case s.allocator.Has(tenant) && reached:
 		s.allocator.Verify(tenant, now)
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -187,10 +187,10 @@
 func (s *site) split(count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for number, one := range s.nodes {
-		one.side = 0
+	for number, n := range s.nodes {
+		n.side = 0
 		if number < count {
-			one.side = 1
+			n.side = 1
 		}
 	}
 }
@@ -396,8 +396,8 @@
 
 // allocator returns the number of the tenant's allocator.
 func (s *site) allocator() int {
-	return slices.IndexFunc(s.nodes, func(one *simulatedNode) bool {
-		_, self := one.service.allocatorOf(siteTenant.Name)
+	return slices.IndexFunc(s.nodes, func(n *simulatedNode) bool {
+		_, self := n.service.allocatorOf(siteTenant.Name)
 		return self
 	})
 }
--- a/internal/limits/site_test.go
+++ b/internal/limits/site_test.go
@@ -85,36 +85,36 @@
 
 // start starts a new incarnation of a node.
 func (s *site) start(ctx context.Context, number int) {
-	one := s.nodes[number]
+	n := s.nodes[number]
 	lifetime, end := context.WithCancel(ctx)
 	s.mutex.Lock()
-	one.node = identity.Node{
+	n.node = identity.Node{
 		Name: identity.NodeName(fmt.Sprint("n", number)), Incarnation: identity.Incarnation(s.now() + 1),
 		PeerAddress: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 1),
 	}
-	one.nodeState, one.leaving, one.end = running, false, end
+	n.nodeState, n.leaving, n.end = running, false, end
 	s.mutex.Unlock()
-	one.service = New(Config{
-		Self: one.node.Name, Policy: sitePolicy, Strategy: StrategyAllocator, Peers: simulatedPeers{one}, Now: s.now, Logger: slog.New(slog.DiscardHandler),
+	n.service = New(Config{
+		Self: n.node.Name, Policy: sitePolicy, Strategy: StrategyAllocator, Peers: simulatedPeers{n}, Now: s.now, Logger: slog.New(slog.DiscardHandler),
 	})
-	one.service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
+	n.service.SetLimits(func(string) (quota.Limit, bool) { return LimitOf(siteTenant), true })
 	s.mutex.Lock()
-	s.allocators[one.service.allocatorID] = string(one.node.Name)
-	s.logEvent("%s starts", one.node.Name)
+	s.allocators[n.service.allocatorID] = string(n.node.Name)
+	s.logEvent("%s starts", n.node.Name)
 	s.mutex.Unlock()
-	go one.service.Run(lifetime)
+	go n.service.Run(lifetime)
 }
 
 // updateViews gives every node a view of the nodes that it can currently reach.
 func (s *site) updateViews() {
-	for _, one := range s.nodes {
+	for _, n := range s.nodes {
 		view := membership.View{}
 		s.mutex.Lock()
-		if one == s.nodes[0] {
+		if n == s.nodes[0] {
 			s.logEvent("views are updated")
 		}
 		for _, other := range s.nodes {
-			if one == other || other.nodeState == running && one.side == other.side {
+			if n == other || other.nodeState == running && n.side == other.side {
 				member := membership.Member{Node: other.node, Status: membership.Alive}
 				if other.leaving {
 					member.Status = membership.Leaving
@@ -123,7 +123,7 @@
 			}
 		}
 		s.mutex.Unlock()
-		one.service.SetView(view)
+		n.service.SetView(view)
 	}
 }
 
@@ -132,19 +132,19 @@
 	for ctx.Err() == nil {
 		s.mutex.Lock()
 		pause := time.Duration(s.random.ExpFloat64() / rate(s.now()) * float64(time.Second))
-		one := s.nodes[s.random.IntN(len(s.nodes))]
-		serves := one.nodeState == running || one.nodeState == unresponsive
+		n := s.nodes[s.random.IntN(len(s.nodes))]
+		serves := n.nodeState == running || n.nodeState == unresponsive
 		s.mutex.Unlock()
 		time.Sleep(pause)
 		if serves {
-			go s.request(ctx, one)
+			go s.request(ctx, n)
 		}
 	}
 }
 
 // request sends one request to a node.
-func (s *site) request(ctx context.Context, one *simulatedNode) {
-	permit, err := one.service.Admit(ctx, siteTenant)
+func (s *site) request(ctx context.Context, n *simulatedNode) {
+	permit, err := n.service.Admit(ctx, siteTenant)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
@@ -152,7 +152,7 @@
 		go permit.Refund() // the request was not run
 	case err == nil:
 		allocatorID, granted := permit.token.AllocatorID()
-		s.served = append(s.served, servedRequest{at: s.now(), node: slices.Index(s.nodes, one), allocatorID: allocatorID, withoutAllocator: !granted})
+		s.served = append(s.served, servedRequest{at: s.now(), node: slices.Index(s.nodes, n), allocatorID: allocatorID, withoutAllocator: !granted})
 	case ctx.Err() == nil:
 		s.refused++
 	}
--- a/internal/limits/trace_test.go
+++ b/internal/limits/trace_test.go
@@ -62,17 +62,17 @@
 	defer s.mutex.Unlock()
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d requests served from %v to %v\n", len(worst), from, to)
-	for _, one := range s.events {
-		if one.at >= from-traceBefore && one.at <= to {
-			fmt.Fprintf(&text, "%v %s\n", one.at, one.what)
+	for _, e := range s.events {
+		if e.at >= from-traceBefore && e.at <= to {
+			fmt.Fprintf(&text, "%v %s\n", e.at, e.what)
 		}
 	}
 	const step = 500 * time.Millisecond
 	for ; from <= to; from += step {
 		counts := map[string]int{}
-		for _, one := range worst {
-			if one.at >= from && one.at < from+step {
-				counts[s.grantedBy(one)]++
+		for _, e := range worst {
+			if e.at >= from && e.at < from+step {
+				counts[s.grantedBy(e)]++
 			}
 		}
 		fmt.Fprintf(&text, "tokens used from %v on:", from)
@@ -85,9 +85,9 @@
 }
 
 // grantedBy names the allocator that granted a request's token.
-func (s *site) grantedBy(one servedRequest) string {
-	if one.withoutAllocator {
-		return fmt.Sprintf("n%d without allocator", one.node)
+func (s *site) grantedBy(r servedRequest) string {
+	if r.withoutAllocator {
+		return fmt.Sprintf("n%d without allocator", r.node)
 	}
-	return s.allocators[one.allocatorID]
+	return s.allocators[r.allocatorID]
 }
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -298,9 +298,9 @@
 // grantSize returns the tokens to grant: up to the wanted ones if there are plenty, or the
 // needed ones if tokens are scarce.
 func grantSize(needed, wanted int, remaining, capacity float64) int {
-	whole := int(max(remaining, 0))
+	available := int(max(remaining, 0))
 	if remaining < scarceFraction*capacity {
-		return min(needed, whole)
+		return min(needed, available)
 	}
-	return min(max(needed, min(wanted, whole/2)), whole)
+	return min(max(needed, min(wanted, available/2)), available)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -48,12 +48,12 @@
 	allocator.Fill("t", testLimit, 0)
 	large := Request{Needed: Amount{Requests: 999}, Wanted: Amount{Requests: 999}}
 	allocator.Grant("t", testLimit, large, 0)
-	one := Request{Needed: Amount{Requests: 1, ProgramStarts: 1}, Wanted: Amount{Requests: 1, ProgramStarts: 1}}
-	grant := allocator.Grant("t", testLimit, one, 0)
+	single := Request{Needed: Amount{Requests: 1, ProgramStarts: 1}, Wanted: Amount{Requests: 1, ProgramStarts: 1}}
+	grant := allocator.Grant("t", testLimit, single, 0)
 	is.Equal(grant.Amount, Amount{})
 	is.True(grant.RequestAfter <= time.Second/40)
-	is.Equal(allocator.Grant("t", testLimit, one, grant.RequestAfter+time.Millisecond).Amount.Requests, 1)
-	is.Equal(allocator.Grant("t", testLimit, one, grant.ProgramStartAfter+60*time.Millisecond).Amount.ProgramStarts, 1)
+	is.Equal(allocator.Grant("t", testLimit, single, grant.RequestAfter+time.Millisecond).Amount.Requests, 1)
+	is.Equal(allocator.Grant("t", testLimit, single, grant.ProgramStartAfter+60*time.Millisecond).Amount.ProgramStarts, 1)
 }
 
 // At five times the limit, programs that have started must still be able to complete.
@@ -64,14 +64,14 @@
 	allocator.Fill("t", testLimit, 0)
 	var running []int // remaining requests of each program
 	started, refused, ended := 0, 0, 0
-	one := Request{Needed: Amount{Requests: 1}, Wanted: Amount{Requests: 1}}
+	single := Request{Needed: Amount{Requests: 1}, Wanted: Amount{Requests: 1}}
 	first := Request{Needed: Amount{Requests: 1, ProgramStarts: 1}, Wanted: Amount{Requests: 1, ProgramStarts: 1}}
 	for now := time.Duration(0); now < 40*time.Second; now += step {
 		for i := range running {
 			if running[i] == 0 || now%(200*time.Millisecond) != 0 {
 				continue
 			}
-			if allocator.Grant("t", testLimit, one, now).Amount.Requests == 0 {
+			if allocator.Grant("t", testLimit, single, now).Amount.Requests == 0 {
 				refused++
 				continue
 			}
--- a/internal/quota/token_cache.go
+++ b/internal/quota/token_cache.go
@@ -85,10 +85,10 @@
 func (c *TokenCache) Take(now time.Duration) (Token, bool) {
 	c.expire(now)
 	for i := range c.batches {
-		if one := &c.batches[i]; one.remaining.Requests > 0 {
-			one.remaining.Requests--
+		if b := &c.batches[i]; b.remaining.Requests > 0 {
+			b.remaining.Requests--
 			c.recordUse(Amount{Requests: 1}, now)
-			return Token{allocatorID: one.allocatorID}, true
+			return Token{allocatorID: b.allocatorID}, true
 		}
 	}
 	return Token{}, false
@@ -98,8 +98,8 @@
 func (c *TokenCache) TakeProgramStart(now time.Duration) bool {
 	c.expire(now)
 	for i := range c.batches {
-		if one := &c.batches[i]; one.remaining.ProgramStarts > 0 {
-			one.remaining.ProgramStarts--
+		if b := &c.batches[i]; b.remaining.ProgramStarts > 0 {
+			b.remaining.ProgramStarts--
 			c.recordUse(Amount{ProgramStarts: 1}, now)
 			return true
 		}
@@ -126,13 +126,13 @@
 // expire removes expired batches.
 func (c *TokenCache) expire(now time.Duration) {
 	live := c.batches[:0]
-	for _, one := range c.batches {
-		if now < one.expires {
-			live = append(live, one)
+	for _, b := range c.batches {
+		if now < b.expires {
+			live = append(live, b)
 			continue
 		}
-		if one.remaining != (Amount{}) {
-			c.addReturn(one.allocatorID, one.remaining)
+		if b.remaining != (Amount{}) {
+			c.addReturn(b.allocatorID, b.remaining)
 		}
 	}
 	c.batches = live
@@ -154,8 +154,8 @@
 // remaining returns the number of unspent tokens.
 func (c *TokenCache) remaining() Amount {
 	total := Amount{}
-	for _, one := range c.batches {
-		total = total.Plus(one.remaining)
+	for _, b := range c.batches {
+		total = total.Plus(b.remaining)
 	}
 	return total
 }
