--- a/internal/aggregator/service.go
+++ b/internal/aggregator/service.go
@@ -19,8 +19,9 @@
 	// fit into reportTTL, so that lost datagrams and a change of the aggregator are
 	// compensated.
 	refreshInterval = 300 * time.Millisecond
-	// QueryTimeout is how long the responses to a query are awaited: a few round trips
-	// between the zones of a region, and less than prefilling a prompt again takes.
+	// QueryTimeout is how long the responses to a query are awaited. It is several times
+	// the latency between the zones of a region, and less than prefilling a prompt again
+	// takes.
 	QueryTimeout = 8 * time.Millisecond
 	// unresponsiveTTL is how long an aggregator that has not responded in time is not
 	// awaited. It is still queried, and its next response ends the exclusion.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -146,7 +146,7 @@
 	s.allocator.Relinquish(s.allocatedElsewhere, s.limit, now)
 }
 
-// allocatedElsewhere reports whether another node is the tenant's allocator.
+// allocatedElsewhere reports whether this node is not the tenant's allocator.
 func (s *Service) allocatedElsewhere(tenant string) bool {
 	_, self := s.allocatorOf(tenant)
 	return !self
--- a/internal/quota/policy.go
+++ b/internal/quota/policy.go
@@ -37,9 +37,10 @@
 	// ttlDivisor divides the window into the TTL of tokens. A longer TTL saves messages but
 	// leaves more of a limit unused.
 	ttlDivisor = 10
-	// reserveDivisor is the fraction of the allowed excess that is reserved for takeovers.
+	// reserveDivisor divides what is allowed beyond a limit into the part reserved for
+	// takeovers.
 	reserveDivisor = 4
-	// minCapacity is the capacity of a bucket whose limit allows no burst.
+	// minCapacity is the minimum capacity of a bucket, for limits without any burst.
 	minCapacity = 1
 )
 
