--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -15,139 +15,139 @@
 )
 
 const (
-	// maxNotRun is how many replicas that did not run a request are left for another.
+	// maxNotRun is the maximum number of replicas to try that do not run the request.
 	maxNotRun = 3
-	// maxRounds bounds how often full replicas are offered a program's request again,
-	// roundPause is the usual pause before that, and roundShare how many pauses the
-	// request must have left.
-	maxRounds  = 6
-	roundPause = 60 * time.Millisecond
-	roundShare = 4
-	// minLeft is the least time in which a replica could do anything.
-	minLeft = 5 * time.Millisecond
+	// maxCapacityWaits bounds how often a program's request waits for full replicas and
+	// tries them again. capacityWait is the mean wait. The request must have the time of
+	// minWaitsLeft such waits left.
+	maxCapacityWaits = 6
+	capacityWait     = 60 * time.Millisecond
+	minWaitsLeft     = 4
+	// minTimeLeft is the minimum remaining time for which an attempt is worth starting.
+	minTimeLeft = 5 * time.Millisecond
 )
 
-// attempts is the course of one request over replicas.
-type attempts struct {
-	// except lists the replicas that were tried.
-	except []string
-	// mayHaveRun counts replicas that ran the request or may have.
+// retryState tracks the attempts of one request.
+type retryState struct {
+	// excluded lists the replicas that were already tried.
+	excluded []string
+	// mayHaveRun counts the replicas that ran the request or may have run it.
 	mayHaveRun int
-	// notRun counts those that did not.
+	// notRun counts the replicas that provably did not run it.
 	notRun int
-	// rounds counts the pauses after which full replicas were offered the request again.
-	rounds int
-	last   *exchange.FailureError
-	// refused is why this node itself passes the request on no further, or nil.
-	refused error
+	// capacityWaits counts the waits for capacity.
+	capacityWaits int
+	lastFailure   *exchange.FailureError
+	// localError is the reason for which this node stopped before an attempt, or nil.
+	localError error
 }
 
 // attempt is a request at one replica.
 type attempt struct {
-	answer  *exchange.Answer
-	replica fleet.Replica
-	sending *balance.InFlightRequest
-	router  *Router
-	call    *call
-	// answered ends the watch for a replica that is silent.
-	answered func()
+	response *exchange.Answer
+	replica  fleet.Replica
+	inFlight *balance.InFlightRequest
+	router   *Router
+	call     *call
+	// stopTimer stops the response timer.
+	stopTimer func()
 }
 
-// finish gives the connection back and notes whether the replica is at fault.
-func (a *attempt) finish(failed bool) { a.finishHolding(failed, nil) }
+// finish releases the connection and records whether the replica is at fault.
+func (a *attempt) finish(failed bool) { a.finishStream(failed, nil) }
 
-// failed ends the attempt with the replica's own failure.
-func (a *attempt) failed() *exchange.FailureError {
+// fail finishes the attempt with an error response of the replica.
+func (a *attempt) fail() *exchange.FailureError {
 	a.finish(true)
-	return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonUnsigned, Status: a.answer.Status}
+	return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonUnsigned, Status: a.response.Status}
 }
 
-// finishHolding does the same as finish after a whole stream; held are the parts that the replica
-// holds from now on, which its keeper is told with the end.
-func (a *attempt) finishHolding(failed bool, held []balance.Segment) {
-	a.answered()
-	a.answer.Close()
-	a.router.config.Tracker.End(a.sending, failed, a.router.Now())
-	a.router.report(a.call, a.replica, held)
+// finishStream is like finish, and reports to the replica's aggregator the segments that
+// are now in its cache.
+func (a *attempt) finishStream(failed bool, cached []balance.Segment) {
+	a.stopTimer()
+	a.response.Close()
+	a.router.config.Tracker.End(a.inFlight, failed, a.router.Now())
+	a.router.reportLoad(a.call, a.replica, cached)
 }
 
-// errNoReplica tells that nothing is left to try.
+// errNoReplica means that no replica is left to try.
 var errNoReplica = errors.New("router: no replica takes the request")
 
-// send offers the call to replicas until one answers it. Errors: errNoReplica; one that
-// wraps errStale; a *exchange.FailureError after which the call must not be tried again.
-func (r *Router) send(ctx context.Context, call *call, reply *reply, course *attempts) (*attempt, error) {
+// send tries replicas until one responds. It returns errNoReplica, an error that wraps
+// errStale, or a *exchange.FailureError after which the call must not be retried.
+func (r *Router) send(ctx context.Context, call *call, reply *reply, retry *retryState) (*attempt, error) {
 	for {
-		if err := r.mayBegin(call, course); err != nil {
-			course.refused = err
+		if err := r.checkLeaseBeforeRun(call, retry); err != nil {
+			retry.localError = err
 			return nil, err
 		}
-		chosen, found := r.choose(ctx, call, course)
+		chosen, found := r.choose(ctx, call, retry)
 		if !found {
-			if r.awaitRoom(ctx, call, course) {
+			if r.waitForCapacity(ctx, call, retry) {
 				continue
 			}
 			return nil, errNoReplica
 		}
-		tried, failure := r.sendTo(ctx, call, chosen, reply)
+		attempt, failure := r.sendTo(ctx, call, chosen, reply)
 		if failure == nil {
-			return tried, nil
+			return attempt, nil
 		}
-		r.noteFailure(ctx, call, chosen.replica, course, failure)
-		if !mayTryAgain(ctx, call, course) && !r.awaitRoom(ctx, call, course) {
+		r.recordFailure(ctx, call, chosen.replica, retry, failure)
+		if !mayRetry(ctx, call, retry) && !r.waitForCapacity(ctx, call, retry) {
 			return nil, failure
 		}
 	}
 }
 
-// mayBegin returns an error if a request with a key may not begin to run any more. What
-// runs already is served to its end.
-func (r *Router) mayBegin(call *call, course *attempts) error {
-	if call.tenant == nil || course.mayHaveRun > 0 {
+// checkLeaseBeforeRun returns an error if the lease on the configuration has expired and
+// no replica can have run the request. Requests that may have run are completed.
+func (r *Router) checkLeaseBeforeRun(call *call, retry *retryState) error {
+	if call.tenant == nil || retry.mayHaveRun > 0 {
 		return nil
 	}
-	return r.confirmed()
+	return r.checkLease()
 }
 
-// awaitRoom pauses before the replicas, which were full, are offered a program's
-// request again, since its refusal may end the whole program. It returns false
-// where the request is not to be offered again.
-func (r *Router) awaitRoom(ctx context.Context, call *call, course *attempts) bool {
-	full := course.last != nil && course.last.Reason == exchange.ReasonShed && course.mayHaveRun == 0
-	if !full || call.turn.program == "" || course.rounds == maxRounds {
+// waitForCapacity waits before all replicas are tried again, if they rejected a program's
+// request because they were full: rejecting it may abort the whole program. It reports
+// whether to try again.
+func (r *Router) waitForCapacity(ctx context.Context, call *call, retry *retryState) bool {
+	full := retry.lastFailure != nil && retry.lastFailure.Reason == exchange.ReasonShed && retry.mayHaveRun == 0
+	if !full || call.turn.program == "" || retry.capacityWaits == maxCapacityWaits {
 		return false
 	}
-	pause := roundPause/2 + time.Duration(r.config.Random()*float64(roundPause))
-	if call.left() < roundShare*pause || wait.For(ctx, pause) != nil {
+	pause := capacityWait/2 + time.Duration(r.config.Random()*float64(capacityWait))
+	if call.left() < minWaitsLeft*pause || wait.For(ctx, pause) != nil {
 		return false
 	}
-	course.rounds++
-	course.notRun, course.except = 0, nil
+	retry.capacityWaits++
+	retry.notRun, retry.excluded = 0, nil
 	return true
 }
 
-// mayTryAgain tells whether another replica may get the call.
-func mayTryAgain(ctx context.Context, call *call, course *attempts) bool {
-	if ctx.Err() != nil || call.left() < minLeft || course.notRun >= maxNotRun {
+// mayRetry reports whether the call may be sent to another replica.
+func mayRetry(ctx context.Context, call *call, retry *retryState) bool {
+	if ctx.Err() != nil || call.left() < minTimeLeft || retry.notRun >= maxNotRun {
 		return false
 	}
-	if course.mayHaveRun == 0 {
+	if retry.mayHaveRun == 0 {
 		return true
 	}
-	return call.route.Repeatable() && course.mayHaveRun < max(call.route.MaxAttempts, 1)
+	return call.route.Repeatable() && retry.mayHaveRun < max(call.route.MaxAttempts, 1)
 }
 
-func (r *Router) noteFailure(ctx context.Context, call *call, replica fleet.Replica, course *attempts, failure *exchange.FailureError) {
-	course.except = append(course.except, replica.IncarnationID())
-	course.last = failure
+func (r *Router) recordFailure(ctx context.Context, call *call, replica fleet.Replica, retry *retryState, failure *exchange.FailureError) {
+	retry.excluded = append(retry.excluded, replica.IncarnationID())
+	retry.lastFailure = failure
 	switch {
 	case failure.Reason == exchange.ReasonWithheld && failure.Outcome == exchange.OutcomeNotRun:
-		// The replica was not asked, so this is none of the tries.
+		// Nothing was sent, so this does not count as an attempt.
 	case failure.Outcome == exchange.OutcomeNotRun:
-		course.notRun++
+		retry.notRun++
 	default:
-		course.mayHaveRun++
-		call.ran = true
+		retry.mayHaveRun++
+		call.mayHaveRun = true
 	}
 	if failure.Reason == exchange.ReasonMoved {
 		r.config.Fleet.Remove(replica.Instance, replica.StartedAtMs)
@@ -163,72 +163,73 @@
 	return exchange.Target{Instance: replica.Instance, StartedAtMs: replica.StartedAtMs, Address: replica.Address}
 }
 
-// sendTo offers the call to one replica. Without a failure the answer is one of
-// the replica's own to this request, and finish must be called.
+// sendTo sends the call to one replica. If it returns no failure, the response belongs to
+// this request and the caller must finish the attempt.
 func (r *Router) sendTo(ctx context.Context, call *call, chosen chosenReplica, reply *reply) (*attempt, *exchange.FailureError) {
 	replica := chosen.replica
 	reply.attempts++
-	reply.replica, reply.known = replica.IncarnationID(), chosen.known
+	reply.replica, reply.aggregated = replica.IncarnationID(), chosen.aggregated
 	left := call.left()
-	if left < minLeft {
+	if left < minTimeLeft {
 		return nil, &exchange.FailureError{Outcome: exchange.OutcomeNotRun, Reason: exchange.ReasonCancelled, Cause: context.DeadlineExceeded}
 	}
 	call.header.Set(r.config.Names.TimeoutMs, strconv.FormatInt(left.Milliseconds(), 10))
 	if call.service.Slots > 0 && r.config.Names.Priority != "" {
 		call.header.Set(r.config.Names.Priority, strconv.Itoa(balance.Priority(call.priority, call.late)))
 	}
-	sending := r.config.Tracker.Begin(balance.Target{
-		Instance: replica.IncarnationID(), Service: call.service.Name, Slots: replica.Slots, Known: chosen.known,
+	inFlight := r.config.Tracker.Begin(balance.Target{
+		Instance: replica.IncarnationID(), Service: call.service.Name, Slots: replica.Slots, Known: chosen.aggregated,
 		Cold: r.isCold(call, replica.IncarnationID()), Probe: chosen.probe,
 	}, call.prompt, r.Now())
-	r.report(call, replica, call.prompt.Segments)
-	reply.expected, reply.cold = sending.Expected(), sending.Cold()
-	answered := r.watchSilence(call, replica, sending)
-	answer, err := r.config.Replicas.Send(ctx, targetOf(replica), exchange.Request{
+	r.reportLoad(call, replica, call.prompt.Segments)
+	reply.expected, reply.cold = inFlight.Expected(), inFlight.Cold()
+	stopTimer := r.startResponseTimer(call, replica, inFlight)
+	response, err := r.config.Replicas.Send(ctx, targetOf(replica), exchange.Request{
 		ID: call.id, Method: call.method, URI: call.uri, Host: call.host, Header: call.header, Body: call.body,
-		Repeatable: call.route.Repeatable(), MaySend: func() error { return r.maySend(call, replica) },
+		Repeatable: call.route.Repeatable(), MaySend: func() error { return r.acquireSend(call, replica) },
 	})
-	r.config.Tracker.Answered(sending, r.Now())
-	tried := &attempt{answer: answer, replica: replica, sending: sending, router: r, call: call, answered: answered}
+	r.config.Tracker.Answered(inFlight, r.Now())
+	attempt := &attempt{response: response, replica: replica, inFlight: inFlight, router: r, call: call, stopTimer: stopTimer}
 	var failure *exchange.FailureError
 	if errors.As(err, &failure) {
-		answered()
+		stopTimer()
 		atFault := ctx.Err() == nil && failure.Reason != exchange.ReasonWithheld
-		r.config.Tracker.End(sending, atFault, r.Now())
+		r.config.Tracker.End(inFlight, atFault, r.Now())
 		if atFault {
-			tried.became(outcomeOf(failure))
+			attempt.recordOutcome(outcomeOf(failure))
 		}
-		r.report(call, replica, nil)
+		r.reportLoad(call, replica, nil)
 		return nil, failure
 	}
-	if failure = r.judge(answer); failure != nil {
-		tried.became(outcomeOf(failure))
-		tried.finish(failure.Reason == exchange.ReasonShed || failure.Reason == exchange.ReasonMoved)
+	if failure = r.checkResponse(response); failure != nil {
+		attempt.recordOutcome(outcomeOf(failure))
+		attempt.finish(failure.Reason == exchange.ReasonShed || failure.Reason == exchange.ReasonMoved)
 		return nil, failure
 	}
-	call.ran = true
-	return tried, nil
+	call.mayHaveRun = true
+	return attempt, nil
 }
 
-// judge tells whether an answer's head can go to the client.
-func (r *Router) judge(answer *exchange.Answer) *exchange.FailureError {
-	promise := isPromise(answer.Status)
+// checkResponse returns a failure if a response must not be forwarded to the client.
+func (r *Router) checkResponse(response *exchange.Answer) *exchange.FailureError {
+	promised := promisesNotRun(response.Status)
 	switch {
-	case answer.Status == http.StatusMisdirectedRequest:
-		return &exchange.FailureError{Outcome: exchange.OutcomeNotRun, Reason: exchange.ReasonMoved, Status: answer.Status}
-	case promise && answer.NotRun():
-		return &exchange.FailureError{Outcome: exchange.OutcomeNotRun, Reason: exchange.ReasonShed, Status: answer.Status}
-	case promise:
-		// The status would promise what the replica has not said.
-		return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonUnsigned, Status: answer.Status}
-	case answer.Status < http.StatusMultipleChoices && (!answer.Stamped() || answer.Header.Get("Content-Encoding") != ""):
-		return &exchange.FailureError{Outcome: exchange.OutcomeUnknown, Reason: exchange.ReasonUnsigned, Status: answer.Status}
+	case response.Status == http.StatusMisdirectedRequest:
+		return &exchange.FailureError{Outcome: exchange.OutcomeNotRun, Reason: exchange.ReasonMoved, Status: response.Status}
+	case promised && response.NotRun():
+		return &exchange.FailureError{Outcome: exchange.OutcomeNotRun, Reason: exchange.ReasonShed, Status: response.Status}
+	case promised:
+		// Forwarding the status would give a guarantee that the replica has not given.
+		return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonUnsigned, Status: response.Status}
+	case response.Status < http.StatusMultipleChoices && (!response.Stamped() || response.Header.Get("Content-Encoding") != ""):
+		return &exchange.FailureError{Outcome: exchange.OutcomeUnknown, Reason: exchange.ReasonUnsigned, Status: response.Status}
 	}
 	return nil
 }
 
-// isPromise tells whether clients read status as "has not run and never will".
-func isPromise(status int) bool {
+// promisesNotRun reports whether clients interpret a status as a guarantee that the
+// request has not run and will not run.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -236,23 +237,24 @@
 	return false
 }
 
-// giveUp answers a call that no replica has answered, by what is certain of it.
-func (r *Router) giveUp(ctx context.Context, call *call, reply *reply, course *attempts) {
+// failCall answers a call that no replica has served. The status depends on whether a
+// replica may have run it.
+func (r *Router) failCall(ctx context.Context, call *call, reply *reply, retry *retryState) {
 	cause := error(errNoReplica)
 	reason := "no_replica"
-	if course.last != nil {
-		cause, reason = course.last, string(course.last.Reason)
+	if retry.lastFailure != nil {
+		cause, reason = retry.lastFailure, string(retry.lastFailure.Reason)
 	}
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		reply.breakOff("client_left", cause)
-	case course.refused != nil:
-		reply.refuse(http.StatusServiceUnavailable, refusal{reason: reasonStale, comeBack: r.comeBackFromStore(shortComeBack), cause: course.refused})
-	case course.mayHaveRun == 0:
-		reply.refuse(http.StatusServiceUnavailable, r.withoutReplica(call, refusal{reason: reason, comeBack: shortComeBack, cause: cause}))
-	case call.left() < minLeft:
-		reply.refuse(http.StatusGatewayTimeout, refusal{reason: "timeout", cause: cause})
+		reply.abort("client_left", cause)
+	case retry.localError != nil:
+		reply.reject(http.StatusServiceUnavailable, rejection{reason: reasonStale, retryAfter: r.storeRetryAfter(shortRetryAfter), cause: retry.localError})
+	case retry.mayHaveRun == 0:
+		reply.reject(http.StatusServiceUnavailable, r.noReplicaRejection(call, rejection{reason: reason, retryAfter: shortRetryAfter, cause: cause}))
+	case call.left() < minTimeLeft:
+		reply.reject(http.StatusGatewayTimeout, rejection{reason: "timeout", cause: cause})
 	default:
-		reply.refuse(http.StatusBadGateway, refusal{reason: reason, cause: cause})
+		reply.reject(http.StatusBadGateway, rejection{reason: reason, cause: cause})
 	}
 }
--- a/internal/router/authenticate.go
+++ b/internal/router/authenticate.go
@@ -8,25 +8,25 @@
 	"stepseam.example/stepseam/internal/routing"
 )
 
-// errStale tells that the configuration in force may no longer be the newest, so that
-// nobody here can tell whether a key is still good.
+// errStale means that the configuration may be outdated, so that this node cannot decide
+// whether a key is valid.
 var errStale = errors.New("router: nobody has confirmed the configuration lately")
 
-// reasonStale is the reason of refusals because of errStale.
+// reasonStale is the rejection reason for errStale.
 const reasonStale = "configuration_stale"
 
-// denial is the answer to a request that is not let in.
+// denial is the response to a request that fails authentication.
 type denial struct {
-	status  int
-	refusal refusal
+	status    int
+	rejection rejection
 }
 
-// authenticate returns the tenant whose key a request carries; nil where the
-// configuration asks for no key, or a public route is asked without a known one. A
-// request that is not let in gets a denial.
+// authenticate returns the tenant of the request's key. The tenant is nil if the
+// configuration requires no key, or if the route is public and the request has no known
+// key. Other requests get a denial.
 //
-// stale is what confirmed returned before configuration was loaded: in the other order a
-// newer one could have been confirmed in between.
+// stale must be the result of checkLease from before configuration was loaded. In the
+// other order, the lease could be renewed for a newer configuration in between.
 func (r *Router) authenticate(request *http.Request, route *routing.Route, configuration *routing.Configuration, stale error) (*routing.Tenant, *denial) {
 	if !configuration.Authenticates() {
 		return nil, nil
@@ -40,30 +40,31 @@
 
 func (r *Router) tenantOf(keys []string, configuration *routing.Configuration, stale error) (*routing.Tenant, *denial) {
 	if len(keys) != 1 {
-		return nil, &denial{http.StatusUnauthorized, refusal{reason: "no_key", cause: fmt.Errorf("%d keys", len(keys))}}
+		return nil, &denial{http.StatusUnauthorized, rejection{reason: "no_key", cause: fmt.Errorf("%d keys", len(keys))}}
 	}
-	// A key that is not known here may be new, one that is known may be gone.
+	// With a stale configuration, an unknown key may be valid and a known one revoked.
 	if stale != nil {
-		return nil, &denial{http.StatusServiceUnavailable, refusal{reason: reasonStale, comeBack: r.comeBackFromStore(shortComeBack), cause: stale}}
+		return nil, &denial{http.StatusServiceUnavailable, rejection{reason: reasonStale, retryAfter: r.storeRetryAfter(shortRetryAfter), cause: stale}}
 	}
 	digest := routing.DigestKey(keys[0])
 	tenant := configuration.TenantOf(digest)
 	if tenant == nil {
-		return nil, &denial{http.StatusUnauthorized, refusal{reason: "unknown_key", cause: fmt.Errorf("key %s", digest)}}
+		return nil, &denial{http.StatusUnauthorized, rejection{reason: "unknown_key", cause: fmt.Errorf("key %s", digest)}}
 	}
 	return tenant, nil
 }
 
-// MayServe tells whether a configuration is in force and new enough.
+// MayServe reports whether there is a configuration and it is recent enough to serve
+// requests.
 func (r *Router) MayServe() bool {
-	stale := r.confirmed()
+	stale := r.checkLease()
 	configuration := r.configuration.Load()
 	return configuration != nil && (stale == nil || !configuration.Authenticates())
 }
 
-// confirmed returns an error that wraps errStale where the lease on the configuration
-// has run out.
-func (r *Router) confirmed() error {
+// checkLease returns an error that wraps errStale if the lease on the configuration has
+// expired.
+func (r *Router) checkLease() error {
 	if r.config.Lease == 0 {
 		return nil
 	}
--- a/internal/router/authenticate_test.go
+++ b/internal/router/authenticate_test.go
@@ -28,16 +28,16 @@
 	return tenant
 }
 
-func TestRequestsNeedAKeyOfATenant(t *testing.T) {
+func TestRequestWithoutValidKeyIsRejected(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	h.configure(2, tenantWith("acme", "one", "two"), tenantWith("other", "three"))
-	is.Equal(h.ask("/safe/x", "1").StatusCode, http.StatusUnauthorized)
-	is.Equal(h.ask("/safe/x", "2", "Test-Key", "onE").StatusCode, http.StatusUnauthorized)
-	is.Equal(h.ask("/safe/x", "3", "Test-Key", "").StatusCode, http.StatusUnauthorized)
+	is.Equal(h.post("/safe/x", "1").StatusCode, http.StatusUnauthorized)
+	is.Equal(h.post("/safe/x", "2", "Test-Key", "onE").StatusCode, http.StatusUnauthorized)
+	is.Equal(h.post("/safe/x", "3", "Test-Key", "").StatusCode, http.StatusUnauthorized)
 	is.Equal(len(h.replicas[0].Received()), 0)
 	for id, key := range map[string]string{"acme": "two", "other": "three"} {
-		is.Equal(h.ask("/safe/x", id, "Test-Key", key).StatusCode, http.StatusOK)
+		is.Equal(h.post("/safe/x", id, "Test-Key", key).StatusCode, http.StatusOK)
 	}
 	for _, received := range h.replicas[0].Received() {
 		is.Equal(received.Header.Get("Test-Tenant"), received.Header.Get("Test-Id"))
@@ -47,39 +47,39 @@
 
 func TestPublicRoutesNeedNoKey(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	h.configure(2, tenantWith("acme", "one"))
-	is.Equal(h.ask("/public/x", "1").StatusCode, http.StatusOK)
-	is.Equal(h.ask("/public/x", "2", "Test-Key", "unknown", "Test-Tenant", "acme").StatusCode, http.StatusOK)
-	is.Equal(h.ask("/public/x", "3", "Test-Key", "one").StatusCode, http.StatusOK)
+	is.Equal(h.post("/public/x", "1").StatusCode, http.StatusOK)
+	is.Equal(h.post("/public/x", "2", "Test-Key", "unknown", "Test-Tenant", "acme").StatusCode, http.StatusOK)
+	is.Equal(h.post("/public/x", "3", "Test-Key", "one").StatusCode, http.StatusOK)
 	received := h.replicas[0].Received()
 	is.Equal(received[1].Header.Get("Test-Tenant"), "")
 	is.Equal(received[2].Header.Get("Test-Tenant"), "acme")
 }
 
-func TestRequestWithSeveralKeysIsNotLetIn(t *testing.T) {
+func TestRequestWithSeveralKeysIsRejected(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	h.configure(2, tenantWith("acme", "one"), tenantWith("other", "two"))
 	is.Equal(h.raw("POST /safe/x HTTP/1.1\r\nHost: h.example\r\nTest-Id: 1\r\nTest-Key: one\r\ntest-key: two\r\nContent-Length: 0\r\n\r\n"), http.StatusUnauthorized)
 	is.Equal(len(h.replicas[0].Received()), 0)
 }
 
-func TestTenantsPriorityGoesBeforeTheRoutes(t *testing.T) {
+func TestTenantPriorityOverridesRoutePriority(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	urgent, usual := tenantWith("urgent", "one"), tenantWith("usual", "two")
 	urgent.Priority, urgent.HasPriority = 0, true
 	h.configure(2, urgent, usual)
-	h.ask("/resume/x", "1", "Test-Key", "one")
-	h.ask("/resume/x", "2", "Test-Key", "two")
+	h.post("/resume/x", "1", "Test-Key", "one")
+	h.post("/resume/x", "2", "Test-Key", "two")
 	received := h.replicas[0].Received()
 	is.True(received[0].Header.Get("Test-Priority") < received[1].Header.Get("Test-Priority"))
 }
 
-func TestFieldsOfTheSystemDoNotPassFromAClient(t *testing.T) {
+func TestReservedFieldsOfClientsAreNotForwarded(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	forged := "tESt-InsTANce: forged\r\nTest-Instance: forged\r\nTest-Hold: forged\r\nTEST-TENANT: forged\r\nTest-Priority: forged\r\nTest-Kept: 1\r\n"
 	for number, more := range []string{"", "Connection: Test-Hold, close\r\n", "Connection: test-id\r\n", "Trailer: Test-Hold\r\n"} {
 		id := fmt.Sprint(number)
@@ -96,20 +96,20 @@
 	}
 }
 
-func TestKeysAreInNoLogLine(t *testing.T) {
+func TestKeysAreNotLogged(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	var lines bytes.Buffer
 	h.router.config.Logger = slog.New(slog.NewJSONHandler(&lines, nil))
 	h.configure(2, tenantWith("acme", "sesame-open"))
-	h.ask("/safe/x", "1", "Test-Key", "sesame-open")
-	h.ask("/safe/x", "2", "Test-Key", "sesame-shut")
+	h.post("/safe/x", "1", "Test-Key", "sesame-open")
+	h.post("/safe/x", "2", "Test-Key", "sesame-shut")
 	is.True(strings.Contains(lines.String(), `"tenant":"acme"`))
 	is.True(strings.Contains(lines.String(), routing.DigestKey("sesame-shut").String()))
 	is.True(!strings.Contains(lines.String(), "sesame"))
 }
 
-// assertNothingForged fails if a field holds the mark of what clients forge.
+// assertNothingForged fails if a header field contains a value forged by the client.
 func assertNothingForged(t *testing.T, header http.Header) {
 	t.Helper()
 	for name, values := range header {
@@ -119,7 +119,7 @@
 	}
 }
 
-// raw sends bytes on a connection of its own and returns the answer's status, or 0.
+// raw sends bytes on a new connection and returns the status of the response, or 0.
 func (h *harness) raw(request string) int {
 	socket, err := net.Dial("tcp4", h.server.Listener.Addr().String())
 	if err != nil {
@@ -137,90 +137,90 @@
 	return response.StatusCode
 }
 
-// FuzzRequestHeader feeds heads as they arrive and checks what would go out.
+// FuzzRequestHeader checks that no reserved field of a client's header is sent to a replica.
 func FuzzRequestHeader(f *testing.F) {
-	for _, head := range []string{
+	for _, header := range []string{
 		"Test-Hold: forged\r\n", "test-hold: forged\r\nTEST-HOLD: forged\r\n", "Connection: test-tenant\r\nTest-Tenant: forged\r\n",
 		"Connection: Test-Id, Test-Kept\r\nTest-Kept: 1\r\n", "Test-Key: forged\r\nTest-Priority: forged\r\n", "Test_Hold: 1\r\nTest-Hold : forged\r\n",
 	} {
-		f.Add(head)
+		f.Add(header)
 	}
 	tenant := tenantWith("acme", "one")
-	f.Fuzz(func(t *testing.T, head string) {
-		read, err := textproto.NewReader(bufio.NewReader(strings.NewReader("Test-Id: 7\r\n" + head + "\r\n\r\n"))).ReadMIMEHeader()
+	f.Fuzz(func(t *testing.T, header string) {
+		read, err := textproto.NewReader(bufio.NewReader(strings.NewReader("Test-Id: 7\r\n" + header + "\r\n\r\n"))).ReadMIMEHeader()
 		if err != nil {
 			t.Skip()
 		}
-		passed := testNames.requestHeader(http.Header(read), &tenant)
+		forwarded := testNames.requestHeader(http.Header(read), &tenant)
 		for _, name := range testNames.Reserved {
-			if values := passed.Values(name); len(values) > 0 && (name != testNames.Tenant || len(values) != 1 || values[0] != "acme") {
+			if values := forwarded.Values(name); len(values) > 0 && (name != testNames.Tenant || len(values) != 1 || values[0] != "acme") {
 				t.Fatalf("%s: %q", name, values)
 			}
 		}
-		if passed.Get("Test-Id") == "" || passed.Get("Test-Tenant") != "acme" {
-			t.Fatalf("id %q, tenant %q", passed.Get("Test-Id"), passed.Get("Test-Tenant"))
+		if forwarded.Get("Test-Id") == "" || forwarded.Get("Test-Tenant") != "acme" {
+			t.Fatalf("id %q, tenant %q", forwarded.Get("Test-Id"), forwarded.Get("Test-Tenant"))
 		}
 	})
 }
 
-// aged is how old a configuration is.
-type aged struct {
+// fakeFreshness is a Freshness with a settable age.
+type fakeFreshness struct {
 	age   atomic.Int64
 	known bool
 }
 
-func (a *aged) Age() (time.Duration, bool) { return time.Duration(a.age.Load()), a.known }
-func (a *aged) UnavailableForAll() bool    { return true }
+func (a *fakeFreshness) Age() (time.Duration, bool) { return time.Duration(a.age.Load()), a.known }
+func (a *fakeFreshness) UnavailableForAll() bool    { return true }
 
-func TestStaleConfigurationPassesNoRequestWithAKeyOn(t *testing.T) {
+func TestRequestWithKeyIsRejectedWhileConfigurationIsStale(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
-	fresh := &aged{known: true}
+	h := newHarness(t, healthy)
+	fresh := &fakeFreshness{known: true}
 	fresh.age.Store(int64(time.Second))
 	h.router.config.Lease, h.router.config.Freshness = 4*time.Second, fresh
 	h.configure(2, tenantWith("acme", "one"))
-	is.Equal(h.ask("/safe/x", "1", "Test-Key", "one").StatusCode, http.StatusOK)
-	is.Equal(h.ask("/safe/x", "2", "Test-Key", "new").StatusCode, http.StatusUnauthorized)
+	is.Equal(h.post("/safe/x", "1", "Test-Key", "one").StatusCode, http.StatusOK)
+	is.Equal(h.post("/safe/x", "2", "Test-Key", "new").StatusCode, http.StatusUnauthorized)
 	fresh.age.Store(int64(4*time.Second + 1))
-	for _, key := range []string{"one", "new"} { // a key that may be good is never denied
-		got := h.ask("/safe/x", "3"+key, "Test-Key", key)
+	for _, key := range []string{"one", "new"} { // a key that may be valid is never denied
+		got := h.post("/safe/x", "3"+key, "Test-Key", key)
 		is.Equal(got.StatusCode, http.StatusServiceUnavailable)
 		is.True(got.Header.Get("Retry-After") != "")
 	}
 	fresh.age.Store(0)
 	fresh.known = false
-	is.Equal(h.ask("/safe/x", "5", "Test-Key", "one").StatusCode, http.StatusServiceUnavailable)
-	is.Equal(h.ask("/public/x", "6").StatusCode, http.StatusOK)
+	is.Equal(h.post("/safe/x", "5", "Test-Key", "one").StatusCode, http.StatusServiceUnavailable)
+	is.Equal(h.post("/public/x", "6").StatusCode, http.StatusOK)
 	is.Equal(len(h.replicas[0].Received()), 2)
 }
 
-func TestLeaseIsLookedAtAgainBeforeASecondSend(t *testing.T) {
+func TestLeaseIsCheckedBeforeEachAttempt(t *testing.T) {
 	is := is.New(t)
-	fresh := &aged{known: true}
+	fresh := &fakeFreshness{known: true}
 	h := newHarness(t, func(e *replica.Exchange) bool {
-		fresh.age.Store(int64(time.Minute)) // runs out while the first replica sheds the request
+		fresh.age.Store(int64(time.Minute)) // the lease expires while the first replica sheds the request
 		return withStatus(http.StatusServiceUnavailable, "Test-Not-Run: 1")(e)
-	}, sound)
+	}, healthy)
 	h.router.config.Lease, h.router.config.Freshness = 4*time.Second, fresh
 	h.configure(2, tenantWith("acme", "one"))
-	is.Equal(h.ask("/safe/x", "1", "Test-Key", "one").StatusCode, http.StatusServiceUnavailable)
+	is.Equal(h.post("/safe/x", "1", "Test-Key", "one").StatusCode, http.StatusServiceUnavailable)
 	is.Equal(len(h.replicas[1].Received()), 0)
 }
 
-func TestTurnsOfAnotherTenantAreAsAbsentAsThoseThatNeverWere(t *testing.T) {
+func TestTurnsOfOtherTenantsAreNotFound(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, func(e *replica.Exchange) bool {
 		e.Answer(http.StatusOK, "id: 1\ndata: w\n\n", "Test-Id: "+e.Request.Header.Get("Test-Id"), "Test-Stamp: s")
 		return true
 	})
 	h.configure(2, tenantWith("acme", "one"), tenantWith("other", "two"))
-	is.Equal(h.ask("/kept/x", "t1", "Test-Key", "one").StatusCode, http.StatusOK)
-	stolen := h.ask("/kept/x", "t2", "Test-Key", "two", "Test-Previous", "t1")
-	absent := h.ask("/kept/x", "t3", "Test-Key", "two", "Test-Previous", "never")
-	is.Equal(stolen.StatusCode, http.StatusNotFound)
-	is.Equal(stolen.body, absent.body)
-	is.Equal(h.ask("/kept/x", "t4", "Test-Key", "two", "Test-Previous", "acme/t1").StatusCode, http.StatusNotFound)
-	is.Equal(h.ask("/kept/x", "t5", "Test-Key", "one", "Test-Previous", "t1").StatusCode, http.StatusOK)
+	is.Equal(h.post("/kept/x", "t1", "Test-Key", "one").StatusCode, http.StatusOK)
+	foreign := h.post("/kept/x", "t2", "Test-Key", "two", "Test-Previous", "t1")
+	absent := h.post("/kept/x", "t3", "Test-Key", "two", "Test-Previous", "never")
+	is.Equal(foreign.StatusCode, http.StatusNotFound)
+	is.Equal(foreign.body, absent.body)
+	is.Equal(h.post("/kept/x", "t4", "Test-Key", "two", "Test-Previous", "acme/t1").StatusCode, http.StatusNotFound)
+	is.Equal(h.post("/kept/x", "t5", "Test-Key", "one", "Test-Previous", "t1").StatusCode, http.StatusOK)
 	received := h.replicas[0].Received()
 	is.Equal(len(received), 2)
 	is.Equal(received[1].Body, "inputw\ninput")
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// defaultTimeout holds a request whose client and route name none.
+	// defaultTimeout applies if neither the client nor the route specifies a timeout.
 	defaultTimeout = 30 * time.Second
-	// defaultBodyBytes bounds a body where the configuration doesn't.
+	// defaultBodyBytes bounds request bodies if the configuration sets no limit.
 	defaultBodyBytes = 4 << 20
 )
 
@@ -34,36 +34,38 @@
 	host   string
 	header http.Header
 	body   []byte
-	// inputBytes is the length of the own input at the end of body.
+	// inputBytes is the length of the turn's own input at the end of body, without the
+	// history.
 	inputBytes int
 	route      *routing.Route
 	service    routing.Service
-	// tenant is whom the request is served for, by the configuration that it was
-	// admitted under; nil where no key is asked for.
+	// tenant is the account of the request by the configuration at its arrival; nil if no
+	// key is required.
 	tenant *routing.Tenant
-	// priority is the request's rank; 0 is the highest.
+	// priority is the request's priority; 0 is the highest.
 	priority int
-	// homes are where the request's data may be.
-	homes residency.AllowedRegions
-	// permit is a token of the tenant's limit.
+	// allowedRegions are the regions where the request's data may be.
+	allowedRegions residency.AllowedRegions
+	// permit is the token taken from the tenant's limit.
 	permit limits.Permit
-	// ran tells that a replica ran the request, or may have.
-	ran      bool
-	version  uint64
-	arrived  time.Time
-	deadline time.Time
+	// mayHaveRun reports whether a replica ran the request or may have run it.
+	mayHaveRun bool
+	version    uint64
+	arrived    time.Time
+	deadline   time.Time
 
-	prompt     balance.Prompt
-	mostTokens uint32
-	// finish is how long the program has left; late tells that this is nothing.
-	finish time.Duration
-	late   bool
-	turn   turn
-	// lastEvent is the last event that the client has, or -1.
+	prompt    balance.Prompt
+	maxTokens uint32
+	// programTimeLeft is the program's remaining time until its objective. late reports
+	// that the objective has passed.
+	programTimeLeft time.Duration
+	late            bool
+	turn            turn
+	// lastEvent is the ID of the last event that the client has received, or -1.
 	lastEvent int64
 }
 
-// turn is what a request says of its program; budgeted is false for other requests.
+// turn identifies the program's turn. budgeted is false for requests without a budget.
 type turn struct {
 	budgeted bool
 	program  ledger.ProgramID
@@ -71,104 +73,106 @@
 	previous ledger.TurnID
 }
 
-// left is how long the client and the route still wait.
+// left returns the remaining time until the deadline.
 func (c *call) left() time.Duration { return time.Until(c.deadline) }
 
-// perConnection are the header fields that concern one connection only.
-var perConnection = []string{
+// hopByHopFields are the header fields that apply to a single connection.
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// forwardable returns the fields of header that are passed on.
-func forwardable(header http.Header) http.Header {
-	passed := make(http.Header, len(header))
+// endToEndHeader returns the header without hop-by-hop fields, including those listed in
+// Connection.
+func endToEndHeader(header http.Header) http.Header {
+	forwarded := make(http.Header, len(header))
 	for name, values := range header {
-		passed[name] = values
+		forwarded[name] = values
 	}
 	for _, listed := range header["Connection"] {
 		for name := range strings.SplitSeq(listed, ",") {
-			delete(passed, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)))
+			delete(forwarded, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	for _, name := range perConnection {
-		delete(passed, name)
+	for _, name := range hopByHopFields {
+		delete(forwarded, name)
 	}
-	return passed
+	return forwarded
 }
 
-// requestHeader returns the fields of a client's header that a replica is sent: none
-// that only the system tells replicas, and the tenant that the client's key has proved.
-// The request's id goes out also where the client lists it as its connection's.
+// requestHeader returns the header to send to a replica: the client's end-to-end fields
+// without reserved ones, plus the authenticated tenant. The request ID is always included,
+// even if the client lists it in Connection.
 func (n *HeaderNames) requestHeader(header http.Header, tenant *routing.Tenant) http.Header {
-	passed := forwardable(header)
+	forwarded := endToEndHeader(header)
 	for _, name := range n.Reserved {
-		delete(passed, textproto.CanonicalMIMEHeaderKey(name))
+		delete(forwarded, textproto.CanonicalMIMEHeaderKey(name))
 	}
 	if tenant != nil && n.Tenant != "" {
-		passed.Set(n.Tenant, tenant.Name)
+		forwarded.Set(n.Tenant, tenant.Name)
 	}
 	if id, given := header[n.Replica.RequestID]; given {
-		passed[n.Replica.RequestID] = id
+		forwarded[n.Replica.RequestID] = id
 	}
-	return passed
+	return forwarded
 }
 
-// newCall reads what the router needs from a request's head.
+// newCall builds a call from the header of a request.
 func (r *Router) newCall(request *http.Request, route *routing.Route, tenant *routing.Tenant, configuration *routing.Configuration) *call {
 	names := &r.config.Names
-	made := &call{
+	call := &call{
 		id: request.Header.Get(names.Replica.RequestID), method: request.Method,
 		uri: request.RequestURI, host: request.Host, header: names.requestHeader(request.Header, tenant),
-		route: route, tenant: tenant, priority: routing.PriorityOf(route, tenant), homes: routing.AllowedRegionsOf(route, tenant), version: configuration.Version, arrived: time.Now(), lastEvent: -1,
+		route: route, tenant: tenant, priority: routing.PriorityOf(route, tenant), allowedRegions: routing.AllowedRegionsOf(route, tenant), version: configuration.Version, arrived: time.Now(), lastEvent: -1,
 	}
 	service := r.splitter.Pick(route, r.config.Random())
-	made.service = configuration.Services[service]
-	made.service.Name = service
-	made.deadline = made.arrived.Add(holdTime(request.Header.Get(names.TimeoutMs), route.Timeout))
-	made.prompt.Segments = parsePrompt(request.Header.Get(names.PromptPrefix))
-	in, most, _ := strings.Cut(request.Header.Get(names.TokenCount), ",")
-	made.prompt.Tokens = int(parseUint32(in))
-	made.mostTokens = parseUint32(most)
+	call.service = configuration.Services[service]
+	call.service.Name = service
+	call.deadline = call.arrived.Add(requestTimeout(request.Header.Get(names.TimeoutMs), route.Timeout))
+	call.prompt.Segments = parsePrompt(request.Header.Get(names.PromptPrefix))
+	input, maxOutput, _ := strings.Cut(request.Header.Get(names.TokenCount), ",")
+	call.prompt.Tokens = int(parseUint32(input))
+	call.maxTokens = parseUint32(maxOutput)
 	if last, err := strconv.ParseInt(request.Header.Get(names.LastEvent), 10, 64); err == nil {
-		made.lastEvent = last
+		call.lastEvent = last
 	}
 	if left, err := strconv.ParseInt(request.Header.Get(names.Finish), 10, 64); err == nil {
-		made.finish = time.Duration(left) * time.Millisecond
-		made.late = left <= 0
+		call.programTimeLeft = time.Duration(left) * time.Millisecond
+		call.late = left <= 0
 	}
-	made.turn = turn{
+	call.turn = turn{
 		program:  ledger.ProgramID(request.Header.Get(names.Program)),
 		budget:   parseUint32(request.Header.Get(names.Budget)),
-		previous: turnOf(tenant, request.Header.Get(names.PreviousTurn)),
+		previous: turnID(tenant, request.Header.Get(names.PreviousTurn)),
 	}
-	if made.mostTokens == 0 {
-		// A turn that does not say how much it hands out may take all that is left.
-		made.mostTokens = made.turn.budget
+	if call.maxTokens == 0 {
+		// Without a maximum, the turn may use the whole remaining budget.
+		call.maxTokens = call.turn.budget
 	}
-	made.turn.budgeted = route.Kind == routing.KindStreaming && made.turn.program != "" && request.Header.Get(names.Budget) != ""
-	return made
+	call.turn.budgeted = route.Kind == routing.KindStreaming && call.turn.program != "" && request.Header.Get(names.Budget) != ""
+	return call
 }
 
-// turnOf returns the id of a tenant's turn in the ledger, empty for no request. It names
-// the tenant, so that the turn of another one is as absent as one that never was.
-func turnOf(tenant *routing.Tenant, requestID string) ledger.TurnID {
+// turnID returns the ID of a tenant's turn in the ledger, or an empty one for an empty
+// request ID. The ID contains the tenant's name, so that turns of other tenants cannot be
+// referenced.
+func turnID(tenant *routing.Tenant, requestID string) ledger.TurnID {
 	if requestID == "" || tenant == nil {
 		return ledger.TurnID(requestID)
 	}
 	return ledger.TurnID(tenant.Name + "/" + requestID)
 }
 
-// holdTime is the shorter of what the client waits and what the route allows.
-func holdTime(clientMs string, routeTimeout time.Duration) time.Duration {
-	hold := defaultTimeout
+// requestTimeout returns the smaller of the client's and the route's timeout.
+func requestTimeout(clientMs string, routeTimeout time.Duration) time.Duration {
+	timeout := defaultTimeout
 	if routeTimeout > 0 {
-		hold = routeTimeout
+		timeout = routeTimeout
 	}
 	if milliseconds, err := strconv.ParseInt(clientMs, 10, 64); err == nil && milliseconds >= 0 {
-		hold = min(hold, time.Duration(milliseconds)*time.Millisecond)
+		timeout = min(timeout, time.Duration(milliseconds)*time.Millisecond)
 	}
-	return hold
+	return timeout
 }
 
 func parseUint32(text string) uint32 {
@@ -179,28 +183,28 @@
 	return uint32(value)
 }
 
-// parsePrompt reads "id:tokens,id:tokens"; it stops at what it can't read, since a
-// prompt's parts only help to choose.
+// parsePrompt parses a list "id:tokens,id:tokens". It stops at the first malformed entry,
+// since segments serve only as a hint for replica selection.
 func parsePrompt(list string) []balance.Segment {
 	if list == "" {
 		return nil
 	}
-	var parts []balance.Segment
+	var segments []balance.Segment
 	for field := range strings.SplitSeq(list, ",") {
 		id, tokens, found := strings.Cut(strings.TrimSpace(field), ":")
 		count, err := strconv.Atoi(tokens)
 		if !found || err != nil {
 			break
 		}
-		parts = append(parts, balance.Segment{ID: xxhash.Sum64String(id), Tokens: count})
+		segments = append(segments, balance.Segment{ID: xxhash.Sum64String(id), Tokens: count})
 	}
-	return parts
+	return segments
 }
 
 var errBodyTooLarge = errors.New("router: the body is larger than allowed")
 
-// headBytes is about how long a request's head is on the wire.
-func headBytes(request *http.Request) int {
+// headerBytes returns the approximate size of a request's header on the wire.
+func headerBytes(request *http.Request) int {
 	const perField = len(": \r\n")
 	total := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
@@ -211,10 +215,10 @@
 	return total
 }
 
-// readBodyUntil is readBody with a time by which the body must have come.
+// readBodyUntil is like readBody with a read deadline.
 func readBodyUntil(writer http.ResponseWriter, request *http.Request, limit int64, deadline time.Time) ([]byte, error) {
 	controller := http.NewResponseController(writer)
-	// A connection without deadlines is left as it is.
+	// The error means that the connection does not support deadlines.
 	_ = controller.SetReadDeadline(deadline)
 	body, err := readBody(request, limit)
 	if err == nil {
@@ -223,7 +227,7 @@
 	return body, err
 }
 
-// readBody takes the whole body, which is needed for a further attempt.
+// readBody reads the complete body, so that the request can be retried.
 func readBody(request *http.Request, limit int64) ([]byte, error) {
 	if limit <= 0 {
 		limit = defaultBodyBytes
@@ -239,7 +243,7 @@
 		if _, err := io.ReadFull(request.Body, body); err != nil {
 			return nil, fmt.Errorf("router: read body: %w", err)
 		}
-		// The end must be read too, before the client's leaving can be seen.
+		// The server detects a disconnect of the client only after EOF has been read.
 		_, err := request.Body.Read(make([]byte, 1))
 		if err != nil && !errors.Is(err, io.EOF) {
 			return nil, fmt.Errorf("router: read body: %w", err)
--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -10,34 +10,34 @@
 	"stepseam.example/stepseam/internal/fleet"
 )
 
-// chosenReplica is where an attempt goes; known is what the replica's keeper has told
-// of it, or nil.
+// chosenReplica is the target of an attempt. aggregated is the state reported by the
+// replica's aggregator, or nil.
 type chosenReplica struct {
-	replica fleet.Replica
-	known   *balance.AggregatedState
-	// probe tells that the replica is ejected and is tried all the same.
+	replica    fleet.Replica
+	aggregated *balance.AggregatedState
+	// probe reports whether the replica is ejected and the request probes it.
 	probe bool
 }
 
-// choose finds the replica for the next attempt; false if none is left.
-func (r *Router) choose(ctx context.Context, call *call, course *attempts) (chosenReplica, bool) {
-	scans := r.scans(call)
+// choose selects the replica for the next attempt. It returns false if there is none.
+func (r *Router) choose(ctx context.Context, call *call, retry *retryState) (chosenReplica, bool) {
+	scans := r.scansAll(call)
 	var usable []fleet.Replica
 	if scans {
 		usable = r.eligible(call)
 	} else {
-		usable = r.gather(call, course)
+		usable = r.sampleReplicas(call, retry)
 	}
 	connected := r.config.Replicas.Connected(call.route.Repeatable())
 	need := balance.Requirements{
-		Engine: call.service.Slots > 0, Prompt: call.prompt, Exclude: course.except,
+		Engine: call.service.Slots > 0, Prompt: call.prompt, Exclude: retry.excluded,
 		NotRetryable: !call.route.Repeatable() || call.route.MaxAttempts <= 1,
 		Connected:    func(replica fleet.Replica) bool { return connected(targetOf(replica)) },
 	}
 	if r.config.Distances != nil {
 		need.PathTo = r.config.Distances.PathTo
 	}
-	if r.bounded(call) {
+	if r.limitsCold(call) {
 		need.Cold = func(replica fleet.Replica) bool { return r.isCold(call, replica.IncarnationID()) }
 	}
 	candidates := r.config.Tracker.Candidates(usable, need, r.Now())
@@ -52,80 +52,81 @@
 			return balance.Shortlist(near, work, r.config.Random)
 		}
 	}
-	learned, known := r.askKeepers(ctx, call, candidates, byInstance, shortlist, need.NotRetryable)
-	sound, probe := balance.FilterEjected(learned, candidates, need.NotRetryable)
-	sound = balance.PreferOwnRegion(sound)
+	updated, aggregated := r.queryAggregators(ctx, call, candidates, byInstance, shortlist, need.NotRetryable)
+	healthy, probe := balance.FilterEjected(updated, candidates, need.NotRetryable)
+	healthy = balance.PreferOwnRegion(healthy)
 	if probe != nil {
-		sound = []balance.Candidate{*probe}
+		healthy = []balance.Candidate{*probe}
 	}
-	choice, found := balance.Choose(sound, work, r.config.Random())
+	choice, found := balance.Choose(healthy, work, r.config.Random())
 	if !found {
 		return chosenReplica{}, false
 	}
 	chosen := chosenReplica{replica: byInstance[choice.Candidate.Instance], probe: probe != nil}
-	if told, found := known[choice.Candidate.Instance]; found {
-		chosen.known = &told
+	if state, found := aggregated[choice.Candidate.Instance]; found {
+		chosen.aggregated = &state
 	}
 	return chosen, true
 }
 
-// askKeepers returns the candidates to choose from, with what the keepers of their
-// replicas know. Without any answer all candidates stay as they are.
-func (r *Router) askKeepers(ctx context.Context, call *call, candidates []balance.Candidate, replicas map[string]fleet.Replica, shortlisted func([]balance.Candidate) []balance.Candidate, exposed bool) ([]balance.Candidate, map[string]balance.AggregatedState) {
+// queryAggregators queries the aggregators of the shortlisted candidates and returns the
+// candidates updated with their responses. Without any response all candidates are
+// returned unchanged.
+func (r *Router) queryAggregators(ctx context.Context, call *call, candidates []balance.Candidate, replicas map[string]fleet.Replica, selectShortlist func([]balance.Candidate) []balance.Candidate, notRetryable bool) ([]balance.Candidate, map[string]balance.AggregatedState) {
 	if r.config.Keepers == nil || len(candidates) < 2 {
 		return candidates, nil
 	}
 	near, far := balance.SplitByRoundTrip(candidates, float64(aggregator.QueryTimeout.Milliseconds()))
 	if len(near) == 0 {
-		return candidates, nil // no keeper can answer in time
+		return candidates, nil // no aggregator can respond in time
 	}
-	shortlist := shortlisted(near)
-	asked := lo.Map(shortlist, func(candidate balance.Candidate, _ int) aggregator.Replica {
-		return kept(replicas[candidate.Instance], call)
+	shortlist := selectShortlist(near)
+	queries := lo.Map(shortlist, func(candidate balance.Candidate, _ int) aggregator.Replica {
+		return aggregatorReplica(replicas[candidate.Instance], call)
 	})
-	states := r.config.Keepers.Query(ctx, asked, keptParts(call.prompt.Segments))
+	states := r.config.Keepers.Query(ctx, queries, aggregatorSegments(call.prompt.Segments))
 	if len(states) == 0 {
 		return candidates, nil
 	}
-	known := lo.MapValues(states, func(state aggregator.State, _ string) balance.AggregatedState {
+	aggregated := lo.MapValues(states, func(state aggregator.State, _ string) balance.AggregatedState {
 		return balance.AggregatedState{Load: state.Load, CachedTokens: state.CachedTokens, Complete: state.Complete, Ejected: state.Ejected, Probe: state.Probe}
 	})
-	learned := lo.Map(shortlist, func(candidate balance.Candidate, _ int) balance.Candidate {
-		if told, found := known[candidate.Instance]; found {
-			candidate.Ejected, candidate.Probe = r.config.Tracker.ApplyAggregatedState(candidate.Instance, told, r.Now())
-			return candidate.WithAggregatedState(told, exposed)
+	updated := lo.Map(shortlist, func(candidate balance.Candidate, _ int) balance.Candidate {
+		if state, found := aggregated[candidate.Instance]; found {
+			candidate.Ejected, candidate.Probe = r.config.Tracker.ApplyAggregatedState(candidate.Instance, state, r.Now())
+			return candidate.WithAggregatedState(state, notRetryable)
 		}
 		return candidate
 	})
-	return append(learned, far...), known
+	return append(updated, far...), aggregated
 }
 
-// report tells a replica's keeper what this node has there now; parts is a prompt
-// that the replica holds from now on.
-func (r *Router) report(call *call, replica fleet.Replica, parts []balance.Segment) {
+// reportLoad reports this node's load at a replica to the replica's aggregator. segments
+// are the prompt segments that the replica now has in its cache.
+func (r *Router) reportLoad(call *call, replica fleet.Replica, segments []balance.Segment) {
 	if r.config.Keepers == nil {
 		return
 	}
 	load := r.config.Tracker.Load(replica.IncarnationID(), r.Now())
-	r.config.Keepers.Report(kept(replica, call), load, keptParts(parts))
+	r.config.Keepers.Report(aggregatorReplica(replica, call), load, aggregatorSegments(segments))
 }
 
-func kept(replica fleet.Replica, call *call) aggregator.Replica {
+func aggregatorReplica(replica fleet.Replica, call *call) aggregator.Replica {
 	return aggregator.Replica{Instance: replica.IncarnationID(), Zone: replica.Zone, CapacityTokens: call.service.MemoryTokens}
 }
 
-func keptParts(parts []balance.Segment) []aggregator.Segment {
-	return lo.Map(parts, func(part balance.Segment, _ int) aggregator.Segment {
-		return aggregator.Segment{ID: uint32(part.ID), Tokens: part.Tokens}
+func aggregatorSegments(segments []balance.Segment) []aggregator.Segment {
+	return lo.Map(segments, func(segment balance.Segment, _ int) aggregator.Segment {
+		return aggregator.Segment{ID: uint32(segment.ID), Tokens: segment.Tokens}
 	})
 }
 
-// held returns the parts of the prompt with what the stream has added to the last one,
-// which is the program's own.
-func (s *stream) held() []balance.Segment {
-	parts := append([]balance.Segment(nil), s.call.prompt.Segments...)
-	if len(parts) > 0 {
-		parts[len(parts)-1].Tokens += int(s.tokens)
+// cachedSegments returns the prompt's segments. The last one, which is specific to the
+// program, is extended by the tokens of the stream.
+func (s *stream) cachedSegments() []balance.Segment {
+	segments := append([]balance.Segment(nil), s.call.prompt.Segments...)
+	if len(segments) > 0 {
+		segments[len(segments)-1].Tokens += int(s.tokens)
 	}
-	return parts
+	return segments
 }
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -18,7 +18,7 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// unobserved counts nothing.
+// unobserved is an aggregator.Observer that discards everything.
 type unobserved struct{}
 
 func (unobserved) QueryDone(time.Duration, int, int) {}
@@ -26,8 +26,8 @@
 func (unobserved) Received(int)                      {}
 func (unobserved) InvalidDatagram()                  {}
 
-// joinKeepers lets routers report to and ask each other's keepers.
-func joinKeepers(t *testing.T, routers ...*Router) {
+// joinAggregators connects the routers' aggregators with each other.
+func joinAggregators(t *testing.T, routers ...*Router) {
 	free, err := loopback.Free(loopback.Own())
 	if err != nil {
 		t.Fatal(err)
@@ -58,32 +58,31 @@
 	}
 }
 
-// TestNodeAvoidsAReplicaThatReadsAnotherNodesPrompt sends a long prompt through one
-// node; the next request, through another node, must not wait behind it.
-func TestNodeAvoidsAReplicaThatReadsAnotherNodesPrompt(t *testing.T) {
+// A request must not be queued behind a long prompt that another node has sent.
+func TestReplicaWithPendingPromptOfAnotherNodeIsAvoided(t *testing.T) {
 	is := is.New(t)
 	reading, release := make(chan bool, 1), make(chan bool)
 	h := newHarness(t, func(exchange *replica.Exchange) bool {
 		if exchange.Request.Header.Get("Test-Id") != "long" {
-			return sound(exchange)
+			return healthy(exchange)
 		}
 		reading <- true
 		<-release
-		return sound(exchange)
-	}, sound)
+		return healthy(exchange)
+	}, healthy)
 	other := h.newRouter("other")
 	other.SetConfiguration(h.router.Configuration())
-	joinKeepers(t, h.router, other)
+	joinAggregators(t, h.router, other)
 	second := httptest.NewServer(other)
 	t.Cleanup(second.Close)
 
 	done := make(chan answer)
-	go func() { done <- h.ask("/unsafe/", "long", "Test-Tokens", "90000,1", "Test-Prompt", "a:90000") }()
+	go func() { done <- h.post("/unsafe/", "long", "Test-Tokens", "90000,1", "Test-Prompt", "a:90000") }()
 	<-reading
-	time.Sleep(20 * time.Millisecond) // a report's way
+	time.Sleep(20 * time.Millisecond) // until the report has arrived
 	first := h.server
 	h.server = second
-	is.Equal(h.ask("/unsafe/", "short", "Test-Tokens", "100,1", "Test-Prompt", "b:100").StatusCode, http.StatusOK)
+	is.Equal(h.post("/unsafe/", "short", "Test-Tokens", "100,1", "Test-Prompt", "b:100").StatusCode, http.StatusOK)
 	h.server = first
 	is.Equal(len(h.replicas[0].Received()), 1)
 	is.Equal(len(h.replicas[1].Received()), 1)
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// Connections tracks the clients' connections, so that a planned stop can close
-// those without a request and never one with a request.
+// Connections tracks the clients' connections, so that a shutdown can close idle ones
+// without interrupting a request. It is safe for concurrent use.
 type Connections struct {
 	// mutex guards open.
 	mutex sync.Mutex
 	open  map[net.Conn]*clientConnection
 }
 
-// clientConnection is one connection of a client. Invariant: once closed is set,
-// no request that arrives on it is passed on.
+// clientConnection is the state of one connection. Invariant: once closed is set, no
+// request that arrives on it is processed.
 type clientConnection struct {
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex  sync.Mutex
 	busy   bool
 	closed bool
-	// fresh tells that no request has come on it yet.
-	fresh bool
-	// restsSince is when its last answer was sent; zero while none has been.
-	restsSince time.Time
+	// unused reports that no request has arrived on it yet.
+	unused bool
+	// idleSince is the time at which the last response was sent; zero if there was none.
+	idleSince time.Time
 }
 
 type connectionKey struct{}
 
-// NewConnections returns a tracker without connections.
+// NewConnections returns an empty tracker.
 func NewConnections() *Connections {
 	return &Connections{open: map[net.Conn]*clientConnection{}}
 }
 
 // Context is the ConnContext hook of http.Server.
 func (c *Connections) Context(ctx context.Context, socket net.Conn) context.Context {
-	tracked := &clientConnection{fresh: true}
+	tracked := &clientConnection{unused: true}
 	c.mutex.Lock()
 	c.open[socket] = tracked
 	c.mutex.Unlock()
@@ -53,16 +53,15 @@
 	case http.StateClosed, http.StateHijacked:
 		delete(c.open, socket)
 	case http.StateIdle:
-		// The last answer has been sent whole.
+		// The last response has been sent completely.
 		if tracked, found := c.open[socket]; found {
 			tracked.endRequest()
 		}
 	}
 }
 
-// CloseIdle closes the connections that have served requests and wait for one
-// more; with fresh, also those on which none has come yet. It returns how many
-// are left.
+// CloseIdle closes the connections that are idle after a request and, if fresh is set,
+// also those without a request so far. It returns the number of connections left open.
 func (c *Connections) CloseIdle(fresh bool) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,7 +71,7 @@
 			left++
 			continue
 		}
-		// There is nobody to tell of an error.
+		// A failure to close is of no consequence.
 		_ = socket.Close()
 	}
 	return left
@@ -81,14 +80,15 @@
 func (t *clientConnection) closeIfIdle(fresh bool) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.busy || t.fresh && !fresh {
+	if t.busy || t.unused && !fresh {
 		return false
 	}
 	t.closed = true
 	return true
 }
 
-// beginRequest marks the connection as busy; false if it is being closed.
+// beginRequest marks the connection as busy. It returns false if the connection is being
+// closed.
 func beginRequest(ctx context.Context) bool {
 	tracked, found := ctx.Value(connectionKey{}).(*clientConnection)
 	if !found {
@@ -99,7 +99,7 @@
 	if tracked.closed {
 		return false
 	}
-	tracked.busy, tracked.fresh = true, false
+	tracked.busy, tracked.unused = true, false
 	return true
 }
 
@@ -107,29 +107,30 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.busy = false
-	t.restsSince = time.Now()
+	t.idleSince = time.Now()
 }
 
-// restsLonger tells whether the connection has rested for longer than limit.
-func (t *clientConnection) restsLonger(limit time.Duration) bool {
+// idleLongerThan reports whether the connection has been idle for longer than limit after
+// a request.
+func (t *clientConnection) idleLongerThan(limit time.Duration) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return !t.busy && !t.restsSince.IsZero() && time.Since(t.restsSince) > limit
+	return !t.busy && !t.idleSince.IsZero() && time.Since(t.idleSince) > limit
 }
 
-// CloseResting closes the connections that have rested for longer than limit.
+// CloseResting closes the connections that have been idle for longer than limit.
 func (c *Connections) CloseResting(limit time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for socket, tracked := range c.open {
-		if tracked.restsLonger(limit) && tracked.closeIfIdle(false) {
-			// There is nobody to tell of an error.
+		if tracked.idleLongerThan(limit) && tracked.closeIfIdle(false) {
+			// A failure to close is of no consequence.
 			_ = socket.Close()
 		}
 	}
 }
 
-// Count returns how many connections are open.
+// Count returns the number of open connections.
 func (c *Connections) Count() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -9,52 +9,52 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLarge = errors.New("router: event is too large")
-	errEventTorn     = errors.New("router: stream ends within an event")
+	errEventTooLarge  = errors.New("router: event is too large")
+	errEventTruncated = errors.New("router: stream ends within an event")
 )
 
 // event is one event of a text/event-stream.
 type event struct {
-	// raw holds its lines and the empty line behind them.
+	// raw contains the event's lines, including the final empty line.
 	raw []byte
-	// id is the event's number; numbered is false where it has none.
-	id       int64
-	numbered bool
-	// data is the text of its data fields, joined by line feeds.
+	// id is the event's number; hasID is false if it has none.
+	id    int64
+	hasID bool
+	// data is the concatenation of the data fields, joined by line feeds.
 	data    []byte
 	hasData bool
 }
 
-// readEvent reads the next whole event. It returns io.EOF at the end of a stream
-// that ends behind an event.
+// readEvent reads the next complete event. It returns io.EOF if the stream ends after a
+// complete event.
 func readEvent(reader *bufio.Reader) (event, error) {
-	var read event
+	var parsed event
 	for {
 		line, err := reader.ReadSlice('\n')
-		read.raw = append(read.raw, line...)
+		parsed.raw = append(parsed.raw, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
-			rest, more := readLongLine(reader, maxEventBytes-len(read.raw))
-			read.raw = append(read.raw, rest...)
+			rest, more := readLongLine(reader, maxEventBytes-len(parsed.raw))
+			parsed.raw = append(parsed.raw, rest...)
 			line, err = append(bytes.Clone(line), rest...), more
 		}
-		if errors.Is(err, io.EOF) && len(read.raw) > 0 {
-			return event{}, fmt.Errorf("%w: %w", errEventTorn, io.ErrUnexpectedEOF)
+		if errors.Is(err, io.EOF) && len(parsed.raw) > 0 {
+			return event{}, fmt.Errorf("%w: %w", errEventTruncated, io.ErrUnexpectedEOF)
 		}
 		if err != nil {
 			return event{}, err
 		}
-		if len(read.raw) > maxEventBytes {
+		if len(parsed.raw) > maxEventBytes {
 			return event{}, errEventTooLarge
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
-			return read, nil
+			return parsed, nil
 		}
-		read.field(line)
+		parsed.parseField(line)
 	}
 }
 
@@ -72,13 +72,13 @@
 	}
 }
 
-func (e *event) field(line []byte) {
+func (e *event) parseField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "id":
 		id, err := strconv.ParseInt(string(value), 10, 64)
-		e.id, e.numbered = id, err == nil
+		e.id, e.hasID = id, err == nil
 	case "data":
 		if e.hasData {
 			e.data = append(e.data, '\n')
--- a/internal/router/limit.go
+++ b/internal/router/limit.go
@@ -10,60 +10,60 @@
 )
 
 const (
-	// leastComeBack bounds how soon a tenant that is at its limit may come back, and
-	// comeBackSpread is the part by which that differs from one request to the next, so
-	// that they don't come back together.
-	leastComeBack  = 50 * time.Millisecond
-	comeBackSpread = 0.3
+	// minRetryAfter bounds the Retry-After delay of tenants over their limit from below.
+	// retryAfterJitter is the maximum random extension as a fraction of the delay, which
+	// keeps clients from retrying at the same time.
+	minRetryAfter    = 50 * time.Millisecond
+	retryAfterJitter = 0.3
 )
 
-// admitTenant spends a token of the tenant's limit. If it returns false, the request has
-// been answered.
+// admitTenant takes a token of the tenant's rate limit. If it returns false, the request
+// has been rejected.
 func (r *Router) admitTenant(ctx context.Context, reply *reply, call *call) bool {
 	if r.config.Limits == nil {
 		return true
 	}
 	permit, err := r.config.Limits.Admit(ctx, call.tenant)
 	if err != nil {
-		r.refuseOverLimit(ctx, reply, err)
+		r.rejectOverLimit(ctx, reply, err)
 		return false
 	}
 	call.permit = permit
 	return true
 }
 
-// admitProgram spends the right to begin a program. A tenant at its limit begins only as
-// many programs as the limit lets end, and goes on with those under way. If it returns
-// false, the request has been answered.
+// admitProgram takes the permission to start a program. A tenant at its limit may start
+// programs only at the rate at which its programs can finish, so that running programs can
+// continue. If it returns false, the request has been rejected.
 func (r *Router) admitProgram(ctx context.Context, reply *reply, call *call) bool {
 	if err := call.permit.StartProgram(ctx); err != nil {
-		r.refuseOverLimit(ctx, reply, err)
+		r.rejectOverLimit(ctx, reply, err)
 		return false
 	}
 	return true
 }
 
-func (r *Router) refuseOverLimit(ctx context.Context, reply *reply, err error) {
+func (r *Router) rejectOverLimit(ctx context.Context, reply *reply, err error) {
 	var over *limits.OverLimitError
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		reply.breakOff("client_left", err)
+		reply.abort("client_left", err)
 	case errors.As(err, &over):
 		reason := "over_limit"
 		if over.ProgramStart {
 			reason = "program_over_limit"
 		}
-		comeBack := max(over.RetryAfter, leastComeBack)
-		comeBack += time.Duration(r.config.Random() * comeBackSpread * float64(comeBack))
-		reply.refuse(http.StatusTooManyRequests, refusal{reason: reason, comeBack: comeBack, cause: err})
+		retryAfter := max(over.RetryAfter, minRetryAfter)
+		retryAfter += time.Duration(r.config.Random() * retryAfterJitter * float64(retryAfter))
+		reply.reject(http.StatusTooManyRequests, rejection{reason: reason, retryAfter: retryAfter, cause: err})
 	default:
-		reply.refuse(http.StatusServiceUnavailable, refusal{reason: "limit_unknown", comeBack: shortComeBack, cause: err})
+		reply.reject(http.StatusServiceUnavailable, rejection{reason: "limit_unknown", retryAfter: shortRetryAfter, cause: err})
 	}
 }
 
-// refundUnlessRan gives the token of a request back that no replica has run.
+// refundUnlessRan returns the token if no replica can have run the request.
 func (c *call) refundUnlessRan() {
-	if !c.ran {
+	if !c.mayHaveRun {
 		c.permit.Refund()
 	}
 }
--- a/internal/router/limit_test.go
+++ b/internal/router/limit_test.go
@@ -16,11 +16,11 @@
 	"stepseam.example/stepseam/internal/routing"
 )
 
-// promptly is how soon a request must be answered that is refused.
-const promptly = 100 * time.Millisecond
+// maxRejectionTime is the time within which a rejection must arrive.
+const maxRejectionTime = 100 * time.Millisecond
 
-// limited gives the harness one tenant with a limit, whose key is "one".
-func limited(h *harness, rate, burst float64) {
+// withLimit configures one tenant with the key "one" and a rate limit.
+func withLimit(h *harness, rate, burst float64) {
 	tenant := tenantWith("acme", "one")
 	tenant.RatePerSecond, tenant.Burst = rate, burst
 	h.configure(2, tenant)
@@ -31,65 +31,64 @@
 		found := h.router.Configuration().TenantNamed(name)
 		return limits.LimitOf(found), found.Limited()
 	})
-	time.Sleep(1200 * time.Millisecond) // until the node knows that nobody else has allotted the limit
+	time.Sleep(1200 * time.Millisecond) // until the node can be sure to be the only allocator
 }
 
-// asks sends requests of the tenant and counts the answers by status.
-func (h *harness) asks(count int, path, name string, head ...string) map[int]int {
+// postMany sends requests of the tenant and counts the responses by status.
+func (h *harness) postMany(count int, path, name string, header ...string) map[int]int {
 	statuses := map[int]int{}
 	for i := range count {
-		got := h.ask(path, fmt.Sprint(name, i), append(head, "Test-Key", "one")...)
+		got := h.post(path, fmt.Sprint(name, i), append(header, "Test-Key", "one")...)
 		statuses[got.StatusCode]++
 	}
 	return statuses
 }
 
-func TestTenantBeyondItsLimitIsToldAtOnceWhenToComeBack(t *testing.T) {
+func TestTenantOverLimitIsRejectedWithRetryAfter(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
-	limited(h, 10, 20)
-	statuses := h.asks(40, "/safe/x", "a")
+	h := newHarness(t, healthy)
+	withLimit(h, 10, 20)
+	statuses := h.postMany(40, "/safe/x", "a")
 	is.True(statuses[http.StatusOK] >= 10 && statuses[http.StatusOK] <= 31)
 	is.Equal(statuses[http.StatusOK]+statuses[http.StatusTooManyRequests], 40)
 	began := time.Now()
-	got := h.ask("/safe/x", "b", "Test-Key", "one")
-	is.True(time.Since(began) < promptly)
+	got := h.post("/safe/x", "b", "Test-Key", "one")
+	is.True(time.Since(began) < maxRejectionTime)
 	is.Equal(got.StatusCode, http.StatusTooManyRequests)
 	after, err := strconv.ParseFloat(got.Header.Get("Retry-After"), 64)
 	is.NoErr(err)
 	is.True(after > 0 && after <= 1)
 	time.Sleep(time.Duration(2*after*float64(time.Second)) + 100*time.Millisecond)
-	is.Equal(h.ask("/safe/x", "c", "Test-Key", "one").StatusCode, http.StatusOK) // it was true
+	is.Equal(h.post("/safe/x", "c", "Test-Key", "one").StatusCode, http.StatusOK) // the delay was sufficient
 }
 
-func TestWhatHasNotRunIsNotTakenFromTheLimit(t *testing.T) {
+func TestRequestsThatDidNotRunAreRefunded(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, withStatus(http.StatusServiceUnavailable, "Test-Not-Run: 1"))
-	limited(h, 10, 20)
-	statuses := h.asks(60, "/safe/x", "a")
+	withLimit(h, 10, 20)
+	statuses := h.postMany(60, "/safe/x", "a")
 	is.Equal(statuses[http.StatusServiceUnavailable], 60)
 }
 
-func TestWhatMayHaveRunIsTakenFromTheLimit(t *testing.T) {
+func TestRequestsThatMayHaveRunAreNotRefunded(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, hangUp)
-	limited(h, 10, 20)
-	statuses := h.asks(60, "/safe/x", "a")
+	h := newHarness(t, closeConnection)
+	withLimit(h, 10, 20)
+	statuses := h.postMany(60, "/safe/x", "a")
 	is.True(statuses[http.StatusBadGateway] >= 10 && statuses[http.StatusBadGateway] <= 31)
 	is.Equal(statuses[http.StatusBadGateway]+statuses[http.StatusTooManyRequests], 60)
 }
 
-// TestTenantAtItsLimitGoesOnWithItsPrograms begins programs until no more may begin; those
-// that have begun still get their turns.
-func TestTenantAtItsLimitGoesOnWithItsPrograms(t *testing.T) {
+// A tenant that may not start further programs must be able to continue running ones.
+func TestTenantAtItsLimitContinuesRunningPrograms(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, func(e *replica.Exchange) bool {
 		e.Answer(http.StatusOK, "id: 1\ndata: w\n\n", "Test-Id: "+e.Request.Header.Get("Test-Id"), "Test-Stamp: s")
 		return true
 	})
-	limited(h, 5, 20)
+	withLimit(h, 5, 20)
 	turn := func(id, program string) answer {
-		return h.ask("/stream/x", id, "Test-Key", "one", "Test-Program", program, "Test-Budget", "1000", "Test-Tokens", "9,20")
+		return h.post("/stream/x", id, "Test-Key", "one", "Test-Program", program, "Test-Budget", "1000", "Test-Tokens", "9,20")
 	}
 	var begun []string
 	refused := answer{}
@@ -106,15 +105,15 @@
 	is.Equal(turn("second"+begun[0], begun[0]).StatusCode, http.StatusOK)
 }
 
-func TestTenantWithoutALimitIsNotCounted(t *testing.T) {
+func TestTenantWithoutLimitIsNotLimited(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
-	limited(h, 5, 5)
+	h := newHarness(t, healthy)
+	withLimit(h, 5, 5)
 	free := tenantWith("free", "two")
 	is.True(!(&free).Limited())
 	h.configure(3, free)
 	for i := range 50 {
-		is.Equal(h.ask("/safe/x", fmt.Sprint(i), "Test-Key", "two").StatusCode, http.StatusOK)
+		is.Equal(h.post("/safe/x", fmt.Sprint(i), "Test-Key", "two").StatusCode, http.StatusOK)
 	}
 	is.Equal(routing.PriorityOf(&routing.Route{Priority: 2}, &free), 2)
 }
--- a/internal/router/names.go
+++ b/internal/router/names.go
@@ -1,38 +1,40 @@
-// Package router serves routed requests: it finds the route, reserves the budget
-// of a program's turn, chooses a replica, passes the answer on as it arrives and
-// says of a failed request what is certain about it.
+// Package router implements the HTTP handler for routed requests. It matches the route,
+// authenticates and rate-limits the tenant, reserves the budget of a program's turn,
+// selects a replica and streams its response to the client. The status of a failed request
+// tells the client whether the request may have run.
 package router
 
 import "stepseam.example/stepseam/internal/exchange"
 
-// HeaderNames are the header fields that clients and replicas use. The platform's
-// adapter gives them.
+// HeaderNames defines the names of the header fields used with clients and replicas. They
+// are set by the platform's adapter.
 type HeaderNames struct {
-	// Replica holds the fields of the exchange with replicas.
+	// Replica holds the field names of the protocol with replicas.
 	Replica exchange.Names
-	// TimeoutMs is how long the sender waits, in milliseconds.
+	// TimeoutMs is the sender's timeout in milliseconds.
 	TimeoutMs string
-	// LastEvent is the id of the last event that the client has of a stream.
+	// LastEvent is the ID of the last event of a stream that the client has received.
 	LastEvent string
-	// Program names the program of a request.
+	// Program is the ID of the request's program.
 	Program string
-	// Finish is how long a program has left until it should be over, in milliseconds.
+	// Finish is the program's remaining time until its objective, in milliseconds.
 	Finish string
-	// Priority ranks a request at a replica from 0, the most urgent, to 9.
+	// Priority is the rank of a request at a replica, from 0 (most urgent) to 9.
 	Priority string
-	// Budget is a program's whole budget in tokens.
+	// Budget is the program's total budget in tokens.
 	Budget string
-	// TokenCount is "tokens in,most tokens out".
+	// TokenCount has the form "input tokens,maximum output tokens".
 	TokenCount string
-	// PromptPrefix lists the parts of the prompt as "hex id:tokens", by commas.
+	// PromptPrefix lists the segments of the prompt as comma-separated "hex ID:tokens"
+	// pairs.
 	PromptPrefix string
-	// PreviousTurn is the request id of the turn that this one goes on from.
+	// PreviousTurn is the request ID of the turn that this one continues.
 	PreviousTurn string
-	// Key is a client's key. It is never passed on.
+	// Key is the client's key. It is never forwarded.
 	Key string
-	// Tenant tells a replica whom a request is for.
+	// Tenant identifies the request's tenant to replicas.
 	Tenant string
-	// Reserved are the fields that only the system tells a replica. Those of a client
-	// are dropped.
+	// Reserved lists the fields that only the router may set. They are removed from
+	// clients' requests.
 	Reserved []string
 }
--- a/internal/router/outcome.go
+++ b/internal/router/outcome.go
@@ -13,15 +13,16 @@
 	"stepseam.example/stepseam/internal/routing"
 )
 
-// none is the outcome of a request that says nothing of its replica's soundness.
-const none outlier.Outcome = 0
+// noOutcome means that a request says nothing about its replica's health.
+const noOutcome outlier.Outcome = 0
 
-// became notes what became of the request at its replica.
-func (a *attempt) became(outcome outlier.Outcome) {
-	a.router.noteOutcome(a.call, a.replica, a.sending, outcome)
+// recordOutcome records the outcome of the attempt.
+func (a *attempt) recordOutcome(outcome outlier.Outcome) {
+	a.router.recordOutcome(a.call, a.replica, a.inFlight, outcome)
 }
 
-// outcomeOf tells what a failure says of the replica. One that refuses work is sound.
+// outcomeOf maps a failure to an outcome of the replica. A replica that sheds load is
+// healthy.
 func outcomeOf(failure *exchange.FailureError) outlier.Outcome {
 	switch failure.Reason {
 	case exchange.ReasonConnect:
@@ -37,26 +38,26 @@
 		return outlier.BrokenResponse
 	case exchange.ReasonShed, exchange.ReasonMoved, exchange.ReasonCancelled, exchange.ReasonWithheld:
 	}
-	return none
+	return noOutcome
 }
 
-// noteOutcome counts what became of a request for this node and tells the replica's keeper.
-func (r *Router) noteOutcome(call *call, replica fleet.Replica, sending *balance.InFlightRequest, outcome outlier.Outcome) {
-	if outcome == none {
+// recordOutcome counts an outcome at this node and reports it to the replica's aggregator.
+func (r *Router) recordOutcome(call *call, replica fleet.Replica, inFlight *balance.InFlightRequest, outcome outlier.Outcome) {
+	if outcome == noOutcome {
 		return
 	}
-	judged, counted := r.config.Tracker.RecordOutcome(sending, outcome, r.Now())
+	transition, counted := r.config.Tracker.RecordOutcome(inFlight, outcome, r.Now())
 	if !counted {
 		return
 	}
 	if r.config.Keepers != nil {
-		r.config.Keepers.ReportOutcome(kept(replica, call), outcome, judged.BaselineFailureRate)
+		r.config.Keepers.ReportOutcome(aggregatorReplica(replica, call), outcome, transition.BaselineFailureRate)
 		return
 	}
-	LogTransition(r.config.Logger, aggregator.EjectionChange{Instance: replica.IncarnationID(), Transition: judged})
+	LogTransition(r.config.Logger, aggregator.EjectionChange{Instance: replica.IncarnationID(), Transition: transition})
 }
 
-// LogTransition writes the line of a replica that is ejected or returns.
+// LogTransition logs that a replica was ejected or reinstated.
 func LogTransition(logger *slog.Logger, changed aggregator.EjectionChange) {
 	name := slog.String("replica", changed.Instance)
 	switch changed.Change {
@@ -69,13 +70,14 @@
 	}
 }
 
-// watchSilence counts a request as failed whose replica is silent beyond patience, until the
-// returned function is called. The request itself goes on.
-func (r *Router) watchSilence(call *call, replica fleet.Replica, sending *balance.InFlightRequest) (answered func()) {
-	patience, known := r.config.Tracker.ResponseTimeout(sending, call.route.Kind == routing.KindStreaming)
+// startResponseTimer records a failure of the replica if no response arrives within the
+// response timeout and the returned function is not called before. The request itself
+// continues.
+func (r *Router) startResponseTimer(call *call, replica fleet.Replica, inFlight *balance.InFlightRequest) (stopTimer func()) {
+	timeout, known := r.config.Tracker.ResponseTimeout(inFlight, call.route.Kind == routing.KindStreaming)
 	if !known {
 		return func() {}
 	}
-	timer := time.AfterFunc(patience, func() { r.noteOutcome(call, replica, sending, outlier.NoResponse) })
+	timer := time.AfterFunc(timeout, func() { r.recordOutcome(call, replica, inFlight, outlier.NoResponse) })
 	return func() { timer.Stop() }
 }
--- a/internal/router/plain.go
+++ b/internal/router/plain.go
@@ -10,113 +10,115 @@
 	"stepseam.example/stepseam/internal/outlier"
 )
 
-// bufferedBody is the largest body that is read whole before the client gets any
-// of it, so that a torn answer can still be replaced by another.
-const bufferedBody = 256 << 10
+// maxBufferedBody is the maximum size up to which a response body is read completely
+// before any of it is sent to the client, so that the request can be retried if the body
+// is truncated.
+const maxBufferedBody = 256 << 10
 
-// scarceBody is the same while the bodies of other answers take all that they may, such as
-// those of clients that don't read: a usual body still fits.
-const scarceBody = 8 << 10
+// maxBufferedBodyWhenFull replaces maxBufferedBody while the buffers for responses are
+// full, for example because of clients that do not read. Typical bodies still fit.
+const maxBufferedBodyWhenFull = 8 << 10
 
-// servePlain serves a request whose answer is one body.
+// servePlain serves a non-streaming request.
 func (r *Router) servePlain(ctx context.Context, reply *reply, call *call) {
-	course := &attempts{}
+	retry := &retryState{}
 	for {
-		tried, err := r.send(ctx, call, reply, course)
+		attempt, err := r.send(ctx, call, reply, retry)
 		if err != nil {
-			r.giveUp(ctx, call, reply, course)
+			r.failCall(ctx, call, reply, retry)
 			return
 		}
-		failure := r.passOn(ctx, call, reply, course, tried)
+		failure := r.forwardBody(ctx, call, reply, retry, attempt)
 		if failure == nil {
 			return
 		}
-		r.noteFailure(ctx, call, tried.replica, course, failure)
-		if !mayTryAgain(ctx, call, course) {
-			r.giveUp(ctx, call, reply, course)
+		r.recordFailure(ctx, call, attempt.replica, retry, failure)
+		if !mayRetry(ctx, call, retry) {
+			r.failCall(ctx, call, reply, retry)
 			return
 		}
 	}
 }
 
-// passOn reads an answer's body and sends it to the client. A failure leaves the
-// client without any answer yet.
-func (r *Router) passOn(ctx context.Context, call *call, reply *reply, course *attempts, tried *attempt) *exchange.FailureError {
-	failed := tried.answer.Status >= http.StatusInternalServerError
+// forwardBody reads a response body and sends it to the client. If it returns a failure,
+// nothing has been sent to the client.
+func (r *Router) forwardBody(ctx context.Context, call *call, reply *reply, retry *retryState, attempt *attempt) *exchange.FailureError {
+	failed := attempt.response.Status >= http.StatusInternalServerError
 	if failed {
-		tried.became(outlier.ErrorResponse)
+		attempt.recordOutcome(outlier.ErrorResponse)
 	}
-	if failed && call.route.Repeatable() && course.mayHaveRun+1 < call.route.MaxAttempts {
-		return tried.failed()
+	if failed && call.route.Repeatable() && retry.mayHaveRun+1 < call.route.MaxAttempts {
+		return attempt.fail()
 	}
-	limit, release := r.reserveBody(tried.answer)
+	limit, release := r.reserveResponseBuffer(attempt.response)
 	defer release()
-	body, err := io.ReadAll(io.LimitReader(tried.answer.Body, limit))
+	body, err := io.ReadAll(io.LimitReader(attempt.response.Body, limit))
 	if err == nil && int64(len(body)) == limit {
-		r.passOnLong(reply, tried, body)
+		r.forwardLongBody(reply, attempt, body)
 		return nil
 	}
 	if err != nil && ctx.Err() == nil {
-		tried.became(outlier.BrokenResponse)
+		attempt.recordOutcome(outlier.BrokenResponse)
 	}
-	tried.finish(err != nil && ctx.Err() == nil)
+	attempt.finish(err != nil && ctx.Err() == nil)
 	if err != nil {
-		return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonIncomplete, Status: tried.answer.Status, Cause: err}
+		return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonIncomplete, Status: attempt.response.Status, Cause: err}
 	}
-	if !failed { // how long a failure took says nothing of the work
-		tried.became(outlier.Success)
-		r.config.Tracker.BodyReceived(tried.sending, r.Now())
+	if !failed { // the duration of a failure is not representative
+		attempt.recordOutcome(outlier.Success)
+		r.config.Tracker.BodyReceived(attempt.inFlight, r.Now())
 	}
-	reply.begin(tried.answer, len(body))
+	reply.sendHeader(attempt.response, len(body))
 	reply.bytes = len(body)
 	if _, err := reply.writer.Write(body); err != nil {
-		reply.note("client_left", err)
+		reply.setReason("client_left", err)
 	}
 	return nil
 }
 
-// passOnLong passes a long body on as it arrives.
-func (r *Router) passOnLong(reply *reply, tried *attempt, begun []byte) {
-	reply.begin(tried.answer, int(tried.answer.Length))
-	written, err := reply.writer.Write(begun)
+// forwardLongBody sends prefix and streams the rest of a body that exceeds the buffer.
+func (r *Router) forwardLongBody(reply *reply, attempt *attempt, prefix []byte) {
+	reply.sendHeader(attempt.response, int(attempt.response.Length))
+	written, err := reply.writer.Write(prefix)
 	reply.bytes = written
 	if err != nil {
-		tried.finish(false)
-		reply.breakOff("client_left", err)
+		attempt.finish(false)
+		reply.abort("client_left", err)
 	}
 	chunk := make([]byte, 32<<10)
 	for {
-		n, err := tried.answer.Body.Read(chunk)
+		n, err := attempt.response.Body.Read(chunk)
 		if _, failed := reply.writer.Write(chunk[:n]); failed != nil {
-			tried.finish(false)
-			reply.breakOff("client_left", failed)
+			attempt.finish(false)
+			reply.abort("client_left", failed)
 		}
 		reply.bytes += n
 		if errors.Is(err, io.EOF) {
-			if tried.answer.Status < http.StatusInternalServerError {
-				tried.became(outlier.Success)
+			if attempt.response.Status < http.StatusInternalServerError {
+				attempt.recordOutcome(outlier.Success)
 			}
-			tried.finish(false)
+			attempt.finish(false)
 			return
 		}
 		if err != nil {
-			tried.became(outlier.BrokenResponse)
-			tried.finish(true)
-			reply.breakOff(string(exchange.ReasonIncomplete), err)
+			attempt.recordOutcome(outlier.BrokenResponse)
+			attempt.finish(true)
+			reply.abort(string(exchange.ReasonIncomplete), err)
 		}
 	}
 }
 
-// reserveBody returns how much of an answer's body may be read before the client gets any
-// of it. What it takes counts among the bodies that are held until release is called.
-func (r *Router) reserveBody(answer *exchange.Answer) (limit int64, release func()) {
-	limit = bufferedBody
-	if answer.Length >= 0 {
-		limit = min(limit, answer.Length+1)
+// reserveResponseBuffer returns the number of bytes of a response body that may be
+// buffered. The bytes count against the limit on buffered responses until release is
+// called.
+func (r *Router) reserveResponseBuffer(response *exchange.Answer) (limit int64, release func()) {
+	limit = maxBufferedBody
+	if response.Length >= 0 {
+		limit = min(limit, response.Length+1)
 	}
-	if r.answers.Add(limit) <= r.config.BufferBytes {
-		return limit, func() { r.answers.Add(-limit) }
+	if r.responseBytes.Add(limit) <= r.config.BufferBytes {
+		return limit, func() { r.responseBytes.Add(-limit) }
 	}
-	r.answers.Add(-limit)
-	return min(limit, scarceBody), func() {}
+	r.responseBytes.Add(-limit)
+	return min(limit, maxBufferedBodyWhenFull), func() {}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,69 +23,77 @@
 	"stepseam.example/stepseam/internal/routing"
 )
 
-// Config is what a Router is made from; all fields but Regions, Distances, Evacuations, Cold, Keepers, Limits, Registerer and
-// those that say so are required.
+// Config configures a Router. All fields are required except Regions, Distances,
+// Evacuations, ColdStart, Keepers, Limits, Registerer and those whose comments say
+// otherwise.
 type Config struct {
 	Names    HeaderNames
 	Replicas *exchange.Client
 	Fleet    *fleet.Directory
 	Tracker  *balance.Tracker
 	Turns    *coordinator.Service
-	// Regions tell where zones lie; data with homes goes to no zone that is not listed.
+	// Regions maps zones to regions. Restricted data goes to no zone that it does not
+	// contain.
 	Regions residency.ZoneRegions
-	// Distances tell how far zones are; nil takes all for near.
+	// Distances returns the network paths to zones; nil treats all zones as near.
 	Distances *distance.Map
-	// Evacuations tell which zones' replicas get nothing; nil where none ever is.
+	// Evacuations reports which zones are evacuated; nil if none ever is.
 	Evacuations *evacuation.Zones
-	// ColdStart lets requests go to cold replicas as far as those bear them; nil lets all go.
+	// ColdStart limits the requests to cold replicas; nil sets no limit.
 	ColdStart *coldstart.Limiter
-	// Zone is the node's own, NodeNumber a number of its own.
+	// Zone is the node's own zone. NodeNumber identifies the node and does not change.
 	Zone       string
 	NodeNumber uint64
-	// ScanUpTo is up to how many replicas of a service all are looked at for a choice; 0
-	// always looks at all. Beyond it a few are gathered.
+	// ScanUpTo is the maximum number of a service's replicas up to which all are
+	// considered for a selection. Larger services are sampled. 0 always considers all.
 	ScanUpTo int
-	// Keepers tell and ask what all nodes have at replicas; nil where nodes don't.
+	// Keepers exchanges load and outcomes with the replicas' aggregators; nil disables
+	// that.
 	Keepers *aggregator.Service
-	// Limits keep tenants within their limits; nil where nobody does.
+	// Limits enforces the tenants' rate limits; nil disables them.
 	Limits *limits.Service
-	// Lease is how old the configuration may be for requests with keys; 0 sets no bound.
+	// Lease is the maximum age of the configuration for serving requests with keys; 0 sets
+	// no limit.
 	Lease time.Duration
-	// Freshness tells how old the configuration may be; required where Lease is set. nil
-	// says nothing of other nodes.
+	// Freshness reports the age of the configuration and the availability of the store. It
+	// is required if Lease is set.
 	Freshness Freshness
-	// Now is a monotonic reading.
+	// Now returns a monotonic reading.
 	Now func() time.Duration
-	// BufferBytes bounds the bodies of requests that are held at once, and those of answers.
+	// BufferBytes bounds the bytes of buffered request bodies, and separately those of
+	// buffered response bodies.
 	BufferBytes int64
-	// Random returns a number in [0,1).
+	// Random returns numbers in [0,1).
 	Random     func() float64
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
 }
 
-// Freshness tells how old the configuration in force may be.
+// Freshness reports how old the current configuration may be.
 type Freshness interface {
-	// Age returns how long ago it was the newest, for certain; false if that is not known.
+	// Age returns the time since the configuration was last confirmed to be the newest. It
+	// returns false if it never was.
 	Age() (time.Duration, bool)
-	// UnavailableForAll tells whether the store answers no other node either, as far as is known.
+	// UnavailableForAll reports whether the store is unavailable to all other nodes too,
+	// as far as is known.
 	UnavailableForAll() bool
 }
 
-// Router is the http.Handler of routed requests.
+// Router is the http.Handler for routed requests.
 type Router struct {
 	config        Config
 	splitter      *routing.Splitter
 	metrics       *metrics
 	configuration atomic.Pointer[routing.Configuration]
 	draining      atomic.Bool
-	// buffered counts the bytes of bodies that are held.
-	buffered atomic.Int64
-	// answers counts the bytes of answers' bodies that may be held until clients read them.
-	answers atomic.Int64
+	// requestBytes is the number of bytes reserved for request bodies.
+	requestBytes atomic.Int64
+	// responseBytes is the number of bytes reserved for response bodies that clients have
+	// not read yet.
+	responseBytes atomic.Int64
 }
 
-// New returns a router without a configuration, which answers 503.
+// New returns a router. It answers with status 503 until a configuration is set.
 func New(config Config) *Router {
 	return &Router{
 		config: config, splitter: routing.NewSplitter(),
@@ -93,8 +101,8 @@
 	}
 }
 
-// SetConfiguration puts a configuration in force, unless a newer one already is. It tells
-// whether it did.
+// SetConfiguration installs a configuration unless a version at least as new is installed.
+// It reports whether it was installed.
 func (r *Router) SetConfiguration(configuration *routing.Configuration) bool {
 	for {
 		before := r.configuration.Load()
@@ -107,91 +115,90 @@
 	}
 }
 
-// Configuration returns the configuration in force, or nil.
+// Configuration returns the current configuration, or nil.
 func (r *Router) Configuration() *routing.Configuration { return r.configuration.Load() }
 
-// Drain makes every further answer ask the client to leave its connection.
+// Drain makes all further responses close their connections.
 func (r *Router) Drain() { r.draining.Store(true) }
 
-// Now is a monotonic reading, the one that the tracker is given.
+// Now returns a monotonic reading of the clock that the tracker uses.
 func (r *Router) Now() time.Duration { return r.config.Now() }
 
-// ServeHTTP serves one request of a client.
+// ServeHTTP implements http.Handler.
 func (r *Router) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if !beginRequest(request.Context()) {
-		panic(http.ErrAbortHandler) // the connection is being closed; nothing has been passed on
+		panic(http.ErrAbortHandler) // the connection is being closed; nothing was sent to a replica
 	}
 	reply := &reply{writer: writer, router: r}
 	if r.draining.Load() {
 		writer.Header().Set("Connection", "close")
 	}
-	stale := r.confirmed()
+	stale := r.checkLease()
 	configuration := r.configuration.Load()
 	if configuration == nil {
-		reply.refuse(http.StatusServiceUnavailable, refusal{reason: "no_configuration", comeBack: longComeBack})
-		r.logRefused(request, reply)
+		reply.reject(http.StatusServiceUnavailable, rejection{reason: "no_configuration", retryAfter: longRetryAfter})
+		r.logRejected(request, reply)
 		return
 	}
-	if limit := configuration.Limits.HeaderBytes; limit > 0 && headBytes(request) > limit {
-		reply.refuse(http.StatusRequestHeaderFieldsTooLarge, refusal{reason: "head_too_large"})
-		r.logRefused(request, reply)
+	if limit := configuration.Limits.HeaderBytes; limit > 0 && headerBytes(request) > limit {
+		reply.reject(http.StatusRequestHeaderFieldsTooLarge, rejection{reason: "head_too_large"})
+		r.logRejected(request, reply)
 		return
 	}
 	route := configuration.Match(request.Host, request.URL.Path)
 	if route == nil {
-		reply.refuse(http.StatusNotFound, refusal{reason: "no_route"})
-		r.logRefused(request, reply)
+		reply.reject(http.StatusNotFound, rejection{reason: "no_route"})
+		r.logRejected(request, reply)
 		return
 	}
-	tenant, refused := r.authenticate(request, route, configuration, stale)
-	if refused != nil {
-		reply.refuse(refused.status, refused.refusal)
-		r.logRefused(request, reply)
+	tenant, denied := r.authenticate(request, route, configuration, stale)
+	if denied != nil {
+		reply.reject(denied.status, denied.rejection)
+		r.logRejected(request, reply)
 		return
 	}
 	r.serveCall(reply, request, r.newCall(request, route, tenant, configuration), configuration.Limits)
 }
 
-// stalledFor is how long after a call's deadline a client that does not read keeps what is
-// held for it. Answers that are ready are delivered late too, and clients that still read do
-// so at once.
-const stalledFor = 3 * time.Second
+// writeGracePeriod is the time after a call's deadline during which a client may still
+// read the response. It bounds how long clients that do not read occupy buffers.
+const writeGracePeriod = 3 * time.Second
 
-// boundWriting ends the writing to a client that does not read some time after the deadline
-// of its call, until the returned function is called.
-func boundWriting(writer http.ResponseWriter, deadline time.Time) (release func()) {
+// setWriteDeadline sets the connection's write deadline to writeGracePeriod after the
+// call's deadline. The returned function clears it.
+func setWriteDeadline(writer http.ResponseWriter, deadline time.Time) (release func()) {
 	controller := http.NewResponseController(writer)
-	// A connection without deadlines is left as it is.
-	_ = controller.SetWriteDeadline(deadline.Add(stalledFor))
+	// The error means that the connection does not support deadlines.
+	_ = controller.SetWriteDeadline(deadline.Add(writeGracePeriod))
 	return func() { _ = controller.SetWriteDeadline(time.Time{}) }
 }
 
 func (r *Router) serveCall(reply *reply, request *http.Request, call *call, limits routing.Limits) {
-	r.metrics.underWay.Inc()
-	defer r.metrics.underWay.Dec()
-	defer boundWriting(reply.writer, call.deadline)()
-	held := max(request.ContentLength, 0)
-	defer r.buffered.Add(-held)
-	if r.buffered.Add(held) > r.config.BufferBytes {
-		reply.refuse(http.StatusServiceUnavailable, refusal{reason: "buffers_full", comeBack: shortComeBack})
-		r.logEnd(call, reply)
+	r.metrics.inFlight.Inc()
+	defer r.metrics.inFlight.Dec()
+	defer setWriteDeadline(reply.writer, call.deadline)()
+	size := max(request.ContentLength, 0)
+	defer r.requestBytes.Add(-size)
+	if r.requestBytes.Add(size) > r.config.BufferBytes {
+		reply.reject(http.StatusServiceUnavailable, rejection{reason: "buffers_full", retryAfter: shortRetryAfter})
+		r.logCompleted(call, reply)
 		return
 	}
 	body, err := readBodyUntil(reply.writer, request, limits.BodyBytes, call.deadline)
 	switch {
 	case errors.Is(err, errBodyTooLarge):
-		reply.refuse(http.StatusRequestEntityTooLarge, refusal{reason: "body_too_large"})
-		r.logEnd(call, reply)
+		reply.reject(http.StatusRequestEntityTooLarge, rejection{reason: "body_too_large"})
+		r.logCompleted(call, reply)
 		return
 	case err != nil:
-		reply.note("body_not_read", err)
-		r.logEnd(call, reply)
+		reply.setReason("body_not_read", err)
+		r.logCompleted(call, reply)
 		panic(http.ErrAbortHandler)
 	}
 	call.body = body
 	ctx, cancel := context.WithDeadline(request.Context(), call.deadline)
 	defer cancel()
-	defer r.logEnd(call, reply)
+	defer r.logCompleted(call, reply)
 	if !r.admitTenant(ctx, reply, call) {
 		return
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -35,7 +35,7 @@
 
 const tokensPerEvent = 10
 
-// harness is a router with replicas of one service behind it.
+// harness is a router with emulated replicas of one service.
 type harness struct {
 	t        *testing.T
 	router   *Router
@@ -43,12 +43,12 @@
 	log      *store.Store
 	fleet    *fleet.Directory
 	replicas []*replica.Replica
-	// evacuated counts the operators' records on zones.
+	// evacuated counts the changes of the evacuated zones.
 	evacuated uint64
 }
 
-// newHarness starts a replica for each script. Replicas are chosen in the order
-// of the scripts, since each lies in a zone further away.
+// newHarness starts a replica for each script. The first one is in the router's zone, the
+// others in a farther one, so that the first is preferred.
 func newHarness(t *testing.T, scripts ...replica.Script) *harness {
 	h := &harness{t: t, log: store.New(), fleet: fleet.NewDirectory()}
 	h.router = h.newRouter("node")
@@ -90,14 +90,14 @@
 
 func (h *harness) configure(version uint64, tenants ...routing.Tenant) {
 	route := func(prefix string, kind routing.Kind, attempts int, more func(*routing.Route)) routing.Route {
-		made := routing.Route{
+		route := routing.Route{
 			Name: prefix, Host: "h.example", PathPrefix: prefix, Kind: kind, Timeout: time.Second,
 			WeightedServices: []routing.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: attempts,
 		}
 		if more != nil {
-			more(&made)
+			more(&route)
 		}
-		return made
+		return route
 	}
 	built, err := routing.Build(routing.Configuration{
 		Version: version, Tenants: tenants,
@@ -125,19 +125,19 @@
 	err  error
 }
 
-func (h *harness) ask(path, id string, head ...string) answer {
-	return h.askBody(path, id, "input", head...)
+func (h *harness) post(path, id string, header ...string) answer {
+	return h.postBody(path, id, "input", header...)
 }
 
-func (h *harness) askBody(path, id, body string, head ...string) answer {
+func (h *harness) postBody(path, id, body string, header ...string) answer {
 	request, err := http.NewRequestWithContext(h.t.Context(), http.MethodPost, h.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	request.Host = "h.example"
 	request.Header.Set("Test-Id", id)
-	for i := 0; i < len(head); i += 2 {
-		request.Header.Set(head[i], head[i+1])
+	for i := 0; i < len(header); i += 2 {
+		request.Header.Set(header[i], header[i+1])
 	}
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
@@ -148,58 +148,58 @@
 	return answer{Response: response, body: string(read), err: err}
 }
 
-func sound(e *replica.Exchange) bool {
+func healthy(e *replica.Exchange) bool {
 	e.Answer(http.StatusOK, "done", "Test-Id: "+e.Request.Header.Get("Test-Id"), "Test-Stamp: s")
 	return true
 }
 
-func withStatus(status int, head ...string) replica.Script {
+func withStatus(status int, header ...string) replica.Script {
 	return func(e *replica.Exchange) bool {
-		e.Answer(status, "no", append(head, "Test-Id: "+e.Request.Header.Get("Test-Id"))...)
+		e.Answer(status, "no", append(header, "Test-Id: "+e.Request.Header.Get("Test-Id"))...)
 		return true
 	}
 }
 
-func silent(e *replica.Exchange) bool {
+func unresponsive(e *replica.Exchange) bool {
 	_, _ = e.Socket.Read(make([]byte, 1))
 	return false
 }
 
-func hangUp(*replica.Exchange) bool { return false }
+func closeConnection(*replica.Exchange) bool { return false }
 
-func torn(e *replica.Exchange) bool {
+func truncated(e *replica.Exchange) bool {
 	e.Write("HTTP/1.1 200 OK\r\nTest-Id: %s\r\nTest-Stamp: s\r\nContent-Length: 100\r\n\r\npart", e.Request.Header.Get("Test-Id"))
 	return false
 }
 
-func TestWithoutConfigurationNothingIsSaidOfRoutes(t *testing.T) {
+func TestRequestIsRejectedWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	h.router.configuration.Store(nil)
-	got := h.ask("/safe/x", "1")
+	got := h.post("/safe/x", "1")
 	is.Equal(got.StatusCode, http.StatusServiceUnavailable)
 	is.True(got.Header.Get("Retry-After") != "")
 }
 
-func TestRouteIsFoundOrRefused(t *testing.T) {
+func TestRouteIsMatchedAndBodySizeIsLimited(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
-	is.Equal(h.ask("/safe/x", "1").body, "done")
-	is.Equal(h.ask("/safeother/x", "2").StatusCode, http.StatusNotFound)
-	is.Equal(h.askBody("/safe/x", "3", strings.Repeat("x", 2<<10)).StatusCode, http.StatusRequestEntityTooLarge)
+	h := newHarness(t, healthy)
+	is.Equal(h.post("/safe/x", "1").body, "done")
+	is.Equal(h.post("/safeother/x", "2").StatusCode, http.StatusNotFound)
+	is.Equal(h.postBody("/safe/x", "3", strings.Repeat("x", 2<<10)).StatusCode, http.StatusRequestEntityTooLarge)
 }
 
-func TestHeadsAreBounded(t *testing.T) {
+func TestHeaderSizeIsLimited(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
-	got := h.ask("/safe/x", "1", "X-Long", strings.Repeat("x", 3<<10))
+	h := newHarness(t, healthy)
+	got := h.post("/safe/x", "1", "X-Long", strings.Repeat("x", 3<<10))
 	is.Equal(got.StatusCode, http.StatusRequestHeaderFieldsTooLarge)
 	is.Equal(len(h.replicas[0].Received()), 0)
 }
 
-func TestBodyThatDoesNotComeEndsWithTheRequestsTime(t *testing.T) {
+func TestIncompleteBodyTimesOut(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	socket, err := net.Dial("tcp4", h.server.Listener.Addr().String())
 	is.NoErr(err)
 	defer func() { _ = socket.Close() }()
@@ -211,27 +211,27 @@
 	is.Equal(len(h.replicas[0].Received()), 0)
 }
 
-func TestFullBuffersRefuseAsNotRun(t *testing.T) {
+func TestRequestIsRejectedIfBuffersAreFull(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
-	h.router.buffered.Add(1 << 20)
-	is.Equal(h.ask("/safe/x", "1").StatusCode, http.StatusServiceUnavailable)
-	h.router.buffered.Add(-1 << 20)
-	is.Equal(h.ask("/safe/x", "2").StatusCode, http.StatusOK)
-	is.Equal(h.router.buffered.Load(), int64(0))
+	h := newHarness(t, healthy)
+	h.router.requestBytes.Add(1 << 20)
+	is.Equal(h.post("/safe/x", "1").StatusCode, http.StatusServiceUnavailable)
+	h.router.requestBytes.Add(-1 << 20)
+	is.Equal(h.post("/safe/x", "2").StatusCode, http.StatusOK)
+	is.Equal(h.router.requestBytes.Load(), int64(0))
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	h.configure(7)
 	h.configure(6)
 	is.Equal(h.router.Configuration().Version, uint64(7))
 }
 
-// TestOutcomes lists, for each way in which the first replica fails, what the
-// client gets on a route whose requests may be repeated and on one where not.
-func TestOutcomes(t *testing.T) {
+// For each failure of the first replica, the client must get the given status on a route
+// with repeatable and on one with unrepeatable requests.
+func TestStatusByFailureOfReplica(t *testing.T) {
 	cases := []struct {
 		name         string
 		first        replica.Script
@@ -241,8 +241,8 @@
 		{"another instance", withStatus(http.StatusMisdirectedRequest), 200, 200},
 		{"503 that promises nothing", withStatus(http.StatusServiceUnavailable), 200, 502},
 		{"429 that promises nothing", withStatus(http.StatusTooManyRequests), 200, 502},
-		{"no answer", hangUp, 200, 502},
-		{"torn answer", torn, 200, 502},
+		{"no answer", closeConnection, 200, 502},
+		{"torn answer", truncated, 200, 502},
 		{"unsigned success", withStatus(http.StatusOK), 200, 502},
 		{"encoded success", withStatus(http.StatusOK, "Test-Stamp: s", "Content-Encoding: gzip"), 200, 502},
 		{"own failure", withStatus(http.StatusInternalServerError, "Test-Stamp: s"), 200, 500},
@@ -251,29 +251,29 @@
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHarness(t, one.first, sound)
-			is.Equal(h.ask("/safe/x", "1").StatusCode, one.safe)
-			h = newHarness(t, one.first, sound)
-			got := h.ask("/unsafe/x", "2")
+			h := newHarness(t, one.first, healthy)
+			is.Equal(h.post("/safe/x", "1").StatusCode, one.safe)
+			h = newHarness(t, one.first, healthy)
+			got := h.post("/unsafe/x", "2")
 			is.Equal(got.StatusCode, one.unsafe)
 			if one.unsafe == http.StatusBadGateway {
-				is.Equal(got.Header.Get("Test-Stamp"), "") // a failure of the router's own is not signed
+				is.Equal(got.Header.Get("Test-Stamp"), "") // responses of the router itself are not stamped
 				is.Equal(len(h.replicas[1].Received()), 0)
 			}
 		})
 	}
 }
 
-func TestRefusedAtOnceWithTimeToComeBackWhereNothingRan(t *testing.T) {
+func TestRejectionByAllReplicasHasRetryAfter(t *testing.T) {
 	is := is.New(t)
 	shed := withStatus(http.StatusServiceUnavailable, "Test-Not-Run: 1")
 	h := newHarness(t, shed, shed)
-	got := h.ask("/unsafe/x", "1")
+	got := h.post("/unsafe/x", "1")
 	is.Equal(got.StatusCode, http.StatusServiceUnavailable)
 	is.True(got.Header.Get("Retry-After") != "")
 }
 
-func TestFullReplicasAreOfferedAProgramsRequestAgain(t *testing.T) {
+func TestProgramRequestIsRetriedAtFullReplicas(t *testing.T) {
 	is := is.New(t)
 	fullFor := func(count int) replica.Script {
 		shed := withStatus(http.StatusServiceUnavailable, "Test-Not-Run: 1")
@@ -281,41 +281,41 @@
 			if e.Number <= count {
 				return shed(e)
 			}
-			return sound(e)
+			return healthy(e)
 		}
 	}
 	h := newHarness(t, fullFor(4))
-	is.Equal(h.ask("/unsafe/x", "1", "Test-Program", "p").StatusCode, http.StatusOK)
+	is.Equal(h.post("/unsafe/x", "1", "Test-Program", "p").StatusCode, http.StatusOK)
 	h = newHarness(t, fullFor(4))
-	is.Equal(h.ask("/unsafe/x", "1").StatusCode, http.StatusServiceUnavailable) // nothing else depends on it
+	is.Equal(h.post("/unsafe/x", "1").StatusCode, http.StatusServiceUnavailable) // not part of a program
 	h = newHarness(t, fullFor(1000))
 	began := time.Now()
-	refused := h.ask("/unsafe/x", "1", "Test-Program", "p")
+	refused := h.post("/unsafe/x", "1", "Test-Program", "p")
 	is.Equal(refused.StatusCode, http.StatusServiceUnavailable)
 	is.True(refused.Header.Get("Retry-After") != "")
 	is.True(time.Since(began) < 700*time.Millisecond)
-	is.Equal(len(h.replicas[0].Received()), 1+maxRounds)
+	is.Equal(len(h.replicas[0].Received()), 1+maxCapacityWaits)
 }
 
-func TestSafeRequestGoesToNoMoreReplicasThanAllowed(t *testing.T) {
+func TestSafeRequestIsLimitedToMaxAttempts(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, hangUp, hangUp, hangUp)
-	is.Equal(h.ask("/safe/x", "1").StatusCode, http.StatusBadGateway)
+	h := newHarness(t, closeConnection, closeConnection, closeConnection)
+	is.Equal(h.post("/safe/x", "1").StatusCode, http.StatusBadGateway)
 	is.Equal(len(h.replicas[0].Received())+len(h.replicas[1].Received())+len(h.replicas[2].Received()), 2)
 }
 
-func TestTimeoutOfTheRouteIsKept(t *testing.T) {
+func TestRouteTimeoutIsEnforced(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, silent)
+	h := newHarness(t, unresponsive)
 	began := time.Now()
-	is.Equal(h.ask("/short/x", "1").StatusCode, http.StatusGatewayTimeout)
+	is.Equal(h.post("/short/x", "1").StatusCode, http.StatusGatewayTimeout)
 	is.True(time.Since(began) < 400*time.Millisecond)
 }
 
-func TestReplicaIsToldWhatIsLeft(t *testing.T) {
+func TestReplicaGetsRemainingTimeout(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
-	h.ask("/unsafe/x", "1", "Test-Timeout", "700", "Connection", "X-Private", "X-Private", "v", "X-Public", "v")
+	h := newHarness(t, healthy)
+	h.post("/unsafe/x", "1", "Test-Timeout", "700", "Connection", "X-Private", "X-Private", "v", "X-Public", "v")
 	received := h.replicas[0].Received()[0]
 	is.True(len(received.Header.Get("Test-Timeout")) == 3 && received.Header.Get("Test-Timeout") <= "700")
 	is.Equal(received.Header.Get("X-Private"), "")
@@ -324,15 +324,15 @@
 	is.Equal(received.Body, "input")
 }
 
-func TestLeavingClientReachesTheReplica(t *testing.T) {
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	for _, path := range []string{"/unsafe/x", "/stream/x"} {
-		gone := make(chan struct{})
+		canceled := make(chan struct{})
 		h := newHarness(t, func(e *replica.Exchange) bool {
 			if path == "/stream/x" {
-				e.Write("%s", streamHead(e)+chunk("id: 1\ndata: x\n\n"))
+				e.Write("%s", streamHeader(e)+chunk("id: 1\ndata: x\n\n"))
 			}
-			silent(e)
-			close(gone)
+			unresponsive(e)
+			close(canceled)
 			return false
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -348,35 +348,35 @@
 			_ = response.Body.Close()
 		}
 		select {
-		case <-gone:
+		case <-canceled:
 		case <-time.After(500 * time.Millisecond):
 			t.Fatalf("%s: the replica works on", path)
 		}
 	}
 }
 
-func TestIdleConnectionsAreClosedAndBusyOnesNot(t *testing.T) {
+func TestOnlyIdleConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	h := newHarness(t, func(e *replica.Exchange) bool {
 		<-release
-		return sound(e)
+		return healthy(e)
 	})
-	tracked := NewConnections()
+	connections := NewConnections()
 	server := httptest.NewUnstartedServer(h.router)
-	server.Config.ConnContext, server.Config.ConnState = tracked.Context, tracked.State
+	server.Config.ConnContext, server.Config.ConnState = connections.Context, connections.State
 	server.Start()
 	defer server.Close()
 	socket, err := net.Dial("tcp4", server.Listener.Addr().String())
 	is.NoErr(err)
 	defer func() { _ = socket.Close() }()
 	time.Sleep(50 * time.Millisecond)
-	is.Equal(tracked.CloseIdle(false), 1) // new: a request may be on its way
+	is.Equal(connections.CloseIdle(false), 1) // new: a request may be about to arrive
 
 	_, err = socket.Write([]byte("GET /safe/x HTTP/1.1\r\nHost: h.example\r\nTest-Id: 1\r\n\r\n"))
 	is.NoErr(err)
 	time.Sleep(50 * time.Millisecond)
-	is.Equal(tracked.CloseIdle(true), 1) // busy
+	is.Equal(connections.CloseIdle(true), 1) // busy
 	close(release)
 	reader := bufio.NewReader(socket)
 	response, err := http.ReadResponse(reader, nil)
@@ -385,19 +385,19 @@
 	is.NoErr(err)
 	is.Equal(string(body), "done")
 	time.Sleep(50 * time.Millisecond)
-	tracked.CloseResting(time.Minute)
-	is.Equal(tracked.Count(), 1)
-	tracked.CloseResting(10 * time.Millisecond)
-	is.Equal(tracked.CloseIdle(false), 0)
+	connections.CloseResting(time.Minute)
+	is.Equal(connections.Count(), 1)
+	connections.CloseResting(10 * time.Millisecond)
+	is.Equal(connections.CloseIdle(false), 0)
 	_, err = reader.ReadByte()
 	is.True(errors.Is(err, io.EOF))
 }
 
-func TestDrainingAsksClientsToLeave(t *testing.T) {
+func TestDrainingClosesConnections(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, sound)
+	h := newHarness(t, healthy)
 	h.router.Drain()
-	is.True(h.ask("/safe/x", "1").Close)
+	is.True(h.post("/safe/x", "1").Close)
 }
 
 // monotonic returns a clock that starts at zero.
--- a/internal/router/stalled_test.go
+++ b/internal/router/stalled_test.go
@@ -17,8 +17,8 @@
 	"stepseam.example/stepseam/internal/emulator/replica"
 )
 
-// stalled opens connections whose clients send a request and read nothing.
-func (h *harness) stalled(count int, path string) {
+// openStalledClients opens connections that send a request and do not read the response.
+func (h *harness) openStalledClients(count int, path string) {
 	var dialled sync.WaitGroup
 	for i := range count {
 		dialled.Go(func() {
@@ -42,7 +42,7 @@
 	return stats.HeapAlloc
 }
 
-// endless streams events until nobody takes them any more.
+// endless streams events until a write fails.
 func endless(e *replica.Exchange) bool {
 	e.Write("HTTP/1.1 200 OK\r\nTest-Id: %s\r\nTest-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n", e.Request.Header.Get("Test-Id"))
 	for id := 1; id < 1000; id++ {
@@ -54,35 +54,34 @@
 	return false
 }
 
-// large answers with a body of 200 kB.
+// large responds with a body of 200 kB.
 func large(e *replica.Exchange) bool {
 	e.Answer(200, strings.Repeat("x", 200<<10), "Test-Id: "+e.Request.Header.Get("Test-Id"), "Test-Stamp: s")
 	return true
 }
 
-// TestClientsThatDoNotReadTakeLittle: 300 of them, of streams and of large bodies, take no more
-// than half of a machine of 112 MB, with what the clients and the replica take in this process,
-// and each ends alone.
-func TestClientsThatDoNotReadTakeLittle(t *testing.T) {
+// Clients that do not read must not exhaust the memory, and their requests must end without
+// intervention. The measured heap includes the clients and the replica of the test.
+func TestStalledClientsUseBoundedMemory(t *testing.T) {
 	const clients, most = 300, 56 << 20
 	for name, script := range map[string]replica.Script{"/stream/x": endless, "/safe/x": large} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			h := newHarness(t, script)
 			before := heap()
-			h.stalled(clients, name)
+			h.openStalledClients(clients, name)
 			deadline := time.Now().Add(5 * time.Second)
-			for testutil.ToFloat64(h.router.metrics.underWay) < clients/2 && time.Now().Before(deadline) {
+			for testutil.ToFloat64(h.router.metrics.inFlight) < clients/2 && time.Now().Before(deadline) {
 				time.Sleep(20 * time.Millisecond)
 			}
 			time.Sleep(500 * time.Millisecond)
 			taken := int64(heap()) - int64(before)
-			t.Logf("%d clients that don't read take %d kB, %d of bodies", clients, taken>>10, h.router.answers.Load()>>10)
+			t.Logf("%d clients that don't read take %d kB, %d of bodies", clients, taken>>10, h.router.responseBytes.Load()>>10)
 			is.True(taken < most)
-			is.True(h.router.answers.Load() <= h.router.config.BufferBytes)
-			for end := time.Now().Add(stalledFor + 6*time.Second); testutil.ToFloat64(h.router.metrics.underWay) > 0; {
+			is.True(h.router.responseBytes.Load() <= h.router.config.BufferBytes)
+			for end := time.Now().Add(writeGracePeriod + 6*time.Second); testutil.ToFloat64(h.router.metrics.inFlight) > 0; {
 				if time.Now().After(end) {
-					t.Fatalf("%v of them are still served", testutil.ToFloat64(h.router.metrics.underWay))
+					t.Fatalf("%v of them are still served", testutil.ToFloat64(h.router.metrics.inFlight))
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -90,13 +89,14 @@
 	}
 }
 
-// TestWritingToAClientThatDoesNotReadEnds: some time after its call's deadline, not before.
-func TestWritingToAClientThatDoesNotReadEnds(t *testing.T) {
+// Writes to a client that does not read must fail some time after the call's deadline, not
+// before.
+func TestWriteToStalledClientTimesOut(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan time.Duration, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		began := time.Now()
-		defer boundWriting(writer, began.Add(300*time.Millisecond-stalledFor))()
+		defer setWriteDeadline(writer, began.Add(300*time.Millisecond-writeGracePeriod))()
 		chunk := make([]byte, 1<<20)
 		for range 1 << 10 {
 			if _, err := writer.Write(chunk); err != nil {
--- a/internal/router/stream.go
+++ b/internal/router/stream.go
@@ -13,21 +13,21 @@
 	"stepseam.example/stepseam/internal/outlier"
 )
 
-// stream is the answer to one streaming request while it is passed on.
+// stream is the response to a streaming request while it is forwarded.
 type stream struct {
 	reply *reply
 	call  *call
-	// last is the id of the last event that the client has, or -1.
-	last int64
-	// tokens counts what was handed to the client in this request.
+	// lastEvent is the ID of the last event that the client has received, or -1.
+	lastEvent int64
+	// tokens counts the tokens sent to the client for this request.
 	tokens uint32
-	// output gathers the text of the events of a turn that is kept.
+	// output collects the data of the events if the turn is persisted.
 	output []byte
-	// begun tells that the head of the answer has been sent.
-	begun bool
+	// headerSent reports whether the response header has been sent.
+	headerSent bool
 }
 
-// serveStream serves a request that is answered by events, a program's turn above all.
+// serveStream serves a streaming request, usually a turn of a program.
 func (r *Router) serveStream(ctx context.Context, reply *reply, call *call) {
 	turn := r.prepareTurn(ctx, reply, call)
 	if turn == nil {
@@ -35,166 +35,166 @@
 	}
 	if !r.admits(ctx, call, turn) {
 		turn.Finish(0)
-		reply.refuse(http.StatusServiceUnavailable, refusal{reason: "replicas_full", comeBack: fullComeBack})
+		reply.reject(http.StatusServiceUnavailable, rejection{reason: "replicas_full", retryAfter: fullRetryAfter})
 		return
 	}
 	if turn.First && !r.admitProgram(ctx, reply, call) {
 		turn.Finish(0)
 		return
 	}
-	passing := &stream{reply: reply, call: call, last: call.lastEvent}
-	defer func() { turn.Finish(passing.tokens) }()
-	if r.runStream(ctx, passing) && call.route.Retain {
-		// The home is told first, so that as a rule it knows what is left when it keeps the turn,
-		// and reserves with the same call.
-		turn.Finish(passing.tokens)
-		r.keepTurn(ctx, passing, turn.Chain)
+	stream := &stream{reply: reply, call: call, lastEvent: call.lastEvent}
+	defer func() { turn.Finish(stream.tokens) }()
+	if r.runStream(ctx, stream) && call.route.Retain {
+		// The turn is finished before it is persisted, so that the coordinator usually knows
+		// the unused tokens by then and can make the next reservation in the same call.
+		turn.Finish(stream.tokens)
+		r.persistTurn(ctx, stream, turn.Chain)
 	}
 }
 
-// runStream passes events on, from one replica after the other where the stream
-// may be resumed. It tells whether the whole answer but its end has been sent.
-func (r *Router) runStream(ctx context.Context, passing *stream) bool {
-	course := &attempts{}
+// runStream forwards events, and continues at another replica after a failure if the
+// stream is resumable. It reports whether the response is complete except for its end.
+func (r *Router) runStream(ctx context.Context, stream *stream) bool {
+	retry := &retryState{}
 	for {
-		tried, err := r.send(ctx, passing.call, passing.reply, course)
+		attempt, err := r.send(ctx, stream.call, stream.reply, retry)
 		if err != nil {
-			r.giveUpStream(ctx, passing, course)
+			r.failStream(ctx, stream, retry)
 			return false
 		}
-		failure, whole := r.passAnswer(ctx, passing, course, tried)
+		failure, whole := r.forwardResponse(ctx, stream, retry, attempt)
 		if failure == nil {
 			return whole
 		}
-		r.noteFailure(ctx, passing.call, tried.replica, course, failure)
-		if !mayTryAgain(ctx, passing.call, course) {
-			r.giveUpStream(ctx, passing, course)
+		r.recordFailure(ctx, stream.call, attempt.replica, retry, failure)
+		if !mayRetry(ctx, stream.call, retry) {
+			r.failStream(ctx, stream, retry)
 			return false
 		}
-		if passing.last >= 0 {
-			passing.call.header.Set(r.config.Names.LastEvent, strconv.FormatInt(passing.last, 10))
+		if stream.lastEvent >= 0 {
+			stream.call.header.Set(r.config.Names.LastEvent, strconv.FormatInt(stream.lastEvent, 10))
 		}
 	}
 }
 
-// passAnswer passes one replica's answer on; whole tells that it was a stream that came to
-// its end.
-func (r *Router) passAnswer(ctx context.Context, passing *stream, course *attempts, tried *attempt) (failure *exchange.FailureError, whole bool) {
-	if tried.answer.Status >= http.StatusMultipleChoices {
-		return r.passOnFailure(ctx, passing, course, tried), false
+// forwardResponse forwards one replica's response. whole reports that it was a stream and
+// is complete.
+func (r *Router) forwardResponse(ctx context.Context, stream *stream, retry *retryState, attempt *attempt) (failure *exchange.FailureError, whole bool) {
+	if attempt.response.Status >= http.StatusMultipleChoices {
+		return r.forwardFailure(ctx, stream, retry, attempt), false
 	}
-	failure = r.passEvents(ctx, passing, tried)
+	failure = r.forwardEvents(ctx, stream, attempt)
 	return failure, failure == nil
 }
 
-// passOnFailure passes a replica's failure on, if no event has been sent before it. It
-// returns it where the call may go to another replica.
-func (r *Router) passOnFailure(ctx context.Context, passing *stream, course *attempts, tried *attempt) *exchange.FailureError {
-	if !passing.begun {
-		return r.passOn(ctx, passing.call, passing.reply, course, tried)
-	}
-	if tried.answer.Status < http.StatusInternalServerError {
-		tried.finish(false)
-		passing.reply.breakOff("not_resumed", nil)
-	}
-	tried.became(outlier.ErrorResponse)
-	return tried.failed()
+// forwardFailure forwards an error response of a replica if no event has been sent to the
+// client before. It returns the failure if the call may be retried.
+func (r *Router) forwardFailure(ctx context.Context, stream *stream, retry *retryState, attempt *attempt) *exchange.FailureError {
+	if !stream.headerSent {
+		return r.forwardBody(ctx, stream.call, stream.reply, retry, attempt)
+	}
+	if attempt.response.Status < http.StatusInternalServerError {
+		attempt.finish(false)
+		stream.reply.abort("not_resumed", nil)
+	}
+	attempt.recordOutcome(outlier.ErrorResponse)
+	return attempt.fail()
 }
 
-func (r *Router) giveUpStream(ctx context.Context, passing *stream, course *attempts) {
-	if !passing.begun {
-		r.giveUp(ctx, passing.call, passing.reply, course)
+func (r *Router) failStream(ctx context.Context, stream *stream, retry *retryState) {
+	if !stream.headerSent {
+		r.failCall(ctx, stream.call, stream.reply, retry)
 		return
 	}
 	reason, cause := "no_replica", error(errNoReplica)
-	if course.last != nil {
-		reason, cause = string(course.last.Reason), course.last
+	if retry.lastFailure != nil {
+		reason, cause = string(retry.lastFailure.Reason), retry.lastFailure
 	}
-	if passing.call.left() < minLeft {
+	if stream.call.left() < minTimeLeft {
 		reason = "timeout"
 	}
-	passing.reply.breakOff(reason, cause)
+	stream.reply.abort(reason, cause)
 }
 
-// passEvents passes the events of one replica on as they arrive. Events that the
-// client has already are left out.
-func (r *Router) passEvents(ctx context.Context, passing *stream, tried *attempt) *exchange.FailureError {
-	flusher := http.NewResponseController(passing.reply.writer)
+// forwardEvents forwards the events of one replica as they arrive. Events that the client
+// already has are skipped.
+func (r *Router) forwardEvents(ctx context.Context, stream *stream, attempt *attempt) *exchange.FailureError {
+	flusher := http.NewResponseController(stream.reply.writer)
 	var gaps []time.Duration
 	var last time.Time
-	defer func() { r.config.Tracker.StreamEnded(tried.sending, gaps, r.Now()) }()
+	defer func() { r.config.Tracker.StreamEnded(attempt.inFlight, gaps, r.Now()) }()
 	for {
-		read, err := readEvent(tried.answer.Body)
-		if errors.Is(err, io.EOF) && !errors.Is(err, errEventTorn) {
-			if !passing.begun {
-				passing.begin(tried.answer)
+		event, err := readEvent(attempt.response.Body)
+		if errors.Is(err, io.EOF) && !errors.Is(err, errEventTruncated) {
+			if !stream.headerSent {
+				stream.sendHeader(attempt.response)
 			}
-			tried.became(outlier.Success)
-			tried.finishHolding(false, passing.held())
+			attempt.recordOutcome(outlier.Success)
+			attempt.finishStream(false, stream.cachedSegments())
 			return nil
 		}
 		if err != nil {
 			if ctx.Err() == nil {
-				tried.became(outlier.BrokenResponse)
+				attempt.recordOutcome(outlier.BrokenResponse)
 			}
-			tried.finish(ctx.Err() == nil)
-			return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonIncomplete, Status: tried.answer.Status, Cause: err}
+			attempt.finish(ctx.Err() == nil)
+			return &exchange.FailureError{Outcome: exchange.OutcomeRan, Reason: exchange.ReasonIncomplete, Status: attempt.response.Status, Cause: err}
 		}
 		now := time.Now()
 		if last.IsZero() {
-			tried.answered()
-			r.config.Tracker.FirstEvent(tried.sending, r.Now())
-			r.report(passing.call, tried.replica, nil)
+			attempt.stopTimer()
+			r.config.Tracker.FirstEvent(attempt.inFlight, r.Now())
+			r.reportLoad(stream.call, attempt.replica, nil)
 		} else {
 			gaps = append(gaps, now.Sub(last))
 		}
 		last = now
-		if read.numbered && read.id <= passing.last {
+		if event.hasID && event.id <= stream.lastEvent {
 			continue
 		}
-		passing.pass(read, tried)
-		if tried.answer.Body.Buffered() == 0 {
-			// A failed flush shows at the next write.
+		stream.forward(event, attempt)
+		if attempt.response.Body.Buffered() == 0 {
+			// A flush error recurs at the next write.
 			_ = flusher.Flush()
 		}
 	}
 }
 
-func (s *stream) begin(answer *exchange.Answer) {
-	s.reply.begin(answer, -1)
-	s.begun = true
+func (s *stream) sendHeader(response *exchange.Answer) {
+	s.reply.sendHeader(response, -1)
+	s.headerSent = true
 }
 
-// pass hands one event to the client. It counts as handed out even if the client
-// turns out to be gone.
-func (s *stream) pass(read event, tried *attempt) {
-	if !s.begun {
-		s.begin(tried.answer)
-	}
-	if read.numbered {
-		s.last = read.id
+// forward sends one event to the client. Its tokens are charged even if the client has
+// disconnected.
+func (s *stream) forward(event event, attempt *attempt) {
+	if !s.headerSent {
+		s.sendHeader(attempt.response)
+	}
+	if event.hasID {
+		s.lastEvent = event.id
 		s.tokens += uint32(max(s.call.service.TokensPerEvent, 1))
 	}
-	if s.call.route.Retain && read.hasData {
-		s.output = append(append(s.output, read.data...), '\n')
+	if s.call.route.Retain && event.hasData {
+		s.output = append(append(s.output, event.data...), '\n')
 	}
 	s.reply.events++
-	s.reply.bytes += len(read.raw)
-	if _, err := s.reply.writer.Write(read.raw); err != nil {
-		tried.finish(false)
-		s.reply.breakOff("client_left", err)
+	s.reply.bytes += len(event.raw)
+	if _, err := s.reply.writer.Write(event.raw); err != nil {
+		attempt.finish(false)
+		s.reply.abort("client_left", err)
 	}
 }
 
-// keepTurn makes the turn durable before the end of its answer is sent.
-func (r *Router) keepTurn(ctx context.Context, passing *stream, chain []ledger.Location) {
-	call := passing.call
-	text := append(call.newInput(), passing.output...)
+// persistTurn makes the turn durable before the end of its response is sent.
+func (r *Router) persistTurn(ctx context.Context, stream *stream, chain []ledger.Location) {
+	call := stream.call
+	text := append(call.newInput(), stream.output...)
 	err := r.config.Turns.PersistTurn(ctx, ledger.IndexEntry{
-		Program: call.turn.program, Turn: turnOf(call.tenant, call.id), Chain: chain, Retention: call.route.RetainFor,
-		CacheLocation: ledger.CacheLocation{Instance: passing.reply.replica, Tokens: uint32(call.prompt.Tokens) + passing.tokens},
-	}, text, call.homes)
+		Program: call.turn.program, Turn: turnID(call.tenant, call.id), Chain: chain, Retention: call.route.RetainFor,
+		CacheLocation: ledger.CacheLocation{Instance: stream.reply.replica, Tokens: uint32(call.prompt.Tokens) + stream.tokens},
+	}, text, call.allowedRegions)
 	if err != nil {
-		passing.reply.breakOff("turn_not_kept", err)
+		stream.reply.abort("turn_not_kept", err)
 	}
 }
--- a/internal/router/stream_test.go
+++ b/internal/router/stream_test.go
@@ -19,7 +19,7 @@
 	"stepseam.example/stepseam/internal/fleet"
 )
 
-func streamHead(e *replica.Exchange) string {
+func streamHeader(e *replica.Exchange) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nTest-Id: %s\r\nTest-Stamp: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		e.Request.Header.Get("Test-Id"))
 }
@@ -34,10 +34,10 @@
 	return text.String()
 }
 
-// events answers with events numbered from..to; whole tells whether the stream ends well.
+// events responds with the events from..to; whole defines whether the stream ends cleanly.
 func events(from, to int, whole bool) replica.Script {
 	return func(e *replica.Exchange) bool {
-		e.Write("%s", streamHead(e)+chunk(numbered(from, to)))
+		e.Write("%s", streamHeader(e)+chunk(numbered(from, to)))
 		if whole {
 			e.Write("0\r\n\r\n")
 		}
@@ -45,11 +45,11 @@
 	}
 }
 
-func TestEventsArePassedOnAsTheyArrive(t *testing.T) {
+func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
 	is := is.New(t)
 	next := make(chan struct{})
 	h := newHarness(t, func(e *replica.Exchange) bool {
-		e.Write("%s", streamHead(e)+chunk(numbered(1, 1)))
+		e.Write("%s", streamHeader(e)+chunk(numbered(1, 1)))
 		<-next
 		e.Write("%s", chunk(numbered(2, 2))+"0\r\n\r\n")
 		return true
@@ -70,89 +70,89 @@
 	is.Equal(string(rest), numbered(2, 2))
 }
 
-func TestTornStreamDoesNotLookWhole(t *testing.T) {
+func TestTruncatedStreamIsNotEndedCleanly(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, events(1, 3, false), events(4, 6, true))
-	got := h.ask("/stream/x", "1")
+	got := h.post("/stream/x", "1")
 	is.True(got.err != nil)
 	is.Equal(got.body, numbered(1, 3))
-	is.Equal(len(h.replicas[1].Received()), 0) // it may not run again
+	is.Equal(len(h.replicas[1].Received()), 0) // it must not run again
 }
 
-func TestResumableStreamGoesOnAtAnotherReplica(t *testing.T) {
+func TestResumableStreamContinuesAtAnotherReplica(t *testing.T) {
 	is := is.New(t)
 	midEvent := func(e *replica.Exchange) bool {
-		e.Write("%s", streamHead(e)+chunk(numbered(1, 3)+"id: 4\nda"))
+		e.Write("%s", streamHeader(e)+chunk(numbered(1, 3)+"id: 4\nda"))
 		return false
 	}
 	h := newHarness(t, midEvent, events(3, 6, true))
-	got := h.ask("/resume/x", "1")
+	got := h.post("/resume/x", "1")
 	is.NoErr(got.err)
 	is.Equal(got.body, numbered(1, 6))
 	is.Equal(h.replicas[1].Received()[0].Header.Get("Last-Event-Id"), "3")
 }
 
-func TestStreamBeforeItsFirstEventFailsLikeAnyRequest(t *testing.T) {
+func TestStreamWithoutEventsFailsWithBadGateway(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(t, func(e *replica.Exchange) bool { e.Write("%s", streamHead(e)); return false })
-	is.Equal(h.ask("/stream/x", "1").StatusCode, http.StatusBadGateway)
+	h := newHarness(t, func(e *replica.Exchange) bool { e.Write("%s", streamHeader(e)); return false })
+	is.Equal(h.post("/stream/x", "1").StatusCode, http.StatusBadGateway)
 }
 
-func turnHead(program string, budget, most int, more ...string) []string {
+func turnHeader(program string, budget, most int, more ...string) []string {
 	return append([]string{"Test-Program", program, "Test-Budget", fmt.Sprint(budget), "Test-Tokens", fmt.Sprintf("100,%d", most)}, more...)
 }
 
-func TestBudgetIsChargedByWhatWasHandedOut(t *testing.T) {
+func TestBudgetIsChargedForForwardedEvents(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, events(1, 3, true))
-	const budget, most = 100, 60 // each turn hands out 30
+	const budget, most = 100, 60 // each turn uses 30
 	for i := range 3 {
-		got := h.ask("/stream/x", fmt.Sprint(i), turnHead("p", budget, most)...)
+		got := h.post("/stream/x", fmt.Sprint(i), turnHeader("p", budget, most)...)
 		is.Equal(got.StatusCode, []int{200, 200, 402}[i])
 	}
 	is.Equal(len(h.replicas[0].Received()), 2)
 }
 
-func TestTurnThatNamesNoMostIsBoundedByTheBudget(t *testing.T) {
+func TestTurnWithoutMaximumIsBoundedByBudget(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, events(1, 3, true))
-	const budget = 50 // each turn hands out 30
+	const budget = 50 // each turn uses 30
 	statuses := []int{}
 	for i := range 3 {
-		got := h.ask("/stream/x", fmt.Sprint(i), "Test-Program", "p", "Test-Budget", fmt.Sprint(budget))
+		got := h.post("/stream/x", fmt.Sprint(i), "Test-Program", "p", "Test-Budget", fmt.Sprint(budget))
 		statuses = append(statuses, got.StatusCode)
 	}
 	is.Equal(statuses, []int{http.StatusOK, http.StatusPaymentRequired, http.StatusPaymentRequired})
 }
 
-func TestTurnIsRefusedAsNotRunWithoutTheLedger(t *testing.T) {
+func TestTurnIsRejectedIfLedgerIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, events(1, 3, true))
 	h.log.Fail(store.Fault{Busy: true})
 	began := time.Now()
-	got := h.ask("/stream/x", "1", turnHead("p", 100, 60)...)
+	got := h.post("/stream/x", "1", turnHeader("p", 100, 60)...)
 	is.Equal(got.StatusCode, http.StatusServiceUnavailable)
 	is.True(time.Since(began) < 700*time.Millisecond)
 	is.Equal(len(h.replicas[0].Received()), 0)
 }
 
-func TestKeptTurnsComeBeforeTheNewInput(t *testing.T) {
+func TestPersistedTurnsPrecedeNewInput(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, events(1, 2, true))
-	is.NoErr(h.askBody("/kept/x", "t1", "one.", turnHead("p", 1000, 60)...).err)
-	is.NoErr(h.askBody("/kept/x", "t2", "two.", turnHead("p", 1000, 60, "Test-Previous", "t1")...).err)
-	is.NoErr(h.askBody("/kept/x", "t3", "three.", turnHead("p", 1000, 60, "Test-Previous", "t2")...).err)
+	is.NoErr(h.postBody("/kept/x", "t1", "one.", turnHeader("p", 1000, 60)...).err)
+	is.NoErr(h.postBody("/kept/x", "t2", "two.", turnHeader("p", 1000, 60, "Test-Previous", "t1")...).err)
+	is.NoErr(h.postBody("/kept/x", "t3", "three.", turnHeader("p", 1000, 60, "Test-Previous", "t2")...).err)
 	is.Equal(h.replicas[0].Received()[2].Body, "one.w1\nw2\ntwo.w1\nw2\nthree.")
 
-	// Another node, without any memory, and another program.
+	// Another node, without cached state, and another program.
 	h.router = h.newRouter("second")
 	h.configure(2)
 	h.server.Config.Handler = h.router
-	is.NoErr(h.askBody("/kept/x", "t4", "four.", turnHead("q", 1000, 60, "Test-Previous", "t3")...).err)
+	is.NoErr(h.postBody("/kept/x", "t4", "four.", turnHeader("q", 1000, 60, "Test-Previous", "t3")...).err)
 	is.Equal(h.replicas[0].Received()[3].Body, "one.w1\nw2\ntwo.w1\nw2\nthree.w1\nw2\nfour.")
 }
 
-func TestTurnGoesWhereTheOneBeforeRanFromAnyNode(t *testing.T) {
+func TestTurnFollowsCachedPrefixFromAnyNode(t *testing.T) {
 	is := is.New(t)
 	shedFirst := func(e *replica.Exchange) bool {
 		if e.Number == 1 {
@@ -162,41 +162,41 @@
 		return events(1, 2, true)(e)
 	}
 	h := newHarness(t, shedFirst, events(1, 2, true))
-	is.NoErr(h.ask("/kept/x", "t1", turnHead("p", 1000, 60, "Test-Tokens", "9000,60")...).err)
+	is.NoErr(h.post("/kept/x", "t1", turnHeader("p", 1000, 60, "Test-Tokens", "9000,60")...).err)
 
 	h.router = h.newRouter("second")
 	h.configure(2)
 	h.server.Config.Handler = h.router
-	is.NoErr(h.ask("/kept/x", "t2", turnHead("p", 1000, 60, "Test-Tokens", "9100,60", "Test-Previous", "t1")...).err)
-	is.Equal(len(h.replicas[0].Received()), 1) // the nearer one, which holds nothing
+	is.NoErr(h.post("/kept/x", "t2", turnHeader("p", 1000, 60, "Test-Tokens", "9100,60", "Test-Previous", "t1")...).err)
+	is.Equal(len(h.replicas[0].Received()), 1) // the nearer one, without the cached prefix
 	is.Equal(len(h.replicas[1].Received()), 2)
-	is.NoErr(h.ask("/kept/x", "t3", turnHead("q", 1000, 60, "Test-Tokens", "9000,60")...).err)
+	is.NoErr(h.post("/kept/x", "t3", turnHeader("q", 1000, 60, "Test-Tokens", "9000,60")...).err)
 	is.Equal(len(h.replicas[0].Received()), 2)
 }
 
-func TestUnknownTurnIsRefusedOnlyByProof(t *testing.T) {
+func TestUnknownTurnIsNotFoundOnlyIfLedgerIsAvailable(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, events(1, 2, true))
-	got := h.ask("/kept/x", "1", turnHead("p", 1000, 60, "Test-Previous", "never")...)
+	got := h.post("/kept/x", "1", turnHeader("p", 1000, 60, "Test-Previous", "never")...)
 	is.Equal(got.StatusCode, http.StatusNotFound)
 	h.log.Fail(store.Fault{Busy: true})
-	got = h.ask("/kept/x", "2", turnHead("p", 1000, 60, "Test-Previous", "never")...)
+	got = h.post("/kept/x", "2", turnHeader("p", 1000, 60, "Test-Previous", "never")...)
 	is.Equal(got.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(len(h.replicas[0].Received()), 0)
 }
 
-func TestTurnThatCannotBeKeptDoesNotEndWhole(t *testing.T) {
+func TestStreamIsAbortedIfTurnCannotBePersisted(t *testing.T) {
 	is := is.New(t)
 	var h *harness
 	h = newHarness(t, func(e *replica.Exchange) bool {
 		h.log.Fail(store.Fault{Busy: true})
 		return events(1, 2, true)(e)
 	})
-	got := h.ask("/kept/x", "t1", turnHead("p", 1000, 60)...)
+	got := h.post("/kept/x", "t1", turnHeader("p", 1000, 60)...)
 	is.True(got.err != nil)
 }
 
-func TestEventsSurviveAnySplit(t *testing.T) {
+func TestEventsAreReadWithAnyBufferSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOfN(rapid.SampledFrom([]string{"id: 7", "data: x", "data: y", ": comment", "odd", "x-version: 3", strings.Repeat("d", 9000)}), 1, 6).Draw(t, "lines")
 		ending := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "ending")
@@ -215,43 +215,43 @@
 	})
 }
 
-func TestUrgentRouteRanksFirstAtAnEngine(t *testing.T) {
+func TestUrgentRouteHasHigherPriorityAtEngine(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, events(1, 1, true))
-	h.ask("/stream/x", "1", turnHead("p", 100, 10)...)
-	h.ask("/resume/x", "2", turnHead("q", 100, 10)...)
+	h.post("/stream/x", "1", turnHeader("p", 100, 10)...)
+	h.post("/resume/x", "2", turnHeader("q", 100, 10)...)
 	received := h.replicas[0].Received()
 	is.True(received[0].Header.Get("Test-Priority") < received[1].Header.Get("Test-Priority"))
 }
 
-func TestProgramBeginsOnlyWhileReplicasAreNotFull(t *testing.T) {
+func TestProgramStartsOnlyIfReplicasAreNotFull(t *testing.T) {
 	is := is.New(t)
 	answered := make(chan struct{})
 	h := newHarness(t, func(e *replica.Exchange) bool {
 		if strings.HasPrefix(e.Request.URI, "/unsafe/") {
 			<-answered
-			return sound(e)
+			return healthy(e)
 		}
 		return events(1, 2, true)(e)
 	})
 	h.fleet.Replace([]fleet.Replica{{
 		Instance: "a", Service: "s", Address: h.replicas[0].Address, Zone: "near", State: fleet.StateReady, Slots: 2,
 	}}, 0)
-	begun := turnHead("begun", 1000, 50)
-	is.Equal(h.ask("/resume/x", "1", begun...).StatusCode, http.StatusOK)
+	begun := turnHeader("begun", 1000, 50)
+	is.Equal(h.post("/resume/x", "1", begun...).StatusCode, http.StatusOK)
 	var waiting sync.WaitGroup
 	for range 2 {
-		waiting.Go(func() { h.ask("/unsafe/x", "busy") })
+		waiting.Go(func() { h.post("/unsafe/x", "busy") })
 	}
 	for h.router.config.Tracker.Utilization(h.fleet.Usable("s", h.router.Now()), 4, h.router.Now()) < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	refused := h.ask("/resume/x", "2", turnHead("new", 1000, 50)...)
+	refused := h.post("/resume/x", "2", turnHeader("new", 1000, 50)...)
 	is.Equal(refused.StatusCode, http.StatusServiceUnavailable)
 	is.True(refused.Header.Get("Retry-After") != "")
-	is.Equal(h.ask("/resume/x", "3", begun...).StatusCode, http.StatusOK)
-	is.Equal(h.ask("/stream/x", "4", turnHead("urgent", 1000, 50)...).StatusCode, http.StatusOK)
+	is.Equal(h.post("/resume/x", "3", begun...).StatusCode, http.StatusOK)
+	is.Equal(h.post("/stream/x", "4", turnHeader("urgent", 1000, 50)...).StatusCode, http.StatusOK)
 	close(answered)
 	waiting.Wait()
-	is.Equal(h.ask("/resume/x", "5", turnHead("new", 1000, 50)...).StatusCode, http.StatusOK)
+	is.Equal(h.post("/resume/x", "5", turnHeader("new", 1000, 50)...).StatusCode, http.StatusOK)
 }
--- a/internal/router/observe.go
+++ b/internal/router/telemetry.go
@@ -12,12 +12,12 @@
 	"stepseam.example/stepseam/internal/balance"
 )
 
-// metrics count what became of requests.
+// metrics are the Prometheus metrics of requests.
 type metrics struct {
 	requests       *prometheus.CounterVec
 	seconds        *prometheus.HistogramVec
 	failedAttempts *prometheus.CounterVec
-	underWay       prometheus.Gauge
+	inFlight       prometheus.Gauge
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -32,12 +32,12 @@
 		failedAttempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "stepseam_failed_attempts_total", Help: "Attempts at replicas that brought no answer, by reason.",
 		}, []string{"reason"}),
-		underWay: prometheus.NewGauge(prometheus.GaugeOpts{
+		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "stepseam_requests_under_way", Help: "Requests that are being served.",
 		}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(built.requests, built.seconds, built.failedAttempts, built.underWay)
+		registerer.MustRegister(built.requests, built.seconds, built.failedAttempts, built.inFlight)
 	}
 	return built
 }
@@ -53,8 +53,8 @@
 	return slog.String("error", err.Error())
 }
 
-// logRefused writes the line of a request that has no route.
-func (r *Router) logRefused(request *http.Request, reply *reply) {
+// logRejected logs and counts a request that is rejected before a call is built for it.
+func (r *Router) logRejected(request *http.Request, reply *reply) {
 	r.metrics.requests.WithLabelValues("none", strconv.Itoa(reply.status), reply.reason).Inc()
 	version := uint64(0)
 	if configuration := r.configuration.Load(); configuration != nil {
@@ -67,8 +67,8 @@
 		errorAttr(reply.cause))
 }
 
-// logEnd writes the line of a request that had a route.
-func (r *Router) logEnd(call *call, reply *reply) {
+// logCompleted logs and counts a call at its end.
+func (r *Router) logCompleted(call *call, reply *reply) {
 	kind := string(call.route.Kind)
 	r.metrics.requests.WithLabelValues(kind, strconv.Itoa(reply.status), reply.reason).Inc()
 	if !reply.firstByte.IsZero() {
@@ -87,7 +87,7 @@
 		attributes = append(
 			attributes, slog.Int("prompt", call.prompt.Tokens), slog.Int("uncached", reply.expected.UncachedTokens),
 			slog.Int("unread_ahead", reply.expected.TokensAhead), slog.Int("beside", reply.expected.OtherRequests),
-			slog.String("keeper_asked", keeperWord(reply.known)), slog.Bool("cold", reply.cold),
+			slog.String("keeper_asked", aggregatorLabel(reply.aggregated)), slog.Bool("cold", reply.cold),
 			slog.String("resident", call.prompt.CacheLocation.Instance), slog.Float64("expected_first_ms", reply.expected.FirstMilliseconds),
 		)
 	}
@@ -99,23 +99,24 @@
 	}
 	if call.turn.budgeted {
 		attributes = append(
-			attributes, slog.Uint64("budget", uint64(call.turn.budget)), slog.Uint64("most", uint64(call.mostTokens)),
-			slog.Uint64("charged", reply.charged), slog.Int("events", reply.events), durationAttr("finish", call.finish), durationAttr("ledger", reply.waitedLedger),
-			slog.String("home", reply.home), slog.Bool("ahead", reply.ahead),
+			attributes, slog.Uint64("budget", uint64(call.turn.budget)), slog.Uint64("most", uint64(call.maxTokens)),
+			slog.Uint64("charged", reply.charged), slog.Int("events", reply.events), durationAttr("finish", call.programTimeLeft), durationAttr("ledger", reply.ledgerWait),
+			slog.String("home", reply.coordinator), slog.Bool("ahead", reply.unlogged),
 		)
 	}
 	if reply.reason != "" {
-		attributes = append(attributes, slog.String("reason", reply.reason), slog.Bool("cut", reply.cut), errorAttr(reply.cause))
+		attributes = append(attributes, slog.String("reason", reply.reason), slog.Bool("cut", reply.aborted), errorAttr(reply.cause))
 	}
 	r.config.Logger.LogAttrs(context.Background(), slog.LevelInfo, "request ended", attributes...)
 }
 
-// keeperWord tells what the keeper of the chosen replica has told.
-func keeperWord(known *balance.AggregatedState) string {
+// aggregatorLabel returns the log value for the aggregator's response about the selected
+// replica.
+func aggregatorLabel(state *balance.AggregatedState) string {
 	switch {
-	case known == nil:
+	case state == nil:
 		return "none"
-	case known.Complete:
+	case state.Complete:
 		return "settled"
 	}
 	return "unsettled"
--- a/internal/router/usable.go
+++ b/internal/router/usable.go
@@ -12,118 +12,126 @@
 )
 
 var (
-	// errEvacuated tells that a replica's zone was evacuated after the replica was chosen.
+	// errEvacuated means that the replica's zone was evacuated after the replica was
+	// selected.
 	errEvacuated = errors.New("router: the replica's zone is evacuated")
-	// errCold tells that a cold replica bears no more from this node now.
+	// errCold means that this node has no permit for a cold replica.
 	errCold = errors.New("router: the replica is cold and gets no more from this node now")
-	// errHomes tells that no replica lies where the request's data may be.
-	errHomes = errors.New("router: no replica in the regions where the data may be")
+	// errNoAllowedRegion means that no replica is in the regions where the request's data
+	// may be.
+	errNoAllowedRegion = errors.New("router: no replica in the regions where the data may be")
 )
 
 const (
-	// reasonEvacuated is the reason of refusals where all replicas lie in evacuated zones.
+	// reasonEvacuated is the rejection reason if all replicas are in evacuated zones.
 	reasonEvacuated = "zones_evacuated"
-	// reasonHomes is the reason of refusals where no replica lies in the homes of the data.
-	reasonHomes = "no_replica_in_homes"
-	// reasonCold is the reason of refusals where all replicas are cold and have got from
-	// this node what they bear.
+	// reasonNoAllowedRegion is the rejection reason if no replica is in the allowed
+	// regions.
+	reasonNoAllowedRegion = "no_replica_in_homes"
+	// reasonCold is the rejection reason if this node has no permit for any replica, since
+	// all are cold.
 	reasonCold = "replicas_cold"
-	// emptyComeBack is when a client may come back whose replicas' zones are evacuated, or
-	// whose data's homes have none: that lasts for seconds at least.
-	emptyComeBack = time.Second
+	// unavailableRetryAfter is the Retry-After delay if all replicas are evacuated or
+	// outside the allowed regions. These conditions last for at least seconds.
+	unavailableRetryAfter = time.Second
 )
 
-// resident returns the replicas of a call's service in regions where its data may be. The
-// slice must not be changed.
-func (r *Router) resident(call *call) []fleet.Replica {
+// allowedReplicas returns the replicas of a call's service in the allowed regions. The
+// caller must not modify the slice.
+func (r *Router) allowedReplicas(call *call) []fleet.Replica {
 	replicas := r.config.Fleet.Usable(call.service.Name, r.Now())
-	if !call.homes.Restricted() {
+	if !call.allowedRegions.Restricted() {
 		return replicas
 	}
-	return lo.Filter(replicas, func(replica fleet.Replica, _ int) bool { return r.config.Regions.Allows(call.homes, replica.Zone) })
+	return lo.Filter(replicas, func(replica fleet.Replica, _ int) bool {
+		return r.config.Regions.Allows(call.allowedRegions, replica.Zone)
+	})
 }
 
-// usable returns the replicas that a call may go to now. The slice must not be changed.
+// usable returns the allowed replicas outside evacuated zones. The caller must not modify
+// the slice.
 func (r *Router) usable(call *call) []fleet.Replica {
-	replicas := r.resident(call)
+	replicas := r.allowedReplicas(call)
 	if r.config.Evacuations == nil || !r.config.Evacuations.AnyEvacuated() {
 		return replicas
 	}
 	return lo.Reject(replicas, func(replica fleet.Replica, _ int) bool { return r.config.Evacuations.Evacuated(replica.Zone) })
 }
 
-// zoneResident tells whether a call's data may be in a zone.
-func (r *Router) zoneResident(call *call, zone string) bool {
-	return !call.homes.Restricted() || r.config.Regions.Allows(call.homes, zone)
+// zoneAllowed reports whether a zone is in the call's allowed regions.
+func (r *Router) zoneAllowed(call *call, zone string) bool {
+	return !call.allowedRegions.Restricted() || r.config.Regions.Allows(call.allowedRegions, zone)
 }
 
-// zoneUsable tells whether a call may go to a zone now.
+// zoneUsable reports whether a zone is allowed for the call and not evacuated.
 func (r *Router) zoneUsable(call *call, zone string) bool {
 	evacuated := r.config.Evacuations != nil && r.config.Evacuations.Evacuated(zone)
-	return !evacuated && r.zoneResident(call, zone)
+	return !evacuated && r.zoneAllowed(call, zone)
 }
 
-// isEligible tells whether this node may send a call to a replica of a usable zone now.
+// isEligible reports whether this node may currently send a call to a replica of a usable
+// zone.
 func (r *Router) isEligible(call *call, replica *fleet.Replica) bool {
-	return !r.bounded(call) || r.config.ColdStart.MaySend(replica.IncarnationID(), coldBound(call), r.Now())
+	return !r.limitsCold(call) || r.config.ColdStart.MaySend(replica.IncarnationID(), coldRateLimit(call), r.Now())
 }
 
-// anyReplica tells whether a replica of a call's service fits.
+// anyReplica reports whether any replica of the call's service satisfies fits.
 func (r *Router) anyReplica(call *call, fits func(*fleet.Replica) bool) bool {
 	return r.config.Fleet.Any(call.service.Name, fits, r.Now())
 }
 
-// withoutReplica returns the refusal of a call that has not run and that no replica takes;
-// otherwise is the refusal where each of its replicas might have.
-func (r *Router) withoutReplica(call *call, otherwise refusal) refusal {
-	resident := r.anyReplica(call, func(replica *fleet.Replica) bool { return r.zoneResident(call, replica.Zone) })
-	usable := resident && r.anyReplica(call, func(replica *fleet.Replica) bool { return r.zoneUsable(call, replica.Zone) })
+// noReplicaRejection returns the rejection of a call that has not run and that no replica
+// accepts. It returns otherwise if neither allowed regions, evacuations nor cold replicas
+// are the cause.
+func (r *Router) noReplicaRejection(call *call, otherwise rejection) rejection {
+	allowed := r.anyReplica(call, func(replica *fleet.Replica) bool { return r.zoneAllowed(call, replica.Zone) })
+	usable := allowed && r.anyReplica(call, func(replica *fleet.Replica) bool { return r.zoneUsable(call, replica.Zone) })
 	eligible := usable && r.anyReplica(call, func(replica *fleet.Replica) bool {
 		return r.zoneUsable(call, replica.Zone) && r.isEligible(call, replica)
 	})
 	switch {
-	case call.homes.Restricted() && !resident:
-		return refusal{reason: reasonHomes, comeBack: emptyComeBack, cause: fmt.Errorf("%w: %s", errHomes, call.homes)}
-	case resident && !usable:
-		return refusal{reason: reasonEvacuated, comeBack: emptyComeBack, cause: otherwise.cause}
+	case call.allowedRegions.Restricted() && !allowed:
+		return rejection{reason: reasonNoAllowedRegion, retryAfter: unavailableRetryAfter, cause: fmt.Errorf("%w: %s", errNoAllowedRegion, call.allowedRegions)}
+	case allowed && !usable:
+		return rejection{reason: reasonEvacuated, retryAfter: unavailableRetryAfter, cause: otherwise.cause}
 	case usable && !eligible:
-		return refusal{reason: reasonCold, comeBack: shortComeBack, cause: otherwise.cause}
+		return rejection{reason: reasonCold, retryAfter: shortRetryAfter, cause: otherwise.cause}
 	}
 	return otherwise
 }
 
-// coldBound is what the cold replicas of a call's service bear.
-func coldBound(call *call) coldstart.RateLimit {
+// coldRateLimit returns the rate limit for cold replicas of a call's service.
+func coldRateLimit(call *call) coldstart.RateLimit {
 	return coldstart.RateLimit{PerSecond: call.service.ColdPerSecond, ColdDuration: call.service.ColdFor}
 }
 
-// bounded tells whether cold replicas of a call's service get only so much.
-func (r *Router) bounded(call *call) bool {
+// limitsCold reports whether cold replicas of a call's service are rate limited.
+func (r *Router) limitsCold(call *call) bool {
 	return r.config.ColdStart != nil && call.service.ColdPerSecond > 0
 }
 
-// isCold tells whether a replica of a call's service counts as cold.
+// isCold reports whether a replica of a call's service counts as cold.
 func (r *Router) isCold(call *call, instance string) bool {
-	return r.bounded(call) && r.config.ColdStart.Cold(instance, coldBound(call), r.Now())
+	return r.limitsCold(call) && r.config.ColdStart.Cold(instance, coldRateLimit(call), r.Now())
 }
 
-// eligible returns the usable replicas that this node may send a request to now.
+// eligible returns the usable replicas that this node may currently send requests to.
 func (r *Router) eligible(call *call) []fleet.Replica {
 	replicas := r.usable(call)
-	if !r.bounded(call) {
+	if !r.limitsCold(call) {
 		return replicas
 	}
-	now, bound := r.Now(), coldBound(call)
+	now, limit := r.Now(), coldRateLimit(call)
 	return lo.Filter(replicas, func(replica fleet.Replica, _ int) bool {
-		return r.config.ColdStart.MaySend(replica.IncarnationID(), bound, now)
+		return r.config.ColdStart.MaySend(replica.IncarnationID(), limit, now)
 	})
 }
 
-// maySend returns an error if a request must not go to a replica any more that was chosen
-// for it. It is asked right before each sending, after all that had to be waited for, and
-// spends the right to send to a cold replica.
-func (r *Router) maySend(call *call, replica fleet.Replica) error {
-	if r.bounded(call) && !r.config.ColdStart.Acquire(replica.IncarnationID(), coldBound(call), r.Now()) {
+// acquireSend returns an error if a request must no longer be sent to the selected
+// replica. It is called immediately before each send, after everything that can block, and
+// takes a permit if the replica's service limits cold replicas.
+func (r *Router) acquireSend(call *call, replica fleet.Replica) error {
+	if r.limitsCold(call) && !r.config.ColdStart.Acquire(replica.IncarnationID(), coldRateLimit(call), r.Now()) {
 		return fmt.Errorf("%w: %s", errCold, replica.IncarnationID())
 	}
 	if r.config.Evacuations != nil && !r.config.Evacuations.TrySend(replica.Zone, r.Now()) {
