--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -1,6 +1,6 @@
-// Package routing holds the operators' configuration of routed requests and the
-// decisions that depend on it alone: which route a request takes and which
-// service of a split route serves it. It is pure.
+// Package routing models the operators' configuration of routed requests and makes
+// the decisions that depend only on it: which route matches a request and which
+// service of a weighted route serves it. It performs no I/O and reads no clock.
 package routing
 
 import (
@@ -14,53 +14,55 @@
 	"stepseam.example/stepseam/internal/residency"
 )
 
-// Kind tells what may be repeated on a route.
+// Kind defines whether the requests of a route may run more than once.
 type Kind string
 
-// The kinds of routes.
+// Route kinds.
 const (
-	// KindSafe requests may run more than once.
+	// KindSafe requests are idempotent and may run more than once.
 	KindSafe Kind = "safe"
-	// KindUnsafe requests run at most once per request.
+	// KindUnsafe requests run at most once.
 	KindUnsafe Kind = "unsafe"
-	// KindStreaming requests are answered by a series of events; they run at most
+	// KindStreaming requests are answered with an event stream. They run at most
 	// once unless the route is resumable.
 	KindStreaming Kind = "streaming"
 )
 
-// WeightedService is one service of a split route.
+// WeightedService is a service of a route with its weight of the route's traffic.
 type WeightedService struct {
 	Service string
 	// Weight is relative to the sum of the route's weights.
 	Weight int
 }
 
-// Route tells how requests of one host and path prefix are served.
+// Route defines how requests for one host and path prefix are served.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest that a request is held.
+	// Timeout bounds the time from a request's arrival to the end of its response.
 	Timeout time.Duration
 	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int
-	// WeightedServices has one entry, or several with weights.
+	// WeightedServices has at least one entry. Several entries split the traffic by
+	// weight.
 	WeightedServices []WeightedService
-	// MaxAttempts is how many replicas one request may be sent to.
+	// MaxAttempts is the maximum number of replicas that may run one request.
 	MaxAttempts int
-	// Retain tells that the history of turns is kept here, for RetainFor.
+	// Retain reports whether the texts of the route's turns are persisted, so that
+	// later turns can refer to them. RetainFor is their retention period.
 	Retain    bool
 	RetainFor time.Duration
-	// Resumable streams may go on at another replica after their last event.
+	// Resumable streams may continue at another replica after their last event.
 	Resumable bool
-	// Public routes need no key.
+	// Public routes accept requests without a key.
 	Public bool
 	// AllowedRegions are the regions in which the data of the route's requests may be.
 	AllowedRegions residency.AllowedRegions
 }
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || r.Kind == KindStreaming && r.Resumable
 }
@@ -68,19 +70,19 @@
 // Service describes a pool of replicas.
 type Service struct {
 	Name string
-	// Slots is how many requests a replica runs at once; 0 if unknown.
+	// Slots is the number of requests that a replica runs concurrently; 0 if unknown.
 	Slots int
-	// TokensPerEvent is how many tokens each event of a stream counts.
+	// TokensPerEvent is the number of tokens charged for each event of a stream.
 	TokensPerEvent int
-	// MemoryTokens is how many tokens of prompts a replica holds; 0 if unknown.
+	// MemoryTokens is the capacity of a replica's prompt cache in tokens; 0 if unknown.
 	MemoryTokens int
-	// ColdPerSecond is how many requests a second a cold replica bears of all nodes; 0
-	// sets no bound. ColdFor is how long a replica stays cold after its start.
+	// ColdPerSecond is the maximum rate of requests from all nodes to one cold replica;
+	// 0 means no limit. ColdFor is how long a replica stays cold after its start.
 	ColdPerSecond float64
 	ColdFor       time.Duration
 }
 
-// Limits bound what a client may send.
+// Limits bounds the size and the duration of clients' requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -88,13 +90,15 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of the whole. It is never changed after Build.
+// Configuration is one version of the routing configuration. It is immutable after
+// Build.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Tenants hold the keys of clients; where there are none, no key is asked for.
+	// Tenants lists the tenants with the keys of their clients. If it is empty, requests
+	// need no key.
 	Tenants []Tenant
 
 	byHost   map[string][]*Route
@@ -102,15 +106,15 @@
 	byTenant map[string]*Tenant
 }
 
-// Build checks a configuration and indexes it. All faults are reported together.
+// Build validates and indexes a configuration. The error joins all problems found.
 func Build(configuration Configuration) (*Configuration, error) {
 	built := configuration
 	built.byHost = make(map[string][]*Route, len(built.Routes))
-	var faults []error
+	var problems []error
 	for i := range built.Routes {
 		route := &built.Routes[i]
 		if err := checkRoute(route); err != nil {
-			faults = append(faults, fmt.Errorf("route %d (%s): %w", i, route.Name, err))
+			problems = append(problems, fmt.Errorf("route %d (%s): %w", i, route.Name, err))
 			continue
 		}
 		host := strings.ToLower(route.Host)
@@ -119,9 +123,9 @@
 	for _, routes := range built.byHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
-	faults = append(faults, built.indexTenants()...)
-	if len(faults) > 0 {
-		return nil, fmt.Errorf("routing: version %d: %w", built.Version, errors.Join(faults...))
+	problems = append(problems, built.indexTenants()...)
+	if len(problems) > 0 {
+		return nil, fmt.Errorf("routing: version %d: %w", built.Version, errors.Join(problems...))
 	}
 	return &built, nil
 }
@@ -140,8 +144,8 @@
 	return nil
 }
 
-// Match returns the route with the longest prefix of path on host, or nil. A port
-// in host is ignored.
+// Match returns the route of host with the longest prefix of path, or nil. A port in
+// host is ignored.
 func (c *Configuration) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-func routeTo(prefix string, shares ...WeightedService) Route {
-	return Route{Name: prefix, Host: "Host.Example", PathPrefix: prefix, Kind: KindSafe, WeightedServices: shares}
+func routeTo(prefix string, services ...WeightedService) Route {
+	return Route{Name: prefix, Host: "Host.Example", PathPrefix: prefix, Kind: KindSafe, WeightedServices: services}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	is := is.New(t)
-	share := WeightedService{Service: "s", Weight: 1}
-	built, err := Build(Configuration{Routes: []Route{routeTo("/", share), routeTo("/a/", share), routeTo("/a/b/", share)}})
+	service := WeightedService{Service: "s", Weight: 1}
+	built, err := Build(Configuration{Routes: []Route{routeTo("/", service), routeTo("/a/", service), routeTo("/a/b/", service)}})
 	is.NoErr(err)
 	for path, want := range map[string]string{"/a/b/c": "/a/b/", "/a/bc": "/a/", "/x": "/", "/a": "/"} {
 		is.Equal(built.Match("host.example", path).PathPrefix, want)
@@ -24,7 +24,7 @@
 	is.Equal(built.Match("other.example", "/a/"), nil)
 }
 
-func TestAllFaultsAreReportedWithTheirRoutes(t *testing.T) {
+func TestBuildReportsAllInvalidRoutes(t *testing.T) {
 	is := is.New(t)
 	_, err := Build(Configuration{Version: 4, Routes: []Route{
 		{Name: "one", PathPrefix: "/", Kind: KindSafe, WeightedServices: []WeightedService{{Service: "s"}}},
@@ -37,33 +37,33 @@
 	}
 }
 
-// TestSharesAreKeptOverFewRequests: after every request, each service is within
-// one request of its share.
-func TestSharesAreKeptOverFewRequests(t *testing.T) {
+// After any number of requests, each service has received its weighted number of
+// requests, give or take one per service.
+func TestSplitterKeepsProportionsOverFewRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 4).Draw(t, "weights")
 		weights[0]++
-		var shares []WeightedService
+		var services []WeightedService
 		for i, weight := range weights {
-			shares = append(shares, WeightedService{Service: string(rune('a' + i)), Weight: weight})
+			services = append(services, WeightedService{Service: string(rune('a' + i)), Weight: weight})
 		}
-		route := routeTo("/", shares...)
-		begin := rapid.Float64Range(0, 0.999).Draw(t, "begin")
-		splitter, dealt := NewSplitter(), map[string]int{}
+		route := routeTo("/", services...)
+		start := rapid.Float64Range(0, 0.999).Draw(t, "begin")
+		splitter, counts := NewSplitter(), map[string]int{}
 		const requests = 200
 		for range requests {
-			dealt[splitter.Pick(&route, begin)]++
+			counts[splitter.Pick(&route, start)]++
 		}
-		for _, share := range shares {
-			want := float64(requests) * float64(share.Weight) / float64(totalWeight(shares))
-			if got := float64(dealt[share.Service]); got < want-float64(len(shares)) || got > want+float64(len(shares)) {
-				t.Fatalf("%s got %v of %v", share.Service, got, want)
+		for _, service := range services {
+			want := float64(requests) * float64(service.Weight) / float64(totalWeight(services))
+			if got := float64(counts[service.Service]); got < want-float64(len(services)) || got > want+float64(len(services)) {
+				t.Fatalf("%s got %v of %v", service.Service, got, want)
 			}
 		}
 	})
 }
 
-func TestNewWeightsBeginANewRound(t *testing.T) {
+func TestSplitterRestartsOnNewWeights(t *testing.T) {
 	is := is.New(t)
 	splitter := NewSplitter()
 	before := routeTo("/", WeightedService{"a", 1}, WeightedService{"b", 1})
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -9,47 +9,48 @@
 	"stepseam.example/stepseam/internal/residency"
 )
 
-// KeyDigest stands for a client's key. Keys are looked up and logged by digest, so
-// that the time of a look-up tells nothing of a key and no log shows one.
+// KeyDigest is the SHA-256 digest of a client's key. Keys are looked up and logged by
+// digest, so that lookups leak no key through their timing and logs contain none.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// digestShown is how many bytes of a digest tell keys apart in logs.
+// digestShown is the number of leading digest bytes printed in logs.
 const digestShown = 4
 
-// String returns the beginning of the digest, for logs.
+// String returns the leading bytes of the digest in hexadecimal, for logs.
 func (d KeyDigest) String() string { return hex.EncodeToString(d[:digestShown]) }
 
-// Tenant is whom requests are served for, as their key tells.
+// Tenant is the account that a request is served for, identified by the request's key.
 type Tenant struct {
 	Name string
 	// Keys are the digests of the tenant's keys.
 	Keys []KeyDigest
-	// Priority goes before the route's where HasPriority is set; 0 is the highest.
+	// Priority overrides the route's priority if HasPriority is set; 0 is the highest.
 	Priority    int
 	HasPriority bool
-	// RatePerSecond and Burst bound the tenant's requests at all nodes together; a
-	// rate of 0 sets no limit.
+	// RatePerSecond and Burst limit the tenant's requests over all nodes. A rate of 0
+	// means no limit.
 	RatePerSecond, Burst float64
 	// AllowedRegions are the regions in which the data of the tenant's requests may be.
 	AllowedRegions residency.AllowedRegions
 }
 
-// Limited tells whether the tenant's requests are bounded.
+// Limited reports whether the tenant's requests are rate limited.
 func (t *Tenant) Limited() bool { return t != nil && t.RatePerSecond > 0 }
 
-// Authenticates tells whether requests need a key: the configuration has tenants.
+// Authenticates reports whether requests need a key, which is so if the configuration
+// has tenants.
 func (c *Configuration) Authenticates() bool { return len(c.Tenants) > 0 }
 
-// TenantOf returns the tenant that holds a key, or nil.
+// TenantOf returns the tenant with the given key, or nil.
 func (c *Configuration) TenantOf(key KeyDigest) *Tenant { return c.byKey[key] }
 
-// TenantNamed returns the tenant of a name, or nil.
+// TenantNamed returns the tenant with the given name, or nil.
 func (c *Configuration) TenantNamed(name string) *Tenant { return c.byTenant[name] }
 
-// PriorityOf returns the rank of a tenant's requests on a route; tenant may be nil.
+// PriorityOf returns the priority of a tenant's requests on a route; tenant may be nil.
 func PriorityOf(route *Route, tenant *Tenant) int {
 	if tenant != nil && tenant.HasPriority {
 		return tenant.Priority
@@ -57,8 +58,8 @@
 	return route.Priority
 }
 
-// AllowedRegionsOf returns where the data of a tenant's requests on a route may be; tenant may be
-// nil.
+// AllowedRegionsOf returns the regions where the data of a tenant's requests on a route
+// may be; tenant may be nil.
 func AllowedRegionsOf(route *Route, tenant *Tenant) residency.AllowedRegions {
 	if tenant == nil {
 		return route.AllowedRegions
@@ -66,7 +67,8 @@
 	return route.AllowedRegions.Intersect(tenant.AllowedRegions)
 }
 
-// CheckAllowedRegions returns what is wrong with the homes of routes and tenants, by place.
+// CheckAllowedRegions validates the allowed regions of routes and tenants and returns
+// the problems found.
 func (c *Configuration) CheckAllowedRegions(regions residency.ZoneRegions) []error {
 	var routes, tenants []residency.Subject
 	for _, route := range c.Routes {
@@ -78,18 +80,18 @@
 	return residency.Check(routes, tenants, regions)
 }
 
-// indexTenants fills the look-ups of tenants and returns all faults.
+// indexTenants builds the indexes by key and by name and returns all problems found.
 func (c *Configuration) indexTenants() []error {
 	c.byKey = make(map[KeyDigest]*Tenant, len(c.Tenants))
 	c.byTenant = make(map[string]*Tenant, len(c.Tenants))
-	var faults []error
+	var problems []error
 	for i := range c.Tenants {
 		tenant := &c.Tenants[i]
 		if err := c.indexTenant(tenant); err != nil {
-			faults = append(faults, fmt.Errorf("tenant %d (%s): %w", i, tenant.Name, err))
+			problems = append(problems, fmt.Errorf("tenant %d (%s): %w", i, tenant.Name, err))
 		}
 	}
-	return faults
+	return problems
 }
 
 func (c *Configuration) indexTenant(tenant *Tenant) error {
--- a/internal/routing/tenant_test.go
+++ b/internal/routing/tenant_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestKeysLeadToTheirTenants(t *testing.T) {
+func TestTenantLookup(t *testing.T) {
 	is := is.New(t)
 	built, err := Build(Configuration{Tenants: []Tenant{
 		{Name: "a", Keys: []KeyDigest{DigestKey("k1"), DigestKey("k2")}},
@@ -24,7 +24,7 @@
 	is.True(!nobody.Limited())
 }
 
-func TestAllFaultsOfTenantsComeTogether(t *testing.T) {
+func TestBuildReportsAllInvalidTenants(t *testing.T) {
 	is := is.New(t)
 	key := DigestKey("shared")
 	_, err := Build(Configuration{Tenants: []Tenant{
