--- a/internal/balance/admission.go
+++ b/internal/balance/admission.go
@@ -1,17 +1,17 @@
 package balance
 
-// Programs begin only while the replicas of their service use less than a part of
-// their slots. Beyond that the turns of all programs wait, so that nearly all miss
-// their objectives; those that have begun go first, since their work is done in part.
+// New programs are admitted only below a utilization threshold of the service's slots.
+// Above it, the turns of all programs would queue and most programs would miss their
+// objectives. Running programs take precedence, since part of their work is already done.
 const (
-	// admitBelow holds for routes in general, admitUrgentBelow for those of the
-	// highest priority, which may wait for places that others free.
+	// admitBelow is the threshold for most routes. admitUrgentBelow is that for routes of
+	// the highest priority, whose requests may queue for slots that others free.
 	admitBelow       = 0.9
 	admitUrgentBelow = 1.1
 )
 
-// Admits tells whether a program may begin on a route of the given priority, 0
-// being the highest, where utilization is the requests under way by slots.
+// Admits reports whether a new program may start on a route of the given priority; 0 is
+// the highest. utilization is the ratio of requests in flight to slots.
 func Admits(utilization float64, priority int) bool {
 	if priority == 0 {
 		return utilization < admitUrgentBelow
--- a/internal/balance/candidates.go
+++ b/internal/balance/candidates.go
@@ -10,137 +10,139 @@
 	"stepseam.example/stepseam/internal/fleet"
 )
 
-// Requirements is what a request needs of a replica.
+// Requirements describes a request for the selection of its replica.
 type Requirements struct {
-	// Engine tells that requests are batched and prompts cached.
+	// Engine reports whether the replicas batch requests and cache prompts.
 	Engine bool
 	Prompt Prompt
-	// NotRetryable tells that a failure of the replica fails the request, which must not
-	// go to another.
+	// NotRetryable reports that the request must not be sent to another replica after a
+	// failure.
 	NotRetryable bool
-	// Exclude lists the lives of replicas that it has been to.
+	// Exclude lists the incarnation IDs of replicas that were already tried.
 	Exclude []string
-	// PathTo returns the way to a zone; nil takes all for zones of one region.
+	// PathTo returns the network path to a zone; nil places all zones in one region.
 	PathTo func(zone string) distance.Path
-	// Cold tells whether a replica is cold; nil counts all as warm.
+	// Cold reports whether a replica is cold; nil treats all as warm.
 	Cold func(replica fleet.Replica) bool
-	// Connected tells whether a connection to a replica is open; nil counts all as
+	// Connected reports whether a connection to a replica is open; nil treats all as
 	// connected.
 	Connected func(replica fleet.Replica) bool
 }
 
-// Candidates describes the replicas that a request may go to. now is a monotonic
+// Candidates returns the candidates for a request among replicas. now is a monotonic
 // reading.
-func (t *Tracker) Candidates(replicas []fleet.Replica, need Requirements, now time.Duration) []Candidate {
+func (t *Tracker) Candidates(replicas []fleet.Replica, requirements Requirements, now time.Duration) []Candidate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	candidates := make([]Candidate, 0, len(replicas))
-	ways := waysOf(need)
+	pathTo := cachedPaths(requirements)
 	for _, replica := range replicas {
-		if !slices.Contains(need.Exclude, replica.IncarnationID()) {
-			candidates = append(candidates, t.candidate(replica, need, ways(replica.Zone), now))
+		if !slices.Contains(requirements.Exclude, replica.IncarnationID()) {
+			candidates = append(candidates, t.candidate(replica, requirements, pathTo(replica.Zone), now))
 		}
 	}
-	keepLag(candidates)
+	replacePaceByLag(candidates)
 	return candidates
 }
 
-// waysOf returns need.Way that looks each zone up once.
-func waysOf(need Requirements) func(zone string) distance.Path {
-	if need.PathTo == nil {
+// cachedPaths returns requirements.PathTo with the result cached per zone.
+func cachedPaths(requirements Requirements) func(zone string) distance.Path {
+	if requirements.PathTo == nil {
 		return func(string) distance.Path { return distance.Path{RoundTrip: distance.DefaultZoneRoundTrip} }
 	}
-	known := map[string]distance.Path{}
+	paths := map[string]distance.Path{}
 	return func(zone string) distance.Path {
-		way, found := known[zone]
+		path, found := paths[zone]
 		if !found {
-			way = need.PathTo(zone)
-			known[zone] = way
+			path = requirements.PathTo(zone)
+			paths[zone] = path
 		}
-		return way
+		return path
 	}
 }
 
-// candidate describes one replica; its lag is its whole pace still. It needs the mutex.
-func (t *Tracker) candidate(replica fleet.Replica, need Requirements, way distance.Path, now time.Duration) Candidate {
-	life := replica.IncarnationID()
-	elsewhere := t.heard.load(life, now)
-	described := Candidate{
-		Instance: life, SameZone: replica.Zone == t.zone, Engine: need.Engine, Slots: replica.Slots,
-		OtherRegion: way.OtherRegion, RoundTripMilliseconds: milliseconds(way.RoundTrip),
+// candidate describes one replica. Its LagMilliseconds is the replica's absolute time
+// between events until replacePaceByLag makes it relative. The caller must hold the mutex.
+func (t *Tracker) candidate(replica fleet.Replica, requirements Requirements, path distance.Path, now time.Duration) Candidate {
+	id := replica.IncarnationID()
+	elsewhere := t.peerLoads.load(id, now)
+	candidate := Candidate{
+		Instance: id, SameZone: replica.Zone == t.zone, Engine: requirements.Engine, Slots: replica.Slots,
+		OtherRegion: path.OtherRegion, RoundTripMilliseconds: milliseconds(path.RoundTrip),
 		Lapsed:            replica.State == fleet.StateLapsed,
 		InFlightElsewhere: elsewhere.InFlight, PendingTokensElsewhere: elsewhere.PendingTokens,
-		CachedTokens:   t.cached(life, need.Prompt),
-		FailedRecently: need.NotRetryable && elsewhere.Failing,
-		Unconnected:    need.Connected != nil && !need.Connected(replica),
-		Cold:           need.Cold != nil && need.Cold(replica),
+		CachedTokens:   t.cached(id, requirements.Prompt),
+		FailedRecently: requirements.NotRetryable && elsewhere.Failing,
+		Unconnected:    requirements.Connected != nil && !requirements.Connected(replica),
+		Cold:           requirements.Cold != nil && requirements.Cold(replica),
 	}
-	if known, found := t.replicas[life]; found {
-		described.InFlight = known.underWay
-		described.PendingTokens = known.unread
-		described.Suspect = now < known.suspectUntil || known.waiting > 0 && now-known.waitingSince > patience
-		described.LagMilliseconds = known.pace
-		described.FailedRecently = described.FailedRecently || need.NotRetryable && known.unproven(now)
-		described.Ejected, described.Probe = known.soundness.standing(known.underWay, now)
+	if state, found := t.replicas[id]; found {
+		candidate.InFlight = state.inFlight
+		candidate.PendingTokens = state.pendingTokens
+		candidate.Suspect = now < state.suspectUntil || state.awaitingHeader > 0 && now-state.noHeaderSince > minResponseTimeout
+		candidate.LagMilliseconds = state.pace
+		candidate.FailedRecently = candidate.FailedRecently || requirements.NotRetryable && state.failedRecently(now)
+		candidate.Ejected, candidate.Probe = state.ejection.status(state.inFlight, now)
 	}
-	return described
+	return candidate
 }
 
-// cached returns how much of a prompt the replica holds, as far as this node knows.
-// It needs the mutex.
+// cached estimates the number of a prompt's tokens in the replica's cache from this node's
+// own requests. The caller must hold the mutex.
 func (t *Tracker) cached(instance string, prompt Prompt) int {
 	cached := 0
 	if prompt.CacheLocation.Instance == instance {
 		cached = min(prompt.CacheLocation.Tokens, prompt.Tokens)
 	}
-	if known, found := t.replicas[instance]; found {
-		cached = max(cached, known.prompts.cached(prompt.Segments))
+	if state, found := t.replicas[instance]; found {
+		cached = max(cached, state.sentSegments.cached(prompt.Segments))
 	}
 	return cached
 }
 
-// Rates returns how fast the replicas of a service work.
+// Rates returns the estimated speed of a service's replicas.
 func (t *Tracker) Rates(service string) estimate.Rates {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.service(service).Rates()
 }
 
-// Utilization returns the requests under way at replicas, of this node and the
-// others, by the slots that the replicas have; usualSlots is taken of those that
-// don't tell. It is 0 without slots.
-func (t *Tracker) Utilization(replicas []fleet.Replica, usualSlots int, now time.Duration) float64 {
+// Utilization returns the ratio of requests in flight, of all nodes, to the slots of
+// replicas. Replicas that do not report their slots count as having defaultSlots. It is 0
+// if there are no slots.
+func (t *Tracker) Utilization(replicas []fleet.Replica, defaultSlots int, now time.Duration) float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	underWay, slots := 0, 0
+	inFlight, slots := 0, 0
 	for _, replica := range replicas {
 		if replica.Slots > 0 {
 			slots += replica.Slots
 		} else {
-			slots += usualSlots
+			slots += defaultSlots
 		}
-		if known, found := t.replicas[replica.IncarnationID()]; found {
-			underWay += known.underWay
+		if state, found := t.replicas[replica.IncarnationID()]; found {
+			inFlight += state.inFlight
 		}
-		underWay += t.heard.load(replica.IncarnationID(), now).InFlight
+		inFlight += t.peerLoads.load(replica.IncarnationID(), now).InFlight
 	}
 	if slots == 0 {
 		return 0
 	}
-	return float64(underWay) / float64(slots)
+	return float64(inFlight) / float64(slots)
 }
 
-// lag is how much of a slower pace counts, in milliseconds an event: a part of any
-// difference, all of what is over that of a slow replica.
-func lag(pace, fastest float64) float64 {
+// paceCost returns the cost per event of a replica's pace compared with the fastest one,
+// in milliseconds: a fraction of the whole difference, plus the full difference above the
+// threshold for slow replicas.
+func paceCost(pace, fastest float64) float64 {
 	if pace == 0 {
 		return 0
 	}
-	return paceShare*(pace-fastest) + max(pace-slowPace*fastest, 0)
+	return paceWeightInCost*(pace-fastest) + max(pace-slowPaceFactor*fastest, 0)
 }
 
-// keepLag replaces each candidate's pace by its lag behind the fastest.
-func keepLag(candidates []Candidate) {
+// replacePaceByLag replaces each candidate's pace by its lag behind the fastest candidate.
+func replacePaceByLag(candidates []Candidate) {
 	fastest := math.Inf(1)
 	for _, candidate := range candidates {
 		if candidate.LagMilliseconds > 0 {
@@ -148,6 +150,6 @@
 		}
 	}
 	for i := range candidates {
-		candidates[i].LagMilliseconds = lag(candidates[i].LagMilliseconds, fastest)
+		candidates[i].LagMilliseconds = paceCost(candidates[i].LagMilliseconds, fastest)
 	}
 }
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -1,6 +1,7 @@
-// Package balance chooses the replica for a request from what this node knows of
-// the replicas: its own requests under way there, the prompt parts that it has
-// sent there, recent failures and the zone. It reads no clock and does no I/O.
+// Package balance selects the replica for a request. It estimates the cost of each
+// candidate from the requests in flight at it, the prompt segments it has cached, its
+// recent failures, its speed and the network path to it. The package reads no clock and
+// performs no I/O.
 package balance
 
 import (
@@ -11,105 +12,105 @@
 	"stepseam.example/stepseam/internal/outlier"
 )
 
-// The costs below are in milliseconds of expected delay, or what is worth as much.
-// They are the operators' preferences; how fast replicas work is learned, see
-// package estimate.
+// Costs are in milliseconds of expected delay or its equivalent. They express operators'
+// preferences; the speed of replicas is estimated by package estimate.
 const (
-	// otherZoneCost and otherRegionCost stand for the price of bytes between zones and
-	// between regions; the longer way comes on top, see Candidate.RoundTripMilliseconds.
+	// otherZoneCost and otherRegionCost represent the price of traffic between zones and
+	// between regions. The round trip is added, see Candidate.RoundTripMilliseconds.
 	otherZoneCost   = 7.5
 	otherRegionCost = 22.5
-	// connectionCost stands for the making of a connection and what a replica spends on
-	// each that it holds.
+	// connectionCost represents the setup of a new connection and the resources that a
+	// replica spends on each open one.
 	connectionCost = 6.0
-	// doubtfulCost makes replicas that may have left the second choice.
-	doubtfulCost = 60.0
-	// unprovenCost makes unproven replicas the choice only where others have long
-	// queues.
-	unprovenCost = 400.0
-	// ejectedCost does the same with ejected ones where too many are for leaving them alone.
+	// lapsedCost penalizes replicas whose registration lapsed.
+	lapsedCost = 60.0
+	// failedRecentlyCost penalizes replicas that failed recently, so that they are
+	// selected for non-retryable requests only if the others have long queues.
+	failedRecentlyCost = 400.0
+	// ejectedCost penalizes ejected replicas in the same way when so many are ejected that
+	// they remain candidates.
 	ejectedCost = 400.0
-	// suspectCost puts replicas that failed lately behind all others.
+	// suspectCost ranks suspect replicas behind all others.
 	suspectCost = 2000.0
-	// neighbourShare is how much of the delay that a request brings to those that run
-	// beside it counts in the choice, against its own.
-	neighbourShare = 1.0
-	// paceShare of a difference in pace counts. More would crowd the fast replicas,
-	// whose waits nodes learn of late.
-	paceShare = 0.2
-	// slowPace times the fastest pace is where a replica counts as slow and all of
-	// what is beyond counts.
-	slowPace = 2.0
+	// batchDelayWeight weights the delay that a request causes to concurrent requests
+	// against its own delay.
+	batchDelayWeight = 1.0
+	// paceWeightInCost is the fraction of a difference in pace that counts as cost. A
+	// larger one would overload the fast replicas, since load reports arrive with a delay.
+	paceWeightInCost = 0.2
+	// slowPaceFactor times the fastest pace is the threshold above which the full difference
+	// counts.
+	slowPaceFactor = 2.0
 )
 
-// Candidate is a replica that may take the request.
+// Candidate describes a replica that may serve the request.
 type Candidate struct {
-	// Instance names the life of the replica, see fleet.Replica.Life.
+	// Instance is the replica's incarnation ID, see fleet.Replica.IncarnationID.
 	Instance string
 	SameZone bool
-	// OtherRegion tells that it lies in another region; RoundTripMilliseconds is how long
-	// the way there and back takes.
+	// OtherRegion reports whether the replica is in another region.
+	// RoundTripMilliseconds is the network round-trip time to its zone.
 	OtherRegion           bool
 	RoundTripMilliseconds float64
-	// Engine tells that requests are batched and prompts cached.
+	// Engine reports whether the replica batches requests and caches prompts.
 	Engine bool
-	// InFlight is how many requests of this node run there, InFlightElsewhere how many of
-	// others, as they told lately.
+	// InFlight is the number of this node's requests at the replica, InFlightElsewhere
+	// that of other nodes by their recent reports.
 	InFlight, InFlightElsewhere int
-	// Slots is how many it runs at once; 0 if not known.
+	// Slots is the number of requests it runs concurrently; 0 if not known.
 	Slots int
-	// CachedTokens is how much of the prompt it has seen.
+	// CachedTokens is the estimated number of the prompt's tokens in its cache.
 	CachedTokens int
-	// PendingTokens and PendingTokensElsewhere are how many tokens it has yet to read of the
-	// prompts of this node's other requests and of other nodes' requests.
+	// PendingTokens and PendingTokensElsewhere are the prompt tokens not yet prefilled of
+	// this node's and of other nodes' requests.
 	PendingTokens, PendingTokensElsewhere int
-	// Suspect tells that it failed lately, or leaves requests without an answer.
+	// Suspect reports whether the replica just failed or does not respond to requests.
 	Suspect bool
-	// FailedRecently tells that a request that a failure would fail had better go elsewhere:
-	// the replica failed lately, here or at other nodes, and has not served since.
+	// FailedRecently reports whether the replica failed recently, at this or another node,
+	// and has not succeeded since. It is set only for non-retryable requests.
 	FailedRecently bool
-	// Ejected tells that it fails more than others of its service; Probe is the right to
-	// try it all the same.
+	// Ejected reports whether outlier detection ejected the replica. Probe defines whether
+	// the request may probe it nevertheless.
 	Ejected bool
 	Probe   outlier.Probe
-	// Lapsed tells that it may have left.
+	// Lapsed reports whether its registration lapsed, so that it may have left.
 	Lapsed bool
-	// Cold tells that it is slower than others of its service.
+	// Cold reports whether it started recently and is still slower than others.
 	Cold bool
-	// Unconnected tells that a connection to it would have to be made.
+	// Unconnected reports that there is no open connection to it.
 	Unconnected bool
-	// LagMilliseconds is what counts of the longer time between two events of a stream
-	// there.
+	// LagMilliseconds is the cost per event of its pace compared with the fastest
+	// candidate.
 	LagMilliseconds float64
 }
 
-// Work is what the request asks of the replica that it goes to.
+// Work describes the work that the request causes at a replica.
 type Work struct {
 	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// FirstSegment names the prompt's first part, which many programs may share; 0 if it has
-	// none.
+	// FirstSegment is the ID of the prompt's first segment, which many programs may share;
+	// 0 if there is none.
 	FirstSegment uint64
-	// Rates is how fast the replicas of the service work.
+	// Rates is the estimated speed of the service's replicas.
 	Rates estimate.Rates
 }
 
-// Choice is the chosen candidate and why.
+// Choice is the selected candidate.
 type Choice struct {
 	Candidate Candidate
-	// Cost is its expected delay in milliseconds.
+	// Cost is its cost in milliseconds.
 	Cost float64
-	// Of is how many candidates there were.
+	// Of is the number of candidates considered.
 	Of int
 }
 
-// Choose returns the candidate of least cost; draw in [0,1) decides between equals.
-// It returns false without candidates.
-func Choose(candidates []Candidate, work Work, draw float64) (Choice, bool) {
+// Choose returns the candidate with the lowest cost. random in [0,1) breaks ties. It
+// returns false if there are no candidates.
+func Choose(candidates []Candidate, work Work, random float64) (Choice, bool) {
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	offset := int(draw * float64(len(candidates)))
+	offset := int(random * float64(len(candidates)))
 	best := Choice{Of: len(candidates)}
 	for i := range candidates {
 		candidate := candidates[(i+offset)%len(candidates)]
@@ -131,15 +132,15 @@
 	if candidate.Cold {
 		total += coldCost(candidate, work)
 	}
-	total += wayCost(candidate)
+	total += pathCost(candidate)
 	if candidate.Unconnected {
 		total += connectionCost
 	}
 	if candidate.Lapsed {
-		total += doubtfulCost
+		total += lapsedCost
 	}
 	if candidate.FailedRecently {
-		total += unprovenCost
+		total += failedRecentlyCost
 	}
 	if candidate.Ejected {
 		total += ejectedCost
@@ -150,25 +151,26 @@
 	return total
 }
 
-// PreferOwnRegion leaves out the candidates of other regions as long as a sound one of the own
-// region has a free slot. The costs below weigh one request, and a program's next turns go
-// where its prompt is kept: by them, programs that once went to another region would stay
-// there, at two ways between regions a turn.
+// PreferOwnRegion drops the candidates of other regions if a healthy one of the own region
+// has a free slot. The costs cover a single request only: since later turns follow the
+// cached prompt, a program that moved to another region once would stay there and pay the
+// cross-region round trip on every turn.
 func PreferOwnRegion(candidates []Candidate) []Candidate {
-	if !slices.ContainsFunc(candidates, Candidate.roomInRegion) {
+	if !slices.ContainsFunc(candidates, Candidate.availableInOwnRegion) {
 		return candidates
 	}
 	return slices.DeleteFunc(slices.Clone(candidates), func(candidate Candidate) bool { return candidate.OtherRegion })
 }
 
-// roomInRegion tells whether the candidate lies in the own region, is sound and has a slot.
-func (c Candidate) roomInRegion() bool {
+// availableInOwnRegion reports whether the candidate is in the own region, healthy and has
+// a free slot.
+func (c Candidate) availableInOwnRegion() bool {
 	free := c.Slots <= 0 || c.InFlight+c.InFlightElsewhere < c.Slots
 	return !c.OtherRegion && free && !c.Suspect && !c.FailedRecently && !c.Lapsed && !c.Ejected
 }
 
-// wayCost is what the way to another zone costs.
-func wayCost(candidate Candidate) float64 {
+// pathCost returns the cost of the network path to the candidate.
+func pathCost(candidate Candidate) float64 {
 	switch {
 	case candidate.SameZone:
 		return 0
@@ -178,9 +180,9 @@
 	return otherZoneCost + candidate.RoundTripMilliseconds
 }
 
-// engineCost is the delay where requests are batched: prompts are read one after the
-// other, each request makes the events of all others later, and what is read for
-// this one holds up those that run.
+// engineCost returns the delay at a replica that batches requests. Prompts are prefilled
+// sequentially, each request slows the events of all others, and the prefill of this
+// request delays the running ones.
 func engineCost(candidate Candidate, work Work) float64 {
 	rates := work.Rates
 	others := float64(candidate.InFlight + candidate.InFlightElsewhere)
@@ -189,14 +191,14 @@
 		slowness += candidate.LagMilliseconds / rates.EventMilliseconds
 	}
 	uncached := float64(max(work.PromptTokens-candidate.CachedTokens, 0)) * rates.MillisecondsPerToken
-	unread := float64(candidate.PendingTokens+candidate.PendingTokensElsewhere) * rates.MillisecondsPerToken
-	sharing := rates.Events * rates.EventMillisecondsPerRequest
-	own := slowness*(uncached+unread+sharing*others) + candidate.LagMilliseconds*rates.Events
-	neighbours := neighbourShare * others * (uncached + sharing)
-	return own + neighbours + queueing(candidate, rates.FirstMilliseconds+rates.Events*rates.EventMilliseconds+sharing*others)
+	pending := float64(candidate.PendingTokens+candidate.PendingTokensElsewhere) * rates.MillisecondsPerToken
+	batchDelay := rates.Events * rates.EventMillisecondsPerRequest
+	own := slowness*(uncached+pending+batchDelay*others) + candidate.LagMilliseconds*rates.Events
+	delayOfOthers := batchDelayWeight * others * (uncached + batchDelay)
+	return own + delayOfOthers + queueing(candidate, rates.FirstMilliseconds+rates.Events*rates.EventMilliseconds+batchDelay*others)
 }
 
-// coldCost is how much longer the request itself takes at a cold replica.
+// coldCost returns the additional time that the request takes at a cold replica.
 func coldCost(candidate Candidate, work Work) float64 {
 	rates := work.Rates
 	own := rates.ServiceMilliseconds
@@ -206,15 +208,15 @@
 	return max(rates.ColdSlowness-1, 0) * own
 }
 
-// workerCost is the delay where requests take a slot each.
+// workerCost returns the delay at a replica that runs each request in a slot of its own.
 func workerCost(candidate Candidate, rates estimate.Rates) float64 {
-	underWay := float64(candidate.InFlight + candidate.InFlightElsewhere)
-	share := underWay * rates.ServiceMilliseconds / float64(max(candidate.Slots, 1))
+	inFlight := float64(candidate.InFlight + candidate.InFlightElsewhere)
+	share := inFlight * rates.ServiceMilliseconds / float64(max(candidate.Slots, 1))
 	return share + queueing(candidate, rates.ServiceMilliseconds)
 }
 
-// queueing is the wait for a slot where requests hold one for the given time. It is 0
-// where the replica tells no number of slots.
+// queueing returns the expected wait for a slot if each request occupies one for the given
+// time. It is 0 if the number of slots is unknown.
 func queueing(candidate Candidate, milliseconds float64) float64 {
 	if candidate.Slots <= 0 {
 		return 0
@@ -223,8 +225,9 @@
 	return float64(ahead) * milliseconds / float64(candidate.Slots)
 }
 
-// suspicion returns how long a replica is avoided after failures in a row.
-func suspicion(failures int) time.Duration {
+// suspectDuration returns how long a replica stays suspect after the given number of
+// consecutive failures.
+func suspectDuration(failures int) time.Duration {
 	const first, longest = 400 * time.Millisecond, 5 * time.Second
 	pause := first
 	for range min(failures, 8) - 1 {
--- a/internal/balance/heard_test.go
+++ b/internal/balance/peerloads_test.go
@@ -11,12 +11,12 @@
 	"stepseam.example/stepseam/internal/loads"
 )
 
-// TestSumsAreThoseOfAllThatToldLately: whoever tells what and when, the sums are those of the
-// newest word of each node that told within Life.
-func TestSumsAreThoseOfAllThatToldLately(t *testing.T) {
+// For any sequence of reports, the sums must equal those of each node's last report that
+// has not expired.
+func TestLoadSumsMatchCurrentReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := newHeard()
-		newest := map[netip.AddrPort]otherNode{}
+		h := newPeerLoads()
+		newest := map[netip.AddrPort]peerReport{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
@@ -26,18 +26,18 @@
 				key := loads.HashReplica(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "replica")))
 				counts[key] = loads.Load{InFlight: rapid.IntRange(0, 9).Draw(t, "under way"), Failing: rapid.Bool().Draw(t, "failing")}
 			}
-			h.take(from, counts, 1, now)
-			newest[from] = otherNode{at: now, counts: counts}
+			h.set(from, counts, 1, now)
+			newest[from] = peerReport{at: now, counts: counts}
 			for i := range 4 {
 				name := fmt.Sprint(i)
 				want := loads.Load{}
-				for _, told := range newest {
-					if now-told.at <= loads.ReportTTL {
-						want = want.Add(told.counts[loads.HashReplica(name)])
+				for _, report := range newest {
+					if now-report.at <= loads.ReportTTL {
+						want = want.Add(report.counts[loads.HashReplica(name)])
 					}
 				}
-				if have := h.load(name, now); have != want {
-					t.Fatalf("%s has %+v, want %+v", name, have, want)
+				if got := h.load(name, now); got != want {
+					t.Fatalf("%s has %+v, want %+v", name, got, want)
 				}
 			}
 		}
--- a/internal/balance/priority.go
+++ b/internal/balance/priority.go
@@ -3,20 +3,19 @@
 const (
 	// firstRank is the rank of requests on routes of the highest priority.
 	firstRank = 3
-	// lastRank is the lowest that a route's priority leads to.
+	// lastRank is the last rank that a route's priority maps to.
 	lastRank = 7
-	// lateRanks is by how many ranks the turns of programs that are late come later.
+	// lateRanks is added to the rank of programs that are past their objective.
 	lateRanks = 2
 )
 
-// Priority ranks a request at an engine, from 0, the most urgent, to 9, by the priority of
-// its route and by whether its program can still be in time.
+// Priority returns the rank of a request at an engine, from 0 (most urgent) to 9, by the
+// priority of its route and by whether its program has missed its objective.
 //
-// The load that it answers: after seconds in which nothing could go on, more programs are
-// under way than engines bear, and most are late already. If those went first in turn, all
-// that begin then would be late too. Late programs come two ranks later, not last: their
-// callers still wait, and on the most urgent routes they share the engines with what is in
-// time on others.
+// After an interruption, more programs are running than the engines can serve, and most of
+// them are late. Serving these first would make all new programs late as well. Late
+// programs are demoted by two ranks only, since their callers still wait: on the most
+// urgent routes they still compete with the timely programs of other routes.
 func Priority(route int, late bool) int {
 	rank := min(firstRank+max(route, 0), lastRank)
 	if late {
--- a/internal/balance/prompt.go
+++ b/internal/balance/prompt.go
@@ -1,61 +1,62 @@
 package balance
 
-// partsPerReplica bounds the prompt parts remembered of one replica. When it is
-// reached, the older half is forgotten.
-const partsPerReplica = 4096
+// maxSegmentsPerReplica bounds the number of segments tracked per replica. When it is
+// reached, the older half is dropped.
+const maxSegmentsPerReplica = 4096
 
-// Segment is one piece of a prompt.
+// Segment is a contiguous piece of a prompt.
 type Segment struct {
-	// ID is the same wherever the same tokens stand. The last part of a program's
-	// prompt keeps its ID while it grows from turn to turn.
+	// ID identifies the content. The last segment of a program's prompt keeps its ID while
+	// it grows from turn to turn.
 	ID uint64
-	// Tokens is its length.
+	// Tokens is the length in tokens.
 	Tokens int
 }
 
-// Prompt is what a replica has to read for a request.
+// Prompt is the input of a request.
 type Prompt struct {
 	Segments []Segment
-	// Tokens is its whole length.
+	// Tokens is the total length in tokens.
 	Tokens int
-	// CacheLocation is where the program's turn before ran, as the ledger tells.
+	// CacheLocation is the replica that ran the program's previous turn, by the ledger.
 	CacheLocation CacheLocation
 }
 
-// CacheLocation is a replica that holds the beginning of a prompt in its memory.
+// CacheLocation is a replica that has a prefix of the prompt in its cache.
 type CacheLocation struct {
 	Instance string
-	// Tokens is how much of the prompt it holds.
+	// Tokens is the length of the cached prefix.
 	Tokens int
 }
 
-// promptMemory remembers how much of which parts a replica has been sent.
-type promptMemory struct {
+// sentSegments tracks the segments sent to a replica, and up to which length, in two
+// generations.
+type sentSegments struct {
 	recent, older map[uint64]int32
 }
 
-// cached counts the tokens from the first part on that were seen without a gap.
-func (m *promptMemory) cached(parts []Segment) int {
+// cached returns the length of the prefix of segments that was sent before without a gap.
+func (m *sentSegments) cached(segments []Segment) int {
 	total := 0
-	for _, part := range parts {
-		seen := int(max(m.recent[part.ID], m.older[part.ID]))
-		total += min(seen, part.Tokens)
-		if seen < part.Tokens {
+	for _, segment := range segments {
+		sent := int(max(m.recent[segment.ID], m.older[segment.ID]))
+		total += min(sent, segment.Tokens)
+		if sent < segment.Tokens {
 			break
 		}
 	}
 	return total
 }
 
-// remember notes that the replica gets the parts.
-func (m *promptMemory) remember(parts []Segment) {
-	if m.recent == nil || len(m.recent)+len(parts) > partsPerReplica/2 {
+// add records that segments are sent to the replica.
+func (m *sentSegments) add(segments []Segment) {
+	if m.recent == nil || len(m.recent)+len(segments) > maxSegmentsPerReplica/2 {
 		m.older, m.recent = m.recent, map[uint64]int32{}
 	}
-	for _, part := range parts {
-		m.recent[part.ID] = int32(min(max(part.Tokens, 0), maxPartTokens))
+	for _, segment := range segments {
+		m.recent[segment.ID] = int32(min(max(segment.Tokens, 0), maxSegmentTokens))
 	}
 }
 
-// maxPartTokens bounds the length that is remembered of one part.
-const maxPartTokens = 1 << 30
+// maxSegmentTokens bounds the tracked length of a segment.
+const maxSegmentTokens = 1 << 30
--- a/internal/balance/shortlist.go
+++ b/internal/balance/shortlist.go
@@ -8,19 +8,18 @@
 )
 
 const (
-	// shortlistBest is how many of the candidates of least cost are asked about.
-	shortlistBest = 3
-	// shortlistAffine is how many more are asked about that all nodes prefer for the
-	// prompt's first part, so that a part that many programs share is kept by few
-	// replicas and not by all of them.
-	shortlistAffine = 2
-	// shortlistRandom is how many others are asked about: what is believed of the best is
-	// old, and nodes that believe the same must not all ask about the same replicas.
+	// shortlistCheapest is the number of candidates with the lowest cost.
+	shortlistCheapest = 3
+	// shortlistBySegment is the number of candidates that all nodes prefer for the prompt's
+	// first segment, so that a shared segment is cached by few replicas instead of all.
+	shortlistBySegment = 2
+	// shortlistRandom is the number of random candidates. The costs rest on delayed
+	// reports, and nodes with the same information must not all query the same replicas.
 	shortlistRandom = 1
 )
 
-// SplitByRoundTrip splits candidates into those whose keepers can answer within a time in
-// milliseconds, as far as the way there goes, and those that are farther.
+// SplitByRoundTrip splits candidates into those with a round-trip time below the given
+// milliseconds, whose aggregators can respond in time, and the others.
 func SplitByRoundTrip(candidates []Candidate, milliseconds float64) (near, far []Candidate) {
 	for _, candidate := range candidates {
 		if candidate.RoundTripMilliseconds < milliseconds {
@@ -32,37 +31,37 @@
 	return near, far
 }
 
-// Shortlist returns the candidates whose keepers are worth asking: those of least cost
-// by what this node believes, those that the prompt's first part prefers, and a few
-// that random, in [0,1), draws.
+// Shortlist returns the candidates whose aggregators to query: those with the lowest cost
+// by this node's estimates, those preferred for the prompt's first segment, and random
+// ones. random returns numbers in [0,1).
 func Shortlist(candidates []Candidate, work Work, random func() float64) []Candidate {
-	const most = shortlistBest + shortlistAffine + shortlistRandom
-	if len(candidates) <= most {
+	const maxCandidates = shortlistCheapest + shortlistBySegment + shortlistRandom
+	if len(candidates) <= maxCandidates {
 		return candidates
 	}
 	rest := slices.Clone(candidates)
-	shortlist := make([]Candidate, 0, most)
+	shortlist := make([]Candidate, 0, maxCandidates)
 	take := func(index int) {
 		shortlist = append(shortlist, rest[index])
 		rest[index] = rest[len(rest)-1]
 		rest = rest[:len(rest)-1]
 	}
 	offset := int(random() * float64(len(rest)))
-	for range shortlistBest {
+	for range shortlistCheapest {
 		take(cheapest(rest, work, offset))
 	}
 	if work.FirstSegment != 0 {
-		for range shortlistAffine {
+		for range shortlistBySegment {
 			take(preferred(rest, work.FirstSegment))
 		}
 	}
-	for len(shortlist) < most {
+	for len(shortlist) < maxCandidates {
 		take(min(int(random()*float64(len(rest))), len(rest)-1))
 	}
 	return shortlist
 }
 
-// cheapest returns the index of a candidate of least cost; offset decides between equals.
+// cheapest returns the index of the candidate with the lowest cost. offset breaks ties.
 func cheapest(candidates []Candidate, work Work, offset int) int {
 	best, least := -1, 0.0
 	for i := range candidates {
@@ -74,16 +73,16 @@
 	return best
 }
 
-// preferred returns the index of the candidate of the own zone, or of any where there is
-// none, with the highest hash together with a prompt's part (rendezvous hashing).
-func preferred(candidates []Candidate, part uint64) int {
+// preferred returns the index of the candidate that ranks first for a segment in rendezvous
+// hashing, among those of the own zone if there are any, otherwise among all.
+func preferred(candidates []Candidate, segment uint64) int {
 	best, highest := 0, uint64(0)
 	near := slices.ContainsFunc(candidates, func(candidate Candidate) bool { return candidate.SameZone })
 	for i, candidate := range candidates {
 		if near && !candidate.SameZone {
 			continue
 		}
-		encoded := binary.BigEndian.AppendUint64(nil, part)
+		encoded := binary.BigEndian.AppendUint64(nil, segment)
 		if score := xxhash.Sum64(append(encoded, candidate.Instance...)); score >= highest {
 			best, highest = i, score
 		}
--- a/internal/balance/tracker.go
+++ b/internal/balance/tracker.go
@@ -12,254 +12,255 @@
 )
 
 const (
-	// patience is how long requests may wait at a replica without any of them
-	// getting an answer, before it is avoided.
-	patience = 600 * time.Millisecond
-	// unprovenLife is how long after a replica was avoided requests that a failure
-	// would fail leave it to others, unless one has been served there.
-	unprovenLife = 3 * time.Second
-	// paceWeight is the weight of the newest stream in a replica's usual pace.
+	// minResponseTimeout is the time after which a replica that responds to none of its
+	// waiting requests becomes suspect. It also bounds the response timeout from below.
+	minResponseTimeout = 600 * time.Millisecond
+	// recentFailureTTL is the time after a replica was suspect for which non-retryable
+	// requests still avoid it, unless a request has succeeded there.
+	recentFailureTTL = 3 * time.Second
+	// paceWeight is the weight of the newest stream in the moving average of a replica's
+	// time between events.
 	paceWeight = 0.2
-	// undisturbedPart is the part of a stream's pauses, from the shortest on, in which
-	// the replica is taken to read no prompt of another request.
-	undisturbedPart = 4
-	// leastEvents is how many events a stream must have to tell the pace.
-	leastEvents = 4
+	// paceQuantileDivisor selects the quantile 1/paceQuantileDivisor of a stream's gaps,
+	// from the shortest, as the time between events without prefills of other requests.
+	paceQuantileDivisor = 4
+	// minEventsForPace is the minimum number of events for a stream's pace to be observed.
+	minEventsForPace = 4
 )
 
-// Tracker holds what this node knows of replicas. It is safe for concurrent use.
+// Tracker tracks the load, the failures and the speed of replicas, from this node's requests
+// and other nodes' reports. It is safe for concurrent use.
 type Tracker struct {
-	// zone is this node's own.
+	// zone is the zone of this node.
 	zone string
 
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex    sync.Mutex
-	replicas map[string]*record
+	replicas map[string]*replicaState
 	services map[string]*estimate.Service
-	// usual holds the services' usual shares of failures.
-	usual map[string]*outlier.Baseline
-	heard heard
+	// baselines maps services to their baselines.
+	baselines map[string]*outlier.Baseline
+	peerLoads peerLoads
 }
 
-// record is what is known of one replica.
-type record struct {
-	underWay int
-	failures int
-	// unread counts the prompt tokens of requests without a first event that the
-	// replica is taken not to hold.
-	unread int
-	// suspectUntil is a monotonic reading.
-	suspectUntil time.Duration
-	// waiting is how many requests have got no answer yet; since when none of them
-	// has is waitingSince.
-	waiting      int
-	waitingSince time.Duration
-	// pace is the usual time between two events of a stream there, in milliseconds;
-	// 0 if not known.
-	pace    float64
-	stream  estimate.Group
-	prompts promptMemory
-	// soundness is what outcomes tell of it.
-	soundness soundness
+// replicaState is the state of one replica. Its times are monotonic readings.
+type replicaState struct {
+	inFlight            int
+	consecutiveFailures int
+	// pendingTokens counts the uncached prompt tokens of requests without a first event.
+	pendingTokens int
+	suspectUntil  time.Duration
+	// awaitingHeader counts the requests without a response header. noHeaderSince is the
+	// time since which none of them got one.
+	awaitingHeader int
+	noHeaderSince  time.Duration
+	// pace is the average time between two events of a stream, in milliseconds; 0 if not
+	// known.
+	pace         float64
+	paceGroup    estimate.Group
+	sentSegments sentSegments
+	ejection     ejectionState
 }
 
-// Target is a replica that a request goes to.
+// Target is the replica that a request is sent to.
 type Target struct {
-	// Instance names the life of the replica, see fleet.Replica.Life.
+	// Instance is the replica's incarnation ID, see fleet.Replica.IncarnationID.
 	Instance, Service string
-	// Slots is how many requests it runs at once; 0 if not known.
+	// Slots is the number of requests it runs concurrently; 0 if not known.
 	Slots int
-	// Known is what its keeper has told for the choice, or nil.
+	// Known is the aggregated state that the selection used, or nil.
 	Known *AggregatedState
-	// Probe tells that the request tries an ejected replica.
+	// Probe reports whether the request probes an ejected replica.
 	Probe bool
-	// Cold tells that the replica counts as cold, so that its times say nothing of the
-	// service's others.
+	// Cold reports whether the replica counts as cold, so that its durations are not
+	// representative of the service.
 	Cold bool
 }
 
-// InFlightRequest is a request at a replica. Its fields but unread and blamed are set by Begin; the
-// tracker's mutex guards these.
+// InFlightRequest is a request at a replica. The tracker's mutex guards pendingTokens and
+// failureCounted; the other fields do not change after Begin.
 type InFlightRequest struct {
 	target   Target
-	began    time.Duration
+	sentAt   time.Duration
 	expected Expected
-	// unread is how much of its prompt the replica has yet to read, in tokens.
-	unread int
-	// blamed tells that it has counted as a failure of the replica.
-	blamed bool
+	// pendingTokens is the number of its pending tokens.
+	pendingTokens int
+	// failureCounted reports whether it was counted as a failure of the replica.
+	failureCounted bool
 }
 
-// Expected tells what was believed of the replica when the request went there.
+// Expected holds the estimates for a request at the time when it was sent.
 type Expected struct {
-	// UncachedTokens are to be read for the request, TokensAhead before it.
+	// UncachedTokens are the tokens to prefill for the request, TokensAhead those of
+	// earlier requests.
 	UncachedTokens, TokensAhead int
-	// OtherRequests is how many requests are under way there.
+	// OtherRequests is the number of other requests in flight at the replica.
 	OtherRequests int
 	// FirstMilliseconds is the time to the first event of a stream.
 	FirstMilliseconds float64
 }
 
-// Expected returns what was believed of the replica.
-func (s *InFlightRequest) Expected() Expected { return s.expected }
+// Expected returns the estimates made when the request was sent.
+func (r *InFlightRequest) Expected() Expected { return r.expected }
 
-// Cold tells whether the replica counted as cold when the request went there.
-func (s *InFlightRequest) Cold() bool { return s.target.Cold }
+// Cold reports whether the replica counted as cold when the request was sent.
+func (r *InFlightRequest) Cold() bool { return r.target.Cold }
 
-// toRead is how many tokens the replica was to read until the first event.
-func (e Expected) toRead() int { return e.UncachedTokens + e.TokensAhead }
+// tokensToPrefill returns the number of tokens to prefill before the first event.
+func (e Expected) tokensToPrefill() int { return e.UncachedTokens + e.TokensAhead }
 
-// NewTracker returns a tracker of a node in zone.
+// NewTracker returns an empty tracker for a node in zone.
 func NewTracker(zone string) *Tracker {
-	return &Tracker{zone: zone, replicas: map[string]*record{}, services: map[string]*estimate.Service{}, usual: map[string]*outlier.Baseline{}, heard: newHeard()}
+	return &Tracker{zone: zone, replicas: map[string]*replicaState{}, services: map[string]*estimate.Service{}, baselines: map[string]*outlier.Baseline{}, peerLoads: newPeerLoads()}
 }
 
-// Begin notes that a request goes to a replica. End must be called with what it
-// returns.
+// Begin records that a request is sent to a replica. The caller must pass the result to
+// Answered and End.
 func (t *Tracker) Begin(target Target, prompt Prompt, now time.Duration) *InFlightRequest {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.record(target.Instance)
-	elsewhere, cached := t.heard.load(target.Instance, now), t.cached(target.Instance, prompt)
-	if told := target.Known; told != nil && told.Complete {
-		elsewhere, cached = told.Load, told.CachedTokens
+	state := t.replica(target.Instance)
+	elsewhere, cached := t.peerLoads.load(target.Instance, now), t.cached(target.Instance, prompt)
+	if aggregated := target.Known; aggregated != nil && aggregated.Complete {
+		elsewhere, cached = aggregated.Load, aggregated.CachedTokens
 	}
 	expected := Expected{
 		UncachedTokens: max(prompt.Tokens-cached, 0),
-		TokensAhead:    known.unread + elsewhere.PendingTokens, OtherRequests: known.underWay + elsewhere.InFlight,
+		TokensAhead:    state.pendingTokens + elsewhere.PendingTokens, OtherRequests: state.inFlight + elsewhere.InFlight,
 	}
 	rates := t.service(target.Service).Rates()
-	expected.FirstMilliseconds = rates.FirstMilliseconds + rates.MillisecondsPerToken*float64(expected.toRead())
-	known.underWay++
-	known.unread += expected.UncachedTokens
-	if known.waiting == 0 {
-		known.waitingSince = now
+	expected.FirstMilliseconds = rates.FirstMilliseconds + rates.MillisecondsPerToken*float64(expected.tokensToPrefill())
+	state.inFlight++
+	state.pendingTokens += expected.UncachedTokens
+	if state.awaitingHeader == 0 {
+		state.noHeaderSince = now
 	}
-	known.waiting++
+	state.awaitingHeader++
 	if target.Probe {
-		known.soundness.own.StartProbe(now)
+		state.ejection.detector.StartProbe(now)
 	}
-	known.prompts.remember(prompt.Segments)
-	return &InFlightRequest{target: target, began: now, expected: expected, unread: expected.UncachedTokens}
+	state.sentSegments.add(prompt.Segments)
+	return &InFlightRequest{target: target, sentAt: now, expected: expected, pendingTokens: expected.UncachedTokens}
 }
 
-// Answered notes that a request has got the head of an answer, or none will come.
-func (t *Tracker) Answered(sending *InFlightRequest, now time.Duration) {
+// Answered records that a request got its response header or will not get one.
+func (t *Tracker) Answered(request *InFlightRequest, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.record(sending.target.Instance)
-	known.waiting--
-	known.waitingSince = now
+	state := t.replica(request.target.Instance)
+	state.awaitingHeader--
+	state.noHeaderSince = now
 }
 
-// FirstEvent notes that the replica has read a request's prompt.
-func (t *Tracker) FirstEvent(sending *InFlightRequest, now time.Duration) {
+// FirstEvent records that the first event of a stream arrived, so that its prompt has been
+// prefilled.
+func (t *Tracker) FirstEvent(request *InFlightRequest, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.record(sending.target.Instance).read(sending)
-	took, service := milliseconds(now-sending.began), t.service(sending.target.Service)
+	t.replica(request.target.Instance).removePending(request)
+	elapsed, service := milliseconds(now-request.sentAt), t.service(request.target.Service)
 	switch {
-	case sending.queued():
-	case sending.target.Cold:
-		service.Cold(took, sending.expected.FirstMilliseconds)
+	case request.queued():
+	case request.target.Cold:
+		service.Cold(elapsed, request.expected.FirstMilliseconds)
 	default:
-		service.FirstEvent(sending.expected.toRead(), took)
+		service.FirstEvent(request.expected.tokensToPrefill(), elapsed)
 	}
 }
 
-// BodyReceived notes that a plain request has got its whole answer.
-func (t *Tracker) BodyReceived(sending *InFlightRequest, now time.Duration) {
+// BodyReceived records that a non-streaming request got its complete response.
+func (t *Tracker) BodyReceived(request *InFlightRequest, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	took, service := milliseconds(now-sending.began), t.service(sending.target.Service)
+	elapsed, service := milliseconds(now-request.sentAt), t.service(request.target.Service)
 	switch {
-	case sending.queued():
-	case sending.target.Cold:
-		service.Cold(took, service.Rates().ServiceMilliseconds)
+	case request.queued():
+	case request.target.Cold:
+		service.Cold(elapsed, service.Rates().ServiceMilliseconds)
 	default:
-		service.Plain(took)
+		service.Plain(elapsed)
 	}
 }
 
-// queued tells whether the request waited for a slot, so that its time says little of
-// the replica's speed.
-func (s *InFlightRequest) queued() bool {
-	return s.target.Slots > 0 && s.expected.OtherRequests >= s.target.Slots
+// queued reports whether the request had to wait for a slot, so that its duration does not
+// reflect the replica's speed.
+func (r *InFlightRequest) queued() bool {
+	return r.target.Slots > 0 && r.expected.OtherRequests >= r.target.Slots
 }
 
-// StreamEnded notes how long the pauses between the events of a stream were. The shorter
-// ones tell how fast the replica writes for as many requests as run there; in the
-// longer ones it reads prompts of others besides.
-func (t *Tracker) StreamEnded(sending *InFlightRequest, gaps []time.Duration, now time.Duration) {
+// StreamEnded records the gaps between the events of a stream, and sorts them in place. The
+// shorter gaps show the decoding speed at the current concurrency; longer ones also include
+// prefills of other requests.
+func (t *Tracker) StreamEnded(request *InFlightRequest, gaps []time.Duration, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	service := t.service(sending.target.Service)
+	service := t.service(request.target.Service)
 	service.Events(len(gaps) + 1)
-	if len(gaps)+1 < leastEvents || sending.target.Cold {
+	if len(gaps)+1 < minEventsForPace || request.target.Cold {
 		return
 	}
-	known := t.record(sending.target.Instance)
-	beside := (sending.expected.OtherRequests + known.underWay + t.heard.load(sending.target.Instance, now).InFlight) / 2
+	state := t.replica(request.target.Instance)
+	concurrent := (request.expected.OtherRequests + state.inFlight + t.peerLoads.load(request.target.Instance, now).InFlight) / 2
 	slices.Sort(gaps)
-	service.Pace(&known.stream, beside, milliseconds(gaps[len(gaps)/undisturbedPart]))
+	service.Pace(&state.paceGroup, concurrent, milliseconds(gaps[len(gaps)/paceQuantileDivisor]))
 	pace := milliseconds(lo.Sum(gaps)) / float64(len(gaps))
-	if known.pace == 0 {
-		known.pace = pace
+	if state.pace == 0 {
+		state.pace = pace
 	}
-	known.pace += paceWeight * (pace - known.pace)
+	state.pace += paceWeight * (pace - state.pace)
 }
 
-// End notes that a request has left its replica. failed tells that the replica, or
-// the way to it, is at fault.
-func (t *Tracker) End(sending *InFlightRequest, failed bool, now time.Duration) {
+// End records that a request is no longer in flight. failed reports whether the replica or
+// the network path to it is at fault.
+func (t *Tracker) End(request *InFlightRequest, failed bool, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.record(sending.target.Instance)
-	known.read(sending)
-	known.underWay--
+	state := t.replica(request.target.Instance)
+	state.removePending(request)
+	state.inFlight--
 	if !failed {
-		known.failures = 0
+		state.consecutiveFailures = 0
 		return
 	}
-	known.failures++
-	known.suspectUntil = now + suspicion(known.failures)
+	state.consecutiveFailures++
+	state.suspectUntil = now + suspectDuration(state.consecutiveFailures)
 }
 
-// read takes off what a request has still had to read.
-func (r *record) read(sending *InFlightRequest) {
-	r.unread -= sending.unread
-	sending.unread = 0
+// removePending removes the pending tokens of a request.
+func (r *replicaState) removePending(request *InFlightRequest) {
+	r.pendingTokens -= request.pendingTokens
+	request.pendingTokens = 0
 }
 
-// unproven tells whether the replica has failed lately and not served since.
-func (r *record) unproven(now time.Duration) bool {
-	return r.failures > 0 && now < r.suspectUntil+unprovenLife
+// failedRecently reports whether the replica failed recently and has not succeeded since.
+func (r *replicaState) failedRecently(now time.Duration) bool {
+	return r.consecutiveFailures > 0 && now < r.suspectUntil+recentFailureTTL
 }
 
-func (t *Tracker) record(instance string) *record {
-	known, found := t.replicas[instance]
+func (t *Tracker) replica(instance string) *replicaState {
+	state, found := t.replicas[instance]
 	if !found {
-		known = &record{}
-		t.replicas[instance] = known
+		state = &replicaState{}
+		t.replicas[instance] = state
 	}
-	return known
+	return state
 }
 
-// service needs the mutex.
+// service returns the estimates of a service. The caller must hold the mutex.
 func (t *Tracker) service(name string) *estimate.Service {
-	known, found := t.services[name]
+	state, found := t.services[name]
 	if !found {
-		known = &estimate.Service{}
-		t.services[name] = known
+		state = &estimate.Service{}
+		t.services[name] = state
 	}
-	return known
+	return state
 }
 
-// Forget drops a replica that is gone, unless requests are under way there.
+// Forget drops the state of a removed replica, unless requests are in flight there.
 func (t *Tracker) Forget(instance string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known, found := t.replicas[instance]; found && known.underWay == 0 {
+	if state, found := t.replicas[instance]; found && state.inFlight == 0 {
 		delete(t.replicas, instance)
 	}
 }
