--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,7 +1,8 @@
-// Package outlier tells from the outcomes of requests whether a replica fails work that
-// others of its service serve, although its health answers are good, and when it may be
-// tried again. The load that it answers: a replica that fails at once looks idle and draws
-// the requests of all nodes. It reads no clock and does no I/O.
+// Package outlier detects from the outcomes of requests that a replica fails requests
+// which other replicas of its service serve, even if it passes its health checks. It
+// ejects such a replica and decides when requests may probe it. Without ejection, a
+// replica that fails immediately looks idle and attracts the requests of all nodes. The
+// package reads no clock and performs no I/O.
 package outlier
 
 import (
@@ -9,28 +10,28 @@
 	"time"
 )
 
-// Outcome is what became of a request at a replica.
+// Outcome classifies the result of a request at a replica.
 type Outcome uint8
 
-// The outcomes. Their numbers are sent to keepers.
+// Outcomes. Their numeric values are sent to aggregators and must not change.
 const (
-	// Success tells that the replica has answered as it should.
+	// Success means that the replica returned a valid response.
 	Success Outcome = 1 + iota
-	// ErrorResponse tells that it has answered with a failure of its own.
+	// ErrorResponse means that the replica returned an error of its own.
 	ErrorResponse
-	// BrokenResponse tells that its answer broke off or could not be read.
+	// BrokenResponse means that the response was truncated or malformed.
 	BrokenResponse
-	// NoResponse tells that nothing has come from it within patience, or that it closed the
-	// connection without an answer.
+	// NoResponse means that nothing was received within the response timeout, or that the
+	// replica closed the connection without a response.
 	NoResponse
-	// Unreachable tells that no connection could be made.
+	// Unreachable means that no connection could be established.
 	Unreachable
 )
 
-// Failed tells whether the replica is at fault.
+// Failed reports whether the outcome counts as a failure of the replica.
 func (o Outcome) Failed() bool { return o >= ErrorResponse && o <= Unreachable }
 
-// String returns a word for logs and metrics.
+// String returns the value used in logs and metrics.
 func (o Outcome) String() string {
 	switch o {
 	case Success:
@@ -48,260 +49,278 @@
 }
 
 const (
-	// leastUsual is the share of failures that any sound replica is granted.
-	leastUsual = 0.02
-	// usualMargin times the share of the others is granted to a sound replica.
-	usualMargin = 2.0
-	// unsound is the share of failures from which on a replica counts as failing.
-	unsound = 0.5
-	// ejectAt is the score of a replica that is left alone: three failures in a row where
-	// others hardly fail. Two may be chance among many replicas.
-	ejectAt = 8.5
-	// returnAfter is how many requests in a row a replica has to serve to return; each
-	// ejection shortly before doubles it, up to longestReturn.
-	returnAfter   = 6
-	longestReturn = 32
-	// memory is how long after a return a further ejection counts as one of the same fault.
-	memory = 20 * time.Second
-	// firstPause is how long an ejected replica is left alone at first; each failed probe
-	// doubles it, up to longestPause.
-	firstPause   = 300 * time.Millisecond
-	longestPause = 1500 * time.Millisecond
-	// provingPause is the pause after a probe that was served.
-	provingPause = 20 * time.Millisecond
-	// grantLife is how long a right to probe that was given out holds others off.
-	grantLife = 100 * time.Millisecond
-	// stuck is how long after the last outcome requests that are still at the replica hold
-	// probes off no more: those that it leaves without an answer count as failed by then.
-	stuck = 800 * time.Millisecond
-	// safeFirst is how long after a pause only requests probe that may go to another replica
-	// after a failure; where none of those comes, any probes.
-	safeFirst = 300 * time.Millisecond
+	// minTolerated is the minimum failure rate assumed for a healthy replica.
+	minTolerated = 0.02
+	// baselineMargin times the baseline is the failure rate tolerated in a healthy replica.
+	baselineMargin = 2.0
+	// failingRate is the failure rate of the alternative hypothesis: a failing replica.
+	failingRate = 0.5
+	// ejectionScore is the score at which a replica is ejected. With a low baseline, three
+	// consecutive failures reach it; two may be chance among many replicas.
+	ejectionScore = 8.5
+	// minProbeSuccesses is the number of consecutive successful probes that reinstate a
+	// replica. Each recent ejection doubles it, up to maxProbeSuccesses.
+	minProbeSuccesses = 6
+	maxProbeSuccesses = 32
+	// recurrenceWindow is the time after reinstatement within which another ejection
+	// counts as a recurrence of the same fault.
+	recurrenceWindow = 20 * time.Second
+	// initialProbeDelay is the initial time without probes after an ejection. Each failed
+	// probe doubles it, up to maxProbeDelay.
+	initialProbeDelay = 300 * time.Millisecond
+	maxProbeDelay     = 1500 * time.Millisecond
+	// successProbeDelay is the time between probes after a successful one.
+	successProbeDelay = 20 * time.Millisecond
+	// probeGrantTTL is the time for which a granted probe blocks further probes while no
+	// outcome arrives.
+	probeGrantTTL = 100 * time.Millisecond
+	// stuckAfter is the time after the last outcome from which requests still in flight no
+	// longer block probes. Requests without a response count as failed by then.
+	stuckAfter = 800 * time.Millisecond
+	// safeProbeWindow is the time after the probe delay in which only retryable requests may
+	// probe. After it, any request may.
+	safeProbeWindow = 300 * time.Millisecond
 )
 
-// Detector is what outcomes say of one replica. Its zero value is a sound one. It is not
-// safe for concurrent use. All times are monotonic readings.
+// Detector holds the failure statistics and the ejection state of one replica. Its zero
+// value describes a healthy replica. All times are monotonic readings. It is not safe
+// for concurrent use.
 type Detector struct {
-	// score is the sum of the logarithms of how much likelier each outcome is at a failing
-	// replica than at a sound one, never below 0 (a CUSUM test).
+	// score is a CUSUM statistic: the sum of the outcomes' log-likelihood ratios of a
+	// failing replica against a healthy one, bounded below by 0.
 	score float64
-	// failures and of count what the score was made from.
-	failures, of int
-	ejected      bool
-	reason       Outcome
-	// servedInRow counts requests served since the last failure.
-	servedInRow int
-	// lastAt is when the last outcome came, grantedAt when a right to probe was given out.
-	lastAt, grantedAt time.Duration
-	// granted tells that one was given out since the last outcome.
-	granted bool
-	// tried tells that one was given out since the ejection.
-	tried bool
-	pause time.Duration
-	// probes counts the outcomes since the ejection.
+	// failures and outcomes count the failures and all outcomes since the score was last 0.
+	failures, outcomes int
+	ejected            bool
+	reason             Outcome
+	// probeSuccesses counts successful probes since the last failure.
+	probeSuccesses int
+	// lastOutcomeAt is the time of the last outcome, probeGrantedAt that of the last
+	// granted probe.
+	lastOutcomeAt, probeGrantedAt time.Duration
+	// probeGranted reports whether a probe was granted since the last outcome.
+	probeGranted bool
+	// probedSinceEjection reports whether a probe was granted since the ejection.
+	probedSinceEjection bool
+	probeDelay          time.Duration
+	// probes counts the outcomes of probes since the ejection.
 	probes int
-	// ejections counts those of the same fault, returnedAt is when the last one ended.
-	ejections  int
-	returnedAt time.Duration
+	// ejections counts recurrent ejections; reinstatedAt is the time of the last
+	// reinstatement.
+	ejections    int
+	reinstatedAt time.Duration
 }
 
-// Change is what an outcome has changed.
+// Change is the effect of an outcome on the ejection state.
 type Change int
 
-// The changes.
+// Effects of an outcome.
 const (
 	Unchanged Change = iota
 	NowEjected
 	NowReinstated
 )
 
-// Transition is what an outcome has changed, and by what.
+// Transition describes the effect of an outcome and the evidence for it.
 type Transition struct {
 	Change Change
-	// Reason is the kind of the failure that ejected the replica.
+	// Reason is the failure that caused the ejection.
 	Reason Outcome
-	// Failures of Outcomes outcomes ejected it, where the others' share of failures is Usual.
+	// Failures is the number of failures among Outcomes outcomes, judged against
+	// BaselineFailureRate.
 	Failures, Outcomes  int
 	BaselineFailureRate float64
 }
 
-// Observe is Add, and tells what has led to the change.
-func (r *Detector) Observe(outcome Outcome, usual float64, now time.Duration) Transition {
-	change := r.Add(outcome, usual, now)
-	return Transition{Change: change, Reason: r.reason, Failures: r.failures, Outcomes: r.of, BaselineFailureRate: usual}
+// Observe is like Add, but also returns the evidence for the change.
+func (d *Detector) Observe(outcome Outcome, baseline float64, now time.Duration) Transition {
+	change := d.Add(outcome, baseline, now)
+	return Transition{Change: change, Reason: d.reason, Failures: d.failures, Outcomes: d.outcomes, BaselineFailureRate: baseline}
 }
 
-// Ejected tells whether the replica is left alone but for probes.
-func (r *Detector) Ejected() bool { return r.ejected }
+// Ejected reports whether the replica is ejected, so that it gets only probes.
+func (d *Detector) Ejected() bool { return d.ejected }
 
-// Reason returns the kind of the failure that ejected the replica.
-func (r *Detector) Reason() Outcome { return r.reason }
+// Reason returns the failure that caused the last ejection.
+func (d *Detector) Reason() Outcome { return d.reason }
 
-// Add counts an outcome. usual is the share of failures at the service's replicas, this one
-// among them.
-func (r *Detector) Add(outcome Outcome, usual float64, now time.Duration) Change {
+// Add counts an outcome. baseline is the failure rate over all replicas of the service,
+// including this one.
+func (d *Detector) Add(outcome Outcome, baseline float64, now time.Duration) Change {
 	switch {
-	case r.ejected:
-		return r.probed(outcome, now)
+	case d.ejected:
+		return d.countProbe(outcome, now)
 	case outcome == Success || outcome.Failed():
-		return r.count(outcome, usual, now)
+		return d.count(outcome, baseline, now)
 	}
 	return Unchanged
 }
 
-// count counts an outcome at a replica that is not ejected.
-func (r *Detector) count(outcome Outcome, usual float64, now time.Duration) Change {
-	if saysNothing(usual) {
+// count adds an outcome of a replica that is not ejected to the score.
+func (d *Detector) count(outcome Outcome, baseline float64, now time.Duration) Change {
+	if isInconclusive(baseline) {
 		return Unchanged
 	}
-	r.lastAt = now
-	r.score = max(r.score+weight(outcome, usual), 0)
-	if r.score == 0 {
-		r.failures, r.of = 0, 0
+	d.lastOutcomeAt = now
+	d.score = max(d.score+logLikelihoodRatio(outcome, baseline), 0)
+	if d.score == 0 {
+		d.failures, d.outcomes = 0, 0
 		return Unchanged
 	}
-	r.of++
+	d.outcomes++
 	if outcome.Failed() {
-		r.failures++
+		d.failures++
 	}
-	if r.score < ejectAt {
+	if d.score < ejectionScore {
 		return Unchanged
 	}
-	r.eject(outcome, now)
+	d.eject(outcome, now)
 	return NowEjected
 }
 
-// eject leaves the replica alone from now on, longer the oftener it was ejected lately.
-func (r *Detector) eject(reason Outcome, now time.Duration) {
-	if now-r.returnedAt > memory {
-		r.ejections = 0
+// eject ejects the replica. The initial delay before a probe doubles with each recent
+// ejection.
+func (d *Detector) eject(reason Outcome, now time.Duration) {
+	if now-d.reinstatedAt > recurrenceWindow {
+		d.ejections = 0
 	}
-	r.ejected = true
-	r.reason = reason
-	r.servedInRow = 0
-	r.probes = 0
-	r.granted = false
-	r.tried = false
-	r.pause = min(firstPause<<min(r.ejections, 8), longestPause)
-	r.ejections++
+	d.ejected = true
+	d.reason = reason
+	d.probeSuccesses = 0
+	d.probes = 0
+	d.probeGranted = false
+	d.probedSinceEjection = false
+	d.probeDelay = min(initialProbeDelay<<min(d.ejections, 8), maxProbeDelay)
+	d.ejections++
 }
 
-// probed counts an outcome at an ejected replica. Those of requests that were there before
-// the first probe count for nothing.
-func (r *Detector) probed(outcome Outcome, now time.Duration) Change {
+// countProbe counts an outcome of an ejected replica. Outcomes that arrive before the first
+// probe belong to requests sent before the ejection and are ignored.
+func (d *Detector) countProbe(outcome Outcome, now time.Duration) Change {
 	switch {
-	case !r.tried:
+	case !d.probedSinceEjection:
 		return Unchanged
 	case outcome == Success:
-		r.servedInRow++
+		d.probeSuccesses++
 	case outcome.Failed():
-		if r.granted || r.servedInRow > 0 {
-			r.pause = min(2*r.pause, longestPause)
+		if d.probeGranted || d.probeSuccesses > 0 {
+			d.probeDelay = min(2*d.probeDelay, maxProbeDelay)
 		}
-		r.servedInRow = 0
+		d.probeSuccesses = 0
 	default:
 		return Unchanged
 	}
-	r.lastAt, r.granted = now, false
-	r.probes++
-	if r.servedInRow < min(returnAfter<<min(r.ejections-1, 8), longestReturn) {
+	d.lastOutcomeAt, d.probeGranted = now, false
+	d.probes++
+	if d.probeSuccesses < min(minProbeSuccesses<<min(d.ejections-1, 8), maxProbeSuccesses) {
 		return Unchanged
 	}
-	r.ejected = false
-	r.returnedAt = now
-	r.score = 0
-	r.failures, r.of = 0, 0
+	d.ejected = false
+	d.reinstatedAt = now
+	d.score = 0
+	d.failures, d.outcomes = 0, 0
 	return NowReinstated
 }
 
-// saysNothing tells whether the replicas of a service fail as much, for the node that tells an
-// outcome, as a failing replica would: then nothing tells one from the others, be it the
-// service or the node's own way to it that fails.
-func saysNothing(usual float64) bool { return usualMargin*usual >= unsound }
+// isInconclusive reports whether the baseline observed by a node is as high as the failure
+// rate of a failing replica. Then either the whole service or the node's own network path
+// to it fails, and outcomes do not discriminate between replicas.
+func isInconclusive(baseline float64) bool { return baselineMargin*baseline >= failingRate }
 
-// weight returns what an outcome adds to the score.
-func weight(outcome Outcome, usual float64) float64 {
-	granted := max(usualMargin*usual, leastUsual)
+// logLikelihoodRatio returns the log-likelihood ratio of an outcome.
+func logLikelihoodRatio(outcome Outcome, baseline float64) float64 {
+	tolerated := max(baselineMargin*baseline, minTolerated)
 	if outcome.Failed() {
-		return math.Log(unsound / granted)
+		return math.Log(failingRate / tolerated)
 	}
-	return math.Log((1 - unsound) / (1 - granted))
+	return math.Log((1 - failingRate) / (1 - tolerated))
 }
 
-// Probe tells whether a request may try an ejected replica.
+// Probe defines which requests may probe an ejected replica.
 type Probe int
 
-// The rights to probe.
+// Probe permissions.
 const (
-	// NoProbe allows none.
+	// NoProbe permits no request to probe.
 	NoProbe Probe = iota
-	// SafeProbe allows one that may go to another replica after a failure.
+	// SafeProbe permits one request that can be retried at another replica.
 	SafeProbe
-	// AnyProbe allows any: no safe one has come for long.
+	// AnyProbe permits one request of any kind, since no retryable request has probed
+	// in time.
 	AnyProbe
 )
 
-// Probe returns which request may probe now, where underWay requests of all nodes are at
-// the replica: one at a time after a failure, one more with each that was served. Those that
-// are stuck there do not count.
-func (r *Detector) Probe(underWay int, now time.Duration) Probe {
-	pause := r.spreadPause()
-	if r.servedInRow > 0 {
-		pause = provingPause
+// Probe returns which requests may probe the replica now. inFlight is the number of
+// requests of all nodes in flight there. After a failure one probe runs at a time; each
+// success allows one more concurrent probe. Requests that got no outcome for a while do
+// not count as in flight.
+func (d *Detector) Probe(inFlight int, now time.Duration) Probe {
+	delay := d.jitteredProbeDelay()
+	if d.probeSuccesses > 0 {
+		delay = successProbeDelay
 	}
-	waited, held := now-r.lastAt, grantLife
-	if underWay > r.servedInRow {
-		pause, held = max(pause, stuck), stuck
+	waited, grantTTL := now-d.lastOutcomeAt, probeGrantTTL
+	if inFlight > d.probeSuccesses {
+		delay, grantTTL = max(delay, stuckAfter), stuckAfter
 	}
 	switch {
-	case !r.ejected || waited < pause:
+	case !d.ejected || waited < delay:
 		return NoProbe
-	case r.granted && now-r.grantedAt < held:
+	case d.probeGranted && now-d.probeGrantedAt < grantTTL:
 		return NoProbe
-	case waited >= pause+safeFirst:
+	case waited >= delay+safeProbeWindow:
 		return AnyProbe
 	}
 	return SafeProbe
 }
 
-// spreadPause returns the pause or up to half as much more, another part after each probe, so
-// that probes do not fall into step with a replica that is down and up by turns.
-func (r *Detector) spreadPause() time.Duration {
-	const goldenPart = math.Phi - 1
-	_, part := math.Modf(float64(r.probes) * goldenPart)
-	return r.pause + time.Duration(part/2*float64(r.pause))
+// jitteredProbeDelay returns the probe delay extended by up to half. The extension varies
+// deterministically with each probe, so that probes do not synchronize with a replica that
+// fails periodically.
+func (d *Detector) jitteredProbeDelay() time.Duration {
+	const goldenFraction = math.Phi - 1
+	_, fraction := math.Modf(float64(d.probes) * goldenFraction)
+	return d.probeDelay + time.Duration(fraction/2*float64(d.probeDelay))
 }
 
-// StartProbe notes that a right to probe is given out.
-func (r *Detector) StartProbe(now time.Duration) { r.granted, r.tried, r.grantedAt = true, true, now }
+// StartProbe records that a probe was granted.
+func (d *Detector) StartProbe(now time.Duration) {
+	d.probeGranted, d.probedSinceEjection, d.probeGrantedAt = true, true, now
+}
 
-// Reset makes the record that of a sound replica, as a keeper that has heard of all nodes
-// tells.
-func (r *Detector) Reset() { *r = Detector{} }
+// Reset returns the detector to the state of a healthy replica. It is called when the
+// replica's aggregator, with reports of all nodes, considers the replica healthy.
+func (d *Detector) Reset() { *d = Detector{} }
 
-// usualWeight is the weight of the newest outcome in a service's usual share of failures.
-const usualWeight = 1.0 / 128
+// baselineWeight is the weight of the newest outcome in the exponential moving average of a
+// service's failure rate.
+const baselineWeight = 1.0 / 128
 
-// Baseline learns the share of failures of a service's replicas. Its zero value knows none.
+// Baseline is the moving average of the failure rate over all replicas of a service. Its
+// zero value is a failure rate of 0. It is not safe for concurrent use.
 type Baseline struct {
-	share float64
+	rate float64
 }
 
-// Add counts an outcome of a request that was no probe.
-func (u *Baseline) Add(outcome Outcome) {
+// Add counts the outcome of a request that is not a probe.
+func (b *Baseline) Add(outcome Outcome) {
 	failed := 0.0
 	if outcome.Failed() {
 		failed = 1
 	}
-	u.share += usualWeight * (failed - u.share)
+	b.rate += baselineWeight * (failed - b.rate)
 }
 
-// FailureRate returns the share of failures.
-func (u *Baseline) FailureRate() float64 { return u.share }
+// FailureRate returns the failure rate, between 0 and 1.
+func (b *Baseline) FailureRate() float64 { return b.rate }
 
-// mostEjected is the part of a service's replicas beyond which none is left alone: the
-// service fails as a whole, or the rest could not bear the work.
-const mostEjected = 0.4
+// maxEjectedFraction is the fraction of a service's replicas above which ejections are
+// ignored: the service as a whole fails, or the remaining replicas could not take the
+// load.
+const maxEjectedFraction = 0.4
 
-// ExceedsEjectionLimit tells whether ejected of all replicas are more than may be left alone.
-func ExceedsEjectionLimit(ejected, all int) bool { return float64(ejected) > mostEjected*float64(all) }
+// ExceedsEjectionLimit reports whether ejected of all replicas are too many for their
+// ejections to be honored.
+func ExceedsEjectionLimit(ejected, all int) bool {
+	return float64(ejected) > maxEjectedFraction*float64(all)
+}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -9,162 +9,164 @@
 	"pgregory.net/rapid"
 )
 
-// play gives a replica outcomes every step and returns how many of them it got and how
-// many failed: it gets each unless it is ejected, then only probes.
-func play(record *Detector, count int, step time.Duration, usual float64, outcome func(now time.Duration) Outcome) (got, failed, ejections int) {
+// simulate offers count requests, one per step, to a replica, which receives all of them
+// while it is not ejected and only probes otherwise. It returns the numbers of requests
+// received, failures and ejections.
+func simulate(detector *Detector, count int, step time.Duration, baseline float64, outcome func(now time.Duration) Outcome) (got, failed, ejections int) {
 	for i := range count {
 		now := time.Second + time.Duration(i)*step
-		if record.Ejected() {
-			if record.Probe(0, now) == NoProbe {
+		if detector.Ejected() {
+			if detector.Probe(0, now) == NoProbe {
 				continue
 			}
-			record.StartProbe(now)
+			detector.StartProbe(now)
 		}
-		became := outcome(now)
+		result := outcome(now)
 		got++
-		if became.Failed() {
+		if result.Failed() {
 			failed++
 		}
-		if record.Add(became, usual, now) == NowEjected {
+		if detector.Add(result, baseline, now) == NowEjected {
 			ejections++
 		}
 	}
 	return got, failed, ejections
 }
 
-func failingWith(share float64, random *rand.Rand) func(time.Duration) Outcome {
+func failingWith(rate float64, random *rand.Rand) func(time.Duration) Outcome {
 	return func(time.Duration) Outcome {
-		if random.Float64() < share {
+		if random.Float64() < rate {
 			return ErrorResponse
 		}
 		return Success
 	}
 }
 
-// TestAReplicaThatFailsAllIsLeftAlone after its first few failures, but for rare probes.
-func TestAReplicaThatFailsAllIsLeftAlone(t *testing.T) {
+// A replica that fails every request must be ejected after its first failures and get
+// only rare probes.
+func TestFailingReplicaIsEjected(t *testing.T) {
 	is := is.New(t)
-	record := &Detector{}
-	got, failed, ejections := play(record, 1000, 10*time.Millisecond, 0.01, func(time.Duration) Outcome { return ErrorResponse })
+	detector := &Detector{}
+	got, failed, ejections := simulate(detector, 1000, 10*time.Millisecond, 0.01, func(time.Duration) Outcome { return ErrorResponse })
 	is.Equal(got, failed)
 	is.Equal(ejections, 1)
 	is.True(failed <= 3+8) // of 1,000 in 10 s
-	failures, of := record.failures, record.of
+	failures, of := detector.failures, detector.outcomes
 	is.Equal(failures, 3)
 	is.Equal(of, 3)
-	is.Equal(record.Reason(), ErrorResponse)
+	is.Equal(detector.Reason(), ErrorResponse)
 }
 
-// TestANodeWhoseOwnWayFailsHidesNothing: its outcomes say nothing of one replica, and leave what
-// the others have told.
-func TestANodeWhoseOwnWayFailsHidesNothing(t *testing.T) {
+// Outcomes of a node whose own path to the service fails must not change a score, neither
+// up nor down.
+func TestOutcomesAtHighBaselineAreIgnored(t *testing.T) {
 	is := is.New(t)
-	record := &Detector{}
-	const sick = 0.9
+	detector := &Detector{}
+	const highBaseline = 0.9
 	for number := range 2 {
-		is.Equal(record.Add(ErrorResponse, 0.01, time.Duration(number)), Unchanged)
-		is.Equal(record.Add(ErrorResponse, sick, time.Duration(number)), Unchanged)
+		is.Equal(detector.Add(ErrorResponse, 0.01, time.Duration(number)), Unchanged)
+		is.Equal(detector.Add(ErrorResponse, highBaseline, time.Duration(number)), Unchanged)
 	}
-	is.Equal(record.Add(ErrorResponse, 0.01, 2), NowEjected)
+	is.Equal(detector.Add(ErrorResponse, 0.01, 2), NowEjected)
 }
 
-// TestGreyReplicasGetFewRequests: they fail 45 % of their work.
-func TestGreyReplicasGetFewRequests(t *testing.T) {
+// A replica that fails 45 % of its requests must get few of them.
+func TestPartiallyFailingReplicaGetsFewRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		const offered = 2000 // in 40 s
-		_, failed, _ := play(&Detector{}, offered, 20*time.Millisecond, 0.01, failingWith(0.45, random))
+		_, failed, _ := simulate(&Detector{}, offered, 20*time.Millisecond, 0.01, failingWith(0.45, random))
 		if failed > offered*0.45/4 {
 			t.Fatalf("%d of %d requests failed", failed, offered)
 		}
 	})
 }
 
-// TestWorkThatFailsByItselfEjectsHardlyAnyReplica: 35 replicas of a service that fails a
-// part of its work, which the nodes have learned.
-func TestWorkThatFailsByItselfEjectsHardlyAnyReplica(t *testing.T) {
+// If all replicas of a service fail at the known baseline rate, ejections must be rare.
+func TestFailuresAtBaselineRarelyEject(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		share := rapid.Float64Range(0, 0.2).Draw(t, "share")
+		rate := rapid.Float64Range(0, 0.2).Draw(t, "share")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		total := 0
 		for range 35 {
-			_, _, ejections := play(&Detector{}, 300, 20*time.Millisecond, share, failingWith(share, random))
+			_, _, ejections := simulate(&Detector{}, 300, 20*time.Millisecond, rate, failingWith(rate, random))
 			total += ejections
 		}
 		if total > 1 {
-			t.Fatalf("%d ejections of 35 replicas that fail %v of 10,500 requests", total, share)
+			t.Fatalf("%d ejections of 35 replicas that fail %v of 10,500 requests", total, rate)
 		}
 	})
 }
 
-// TestOnePercentEjectsNobody over 21,000 requests.
-func TestOnePercentEjectsNobody(t *testing.T) {
+// A service-wide failure rate of 1 % must not eject any replica.
+func TestLowFailureRateDoesNotEject(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	usual := &Baseline{}
+	baseline := &Baseline{}
 	for range 35 {
-		record := &Detector{}
+		detector := &Detector{}
 		for i := range 600 {
 			outcome := failingWith(0.01, random)(0)
-			record.Add(outcome, usual.FailureRate(), time.Duration(i)*10*time.Millisecond)
-			usual.Add(outcome)
-			is.True(!record.Ejected())
+			detector.Add(outcome, baseline.FailureRate(), time.Duration(i)*10*time.Millisecond)
+			baseline.Add(outcome)
+			is.True(!detector.Ejected())
 		}
 	}
-	is.True(usual.FailureRate() < 0.05)
+	is.True(baseline.FailureRate() < 0.05)
 }
 
-// TestAServiceThatFailsAsAWholeEjectsNobody, once that is known.
-func TestAServiceThatFailsAsAWholeEjectsNobody(t *testing.T) {
+// At a high known baseline no replica may be ejected.
+func TestHighBaselineDoesNotEject(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		share := rapid.Float64Range(0.3, 1).Draw(t, "share")
+		rate := rapid.Float64Range(0.3, 1).Draw(t, "share")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		_, _, ejections := play(&Detector{}, 1000, 10*time.Millisecond, share, failingWith(share, random))
+		_, _, ejections := simulate(&Detector{}, 1000, 10*time.Millisecond, rate, failingWith(rate, random))
 		if ejections > 0 {
 			t.Fatalf("%d ejections", ejections)
 		}
 	})
 }
 
-// TestAReplicaReturnsByServing: first probes one at a time, then more at once.
-func TestAReplicaReturnsByServing(t *testing.T) {
+// An ejected replica gets one probe at a time, then more with each success, and is
+// reinstated after enough of them.
+func TestSuccessfulProbesReinstate(t *testing.T) {
 	is := is.New(t)
-	record := &Detector{}
+	detector := &Detector{}
 	for range 3 {
-		record.Add(NoResponse, 0, time.Second)
+		detector.Add(NoResponse, 0, time.Second)
 	}
-	is.True(record.Ejected())
-	now := time.Second + firstPause - 1
-	is.Equal(record.Probe(0, now), NoProbe)
+	is.True(detector.Ejected())
+	now := time.Second + initialProbeDelay - 1
+	is.Equal(detector.Probe(0, now), NoProbe)
 	now++
-	is.Equal(record.Probe(1, now), NoProbe) // another one is under way
-	is.Equal(record.Probe(0, now), SafeProbe)
-	record.StartProbe(now)
-	is.Equal(record.Probe(0, now), NoProbe)
-	is.Equal(record.Probe(0, now+safeFirst), AnyProbe)
-	is.Equal(record.Add(Success, 0, now), Unchanged)
-	now += provingPause
-	is.Equal(record.Probe(1, now), SafeProbe)
-	for range returnAfter - 2 {
-		is.Equal(record.Add(Success, 0, now), Unchanged)
+	is.Equal(detector.Probe(1, now), NoProbe) // another one is under way
+	is.Equal(detector.Probe(0, now), SafeProbe)
+	detector.StartProbe(now)
+	is.Equal(detector.Probe(0, now), NoProbe)
+	is.Equal(detector.Probe(0, now+safeProbeWindow), AnyProbe)
+	is.Equal(detector.Add(Success, 0, now), Unchanged)
+	now += successProbeDelay
+	is.Equal(detector.Probe(1, now), SafeProbe)
+	for range minProbeSuccesses - 2 {
+		is.Equal(detector.Add(Success, 0, now), Unchanged)
 	}
-	is.Equal(record.Add(Success, 0, now), NowReinstated)
-	is.True(!record.Ejected())
+	is.Equal(detector.Add(Success, 0, now), NowReinstated)
+	is.True(!detector.Ejected())
 }
 
-// TestRefusalsSayNothing: an outcome of no known kind changes nothing.
-func TestRefusalsSayNothing(t *testing.T) {
+// Unknown outcome values must not change the state.
+func TestUnknownOutcomesAreIgnored(t *testing.T) {
 	is := is.New(t)
-	record := &Detector{}
+	detector := &Detector{}
 	for range 100 {
-		is.Equal(record.Add(0, 0, 0), Unchanged)
-		is.Equal(record.Add(99, 0, 0), Unchanged)
+		is.Equal(detector.Add(0, 0, 0), Unchanged)
+		is.Equal(detector.Add(99, 0, 0), Unchanged)
 	}
-	is.Equal(*record, Detector{})
+	is.Equal(*detector, Detector{})
 }
 
-// TestFlappingReplicasGetLessOfTheirBadTimes: down and up by turns.
-func TestFlappingReplicasGetLessOfTheirBadTimes(t *testing.T) {
+// A replica that fails periodically must get few requests while it fails.
+func TestFlappingReplicaGetsFewRequestsWhileFailing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		period := time.Duration(rapid.IntRange(300, 4000).Draw(t, "period")) * time.Millisecond
 		down := func(now time.Duration) Outcome {
@@ -174,15 +176,15 @@
 			return Success
 		}
 		const offered = 2000 // in 20 s, half of them in bad times
-		got, failed, _ := play(&Detector{}, offered, 10*time.Millisecond, 0, down)
+		got, failed, _ := simulate(&Detector{}, offered, 10*time.Millisecond, 0, down)
 		if failed > offered/2/8 || got == failed {
 			t.Fatalf("%d of %d requests failed", failed, got)
 		}
 	})
 }
 
-// TestOnlyAPartIsLeftAlone, whatever the number.
-func TestOnlyAPartIsLeftAlone(t *testing.T) {
+// The fraction of ejected replicas is limited for services of any size.
+func TestEjectionLimit(t *testing.T) {
 	is := is.New(t)
 	is.True(!ExceedsEjectionLimit(0, 0))
 	is.True(!ExceedsEjectionLimit(14, 35))
@@ -192,51 +194,49 @@
 	is.True(!ExceedsEjectionLimit(1, 3))
 }
 
-// TestStuckRequestsHoldProbesOffForAShortTime: a mute replica keeps them until their time is
-// over, which may be long after it has come back.
-func TestStuckRequestsHoldProbesOffForAShortTime(t *testing.T) {
+// Requests stuck at an unresponsive replica until their timeout must not block probes for
+// that long.
+func TestStuckRequestsBlockProbesBriefly(t *testing.T) {
 	is := is.New(t)
-	record := &Detector{}
+	detector := &Detector{}
 	for range 3 {
-		record.Add(NoResponse, 0, time.Second)
+		detector.Add(NoResponse, 0, time.Second)
 	}
 	const left = 8
-	is.Equal(record.Probe(left, time.Second+stuck-1), NoProbe)
-	now := time.Second + stuck
-	is.True(record.Probe(left, now) != NoProbe)
-	record.StartProbe(now)
-	is.Equal(record.Probe(left+1, now+stuck-1), NoProbe)
-	is.True(record.Probe(left+1, now+stuck) != NoProbe)
+	is.Equal(detector.Probe(left, time.Second+stuckAfter-1), NoProbe)
+	now := time.Second + stuckAfter
+	is.True(detector.Probe(left, now) != NoProbe)
+	detector.StartProbe(now)
+	is.Equal(detector.Probe(left+1, now+stuckAfter-1), NoProbe)
+	is.True(detector.Probe(left+1, now+stuckAfter) != NoProbe)
 }
 
-// TestRequestsFromBeforeTheEjectionDoNotEndIt: streams that began before the replica failed
-// are served to their end.
-func TestRequestsFromBeforeTheEjectionDoNotEndIt(t *testing.T) {
+// Successes of requests sent before the ejection must not reinstate the replica.
+func TestRequestsFromBeforeEjectionDoNotReinstate(t *testing.T) {
 	is := is.New(t)
-	record := &Detector{}
+	detector := &Detector{}
 	for range 3 {
-		record.Add(ErrorResponse, 0, time.Second)
+		detector.Add(ErrorResponse, 0, time.Second)
 	}
-	for range 2 * longestReturn {
-		is.Equal(record.Add(Success, 0, time.Second), Unchanged)
+	for range 2 * maxProbeSuccesses {
+		is.Equal(detector.Add(Success, 0, time.Second), Unchanged)
 	}
-	is.True(record.Ejected())
+	is.True(detector.Ejected())
 }
 
-// TestAReplicaIsTriedOftenEnough that one that is sound again returns soon, also where no
-// request may go elsewhere after a failure.
-func TestAReplicaIsTriedOftenEnough(t *testing.T) {
-	const most = longestPause + longestPause/2 + safeFirst
+// The probe interval must stay bounded, even if only non-retryable requests arrive.
+func TestProbeIntervalIsBounded(t *testing.T) {
+	const most = maxProbeDelay + maxProbeDelay/2 + safeProbeWindow
 	is := is.New(t)
-	record := &Detector{}
+	detector := &Detector{}
 	for range 3 {
-		record.Add(ErrorResponse, 0, time.Second)
+		detector.Add(ErrorResponse, 0, time.Second)
 	}
 	now := time.Second
 	for range 100 {
-		is.Equal(record.Probe(0, now+most), AnyProbe)
+		is.Equal(detector.Probe(0, now+most), AnyProbe)
 		now += most
-		record.StartProbe(now)
-		record.Add(ErrorResponse, 0, now)
+		detector.StartProbe(now)
+		detector.Add(ErrorResponse, 0, now)
 	}
 }
