--- a/internal/coldstart/model_test.go
+++ b/internal/coldstart/model_test.go
@@ -9,48 +9,50 @@
 	"pgregory.net/rapid"
 )
 
-// The model plays nodes that all send to one cold replica as often as their gates let
-// them, in steps of virtual time, while nodes are killed, started, frozen and cut off.
+// The model simulates nodes that all send to one cold replica as often as their limiters
+// permit, in steps of virtual time, while nodes are killed, restarted, paused and
+// partitioned.
 const (
 	modelStep   = 10 * time.Millisecond
 	modelLength = 12 * time.Second
-	// heardWithin is how long views lag behind what happens.
-	heardWithin = 1200 * time.Millisecond
-	// modelOverage and modelSlack are what the bound of a site allows beyond the rate.
+	// maxViewDelay is the maximum delay until a node's view shows a change.
+	maxViewDelay = 1200 * time.Millisecond
+	// modelOverage and modelSlack define the tolerated excess over the rate limit.
 	modelOverage, modelSlack = 1.5, 5
-	// modelSeeds is how many nodes the others know before they start.
+	// modelSeeds is the number of seed nodes.
 	modelSeeds = 3
-	// disturbedPart of the nodes are killed or frozen at a time, at most.
-	disturbedPart = 4
+	// At most one in faultDivisor nodes is killed or paused at a time.
+	faultDivisor = 4
 )
 
-// modelNode is one node and what it will hear.
+// modelNode is a simulated node with its pending view change.
 type modelNode struct {
-	gate        *Limiter
+	limiter     *Limiter
 	started     time.Duration
 	dead        bool
-	frozenUntil time.Duration
-	side        int
-	// seen is the view it was told last, as a list of the nodes it can see.
-	told []int
-	// next is when it hears of the next view.
+	pausedUntil time.Duration
+	partition   int
+	// view is the node's current view, as a list of node numbers.
+	view []int
+	// next is the time of its next view change.
 	next time.Duration
 }
 
 type model struct {
 	random *rand.Rand
-	bound  RateLimit
+	limit  RateLimit
 	nodes  []*modelNode
 	now    time.Duration
-	// speed is how fast the gates' clocks run; 1 is right.
+	// speed is the rate of the limiters' clocks; 1 is correct.
 	speed int
-	// arrivals holds the times of all requests, most how many came in one second at most.
-	arrivals []time.Duration
-	most     int
+	// arrivals holds the times of the requests within the last window, most their maximum
+	// number in any window.
+	arrivals    []time.Duration
+	maxArrivals int
 }
 
 func newModel(random *rand.Rand, count int, perSecond float64, speed int) *model {
-	m := &model{random: random, bound: RateLimit{PerSecond: perSecond, ColdDuration: time.Hour}, speed: speed}
+	m := &model{random: random, limit: RateLimit{PerSecond: perSecond, ColdDuration: time.Hour}, speed: speed}
 	for range count {
 		m.nodes = append(m.nodes, &modelNode{})
 	}
@@ -62,52 +64,52 @@
 
 func (m *model) clock() time.Duration { return m.now * time.Duration(m.speed) }
 
-// start begins a node's life, which knows itself alone at first.
+// start starts a new incarnation of a node, whose first view contains only itself.
 func (m *model) start(number int) {
 	node := m.nodes[number]
-	node.gate, node.dead, node.started, node.told = NewLimiter(nodeName(number)), false, m.now, []int{number}
-	node.gate.SetSeeds(seedsOf(min(modelSeeds, len(m.nodes))), m.clock())
-	node.gate.SetView(viewOf(number), m.clock())
-	node.gate.UpdateReplica(entry(1, time.Hour), m.clock())
+	node.limiter, node.dead, node.started, node.view = NewLimiter(nodeName(number)), false, m.now, []int{number}
+	node.limiter.SetSeeds(seedsOf(min(modelSeeds, len(m.nodes))), m.clock())
+	node.limiter.SetView(viewOf(number), m.clock())
+	node.limiter.UpdateReplica(registration(1, time.Hour), m.clock())
 	node.next = m.now + modelStep*time.Duration(1+m.random.IntN(20))
 }
 
-// visible lists the nodes that a node sees once word has got around.
+// visible returns the nodes that a node's view will converge to.
 func (m *model) visible(number int) []int {
 	var seen []int
 	for other, node := range m.nodes {
-		if other == number || !node.dead && m.now >= node.frozenUntil && node.side == m.nodes[number].side {
+		if other == number || !node.dead && m.now >= node.pausedUntil && node.partition == m.nodes[number].partition {
 			seen = append(seen, other)
 		}
 	}
 	return seen
 }
 
-// step lets every node hear what is due and send what it may.
+// step applies the view changes that are due and lets every node use its permits.
 func (m *model) step() {
 	m.now += modelStep
 	for number, node := range m.nodes {
-		if node.dead || m.now < node.frozenUntil {
+		if node.dead || m.now < node.pausedUntil {
 			continue
 		}
 		if m.now >= node.next {
-			node.told = m.visible(number)
-			node.gate.SetView(viewOf(node.told...), m.clock())
-			node.next = m.now + time.Duration(m.random.Int64N(int64(heardWithin)))
+			node.view = m.visible(number)
+			node.limiter.SetView(viewOf(node.view...), m.clock())
+			node.next = m.now + time.Duration(m.random.Int64N(int64(maxViewDelay)))
 		}
-		for node.gate.Acquire("i", m.bound, m.clock()) {
+		for node.limiter.Acquire("i", m.limit, m.clock()) {
 			m.arrivals = append(m.arrivals, m.now)
 		}
 	}
 	for len(m.arrivals) > 0 && m.arrivals[0] <= m.now-window {
 		m.arrivals = m.arrivals[1:]
 	}
-	m.most = max(m.most, len(m.arrivals))
+	m.maxArrivals = max(m.maxArrivals, len(m.arrivals))
 }
 
-// disturb plays one trouble on a part of the nodes.
-func (m *model) disturb() {
-	some := max(len(m.nodes)/disturbedPart, 1)
+// injectFault injects one random fault, or heals one.
+func (m *model) injectFault() {
+	some := max(len(m.nodes)/faultDivisor, 1)
 	switch m.random.IntN(4) {
 	case 0:
 		for range m.random.IntN(some + 1) {
@@ -121,41 +123,41 @@
 		}
 	case 2:
 		for range m.random.IntN(some + 1) {
-			m.nodes[m.random.IntN(len(m.nodes))].frozenUntil = m.now + time.Duration(m.random.IntN(3000))*time.Millisecond
+			m.nodes[m.random.IntN(len(m.nodes))].pausedUntil = m.now + time.Duration(m.random.IntN(3000))*time.Millisecond
 		}
-	case 3: // cut into up to three sides, or healed
-		sides := 1 + m.random.IntN(3)
+	case 3: // up to three partitions; one means healed
+		partitions := 1 + m.random.IntN(3)
 		for _, node := range m.nodes {
-			node.side = m.random.IntN(sides)
+			node.partition = m.random.IntN(partitions)
 		}
 	}
 }
 
-func (m *model) play() {
+func (m *model) run() {
 	for m.now < modelLength {
 		for range 1 + m.random.IntN(150) {
 			m.step()
 		}
-		m.disturb()
+		m.injectFault()
 	}
 }
 
-func (m *model) allowed() int { return int(m.bound.PerSecond*modelOverage) + modelSlack }
+func (m *model) allowed() int { return int(m.limit.PerSecond*modelOverage) + modelSlack }
 
-func TestBoundHoldsWhateverNodesDo(t *testing.T) {
+func TestLimitHoldsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 70).Draw(t, "nodes")
 		perSecond := rapid.Float64Range(0.5, 60).Draw(t, "per second")
 		m := newModel(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), count, perSecond, 1)
-		m.play()
-		if m.most > m.allowed() {
-			t.Fatalf("%d requests in a second, allowed %d", m.most, m.allowed())
+		m.run()
+		if m.maxArrivals > m.allowed() {
+			t.Fatalf("%d requests in a second, allowed %d", m.maxArrivals, m.allowed())
 		}
 	})
 }
 
-// TestLossOfAllNodesKeepsTheBound kills and starts all of them at once, again and again.
-func TestLossOfAllNodesKeepsTheBound(t *testing.T) {
+// The limit must hold when all nodes restart at once, repeatedly.
+func TestLimitHoldsIfAllNodesRestart(t *testing.T) {
 	is := is.New(t)
 	m := newModel(rand.New(rand.NewPCG(1, 1)), 69, 25, 1)
 	for range 8 {
@@ -166,35 +168,34 @@
 			m.start(number)
 		}
 	}
-	is.True(m.most > 0)
-	is.True(m.most <= m.allowed())
+	is.True(m.maxArrivals > 0)
+	is.True(m.maxArrivals <= m.allowed())
 }
 
-// TestModelFindsAPlantedFault lets clocks run twice as fast, so that nodes send twice as
-// much as they may.
-func TestModelFindsAPlantedFault(t *testing.T) {
+// The model must detect a violation of the limit: clocks at twice the speed make nodes
+// send at twice the rate.
+func TestModelDetectsViolation(t *testing.T) {
 	is := is.New(t)
 	m := newModel(rand.New(rand.NewPCG(1, 1)), 30, 25, 2)
-	m.play()
-	is.True(m.most > m.allowed())
+	m.run()
+	is.True(m.maxArrivals > m.allowed())
 }
 
-// TestBoundIsUsed: while nothing happens, the nodes together send nearly as much as a
-// replica bears.
-func TestBoundIsUsed(t *testing.T) {
+// Without faults, the nodes together must use the whole limit.
+func TestLimitIsFullyUsed(t *testing.T) {
 	is := is.New(t)
 	m := newModel(rand.New(rand.NewPCG(1, 1)), 69, 25, 1)
 	for m.now < 4*time.Second {
 		m.step()
 	}
-	is.Equal(m.most, 25)
+	is.Equal(m.maxArrivals, 25)
 }
 
-// TestStarterBehindACutTakesTheSmallerShare plays a node that starts and is cut off before it
-// hears of the others.
-func TestStarterBehindACutTakesTheSmallerShare(t *testing.T) {
+// A node that starts and is partitioned before it learns of other nodes must use only its
+// quota.
+func TestLimitHoldsIfStartingNodeIsPartitioned(t *testing.T) {
 	is := is.New(t)
 	m := newModel(rand.New(rand.NewPCG(0x1f1d, 1)), 2, 11, 1)
-	m.play()
-	is.True(m.most <= m.allowed())
+	m.run()
+	is.True(m.maxArrivals <= m.allowed())
 }
--- a/internal/coldstart/seeds.go
+++ b/internal/coldstart/seeds.go
@@ -8,55 +8,55 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// starting tells how much of a site a node that has just started may not see. It knows no
-// others yet, so that a side of a cut looks to it like the whole; but it knows the seeds,
-// whose names it was given. Those it has not heard of since are taken for a sample of the
-// nodes that may live behind a cut.
-type starting struct {
-	// seeds counts all seeds, unheard holds those not heard of yet.
-	seeds   int
-	unheard map[netip.AddrPort]struct{}
-	// until is when a node counts as settled, whatever it has heard: seeds may be gone for
-	// good.
+// seedTracker estimates the size of the site for a node that has just started. Such a node
+// cannot tell one side of a network partition from the whole site by its membership view.
+// The fraction of the configured seeds that it has seen serves as an estimate of the
+// fraction of the site that it sees.
+type seedTracker struct {
+	// seeds is the number of all seeds, unseen the set of those not yet in any view.
+	seeds  int
+	unseen map[netip.AddrPort]struct{}
+	// until is the time at which the remaining seeds are no longer waited for, since they
+	// may have been removed permanently.
 	until time.Duration
 }
 
-func newStarting(seeds []netip.AddrPort, now time.Duration) starting {
-	made := starting{unheard: map[netip.AddrPort]struct{}{}, until: now + missedFor}
+func newSeedTracker(seeds []netip.AddrPort, now time.Duration) seedTracker {
+	tracker := seedTracker{unseen: map[netip.AddrPort]struct{}{}, until: now + missingTTL}
 	for _, seed := range seeds {
-		made.unheard[seed] = struct{}{}
+		tracker.unseen[seed] = struct{}{}
 	}
-	made.seeds = len(made.unheard)
-	return made
+	tracker.seeds = len(tracker.unseen)
+	return tracker
 }
 
-// hear takes the members. A seed that was heard of once counts as any member does from then
-// on.
-func (s *starting) hear(view membership.View) {
+// setView applies a membership view. A seed that appeared once is treated like any other
+// member from then on.
+func (s *seedTracker) setView(view membership.View) {
 	for _, member := range view.Members {
-		delete(s.unheard, member.Node.PeerAddress)
+		delete(s.unseen, member.Node.PeerAddress)
 	}
 }
 
-// settle forgets the seeds at the end of the time that a node waits for them, and tells
-// whether that changes anything.
-func (s *starting) settle(now time.Duration) bool {
-	if len(s.unheard) == 0 || now < s.until {
+// expire stops waiting for the remaining seeds once their time is over, and reports
+// whether that changed anything.
+func (s *seedTracker) expire(now time.Duration) bool {
+	if len(s.unseen) == 0 || now < s.until {
 		return false
 	}
-	clear(s.unheard)
+	clear(s.unseen)
 	return true
 }
 
-// known returns how many nodes the site may have where a node sees live ones: more than
-// those by as much as all seeds are more than those that were heard of.
-func (s *starting) known(live int) int {
-	heard := s.seeds - len(s.unheard)
+// estimateNodes estimates the number of nodes of the site from the number of live nodes,
+// scaled by the ratio of all seeds to the seeds seen.
+func (s *seedTracker) estimateNodes(live int) int {
+	seen := s.seeds - len(s.unseen)
 	switch {
-	case len(s.unheard) == 0:
+	case len(s.unseen) == 0:
 		return live
-	case heard == 0:
+	case seen == 0:
 		return math.MaxInt32
 	}
-	return int(math.Ceil(float64(live) * float64(s.seeds) / float64(heard)))
+	return int(math.Ceil(float64(live) * float64(s.seeds) / float64(seen)))
 }
