--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -9,12 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// withinObservations is how many observations a line needs to be close.
+// withinObservations is the number of observations after which a fit must be accurate.
 const withinObservations = 100
 
-// TestLineFindsRatesOfAnySize: base and slope within a tenth for rates from a
-// thousandth to a thousand times of a usual one.
-func TestLineFindsRatesOfAnySize(t *testing.T) {
+// The fit must converge to within a tenth for rates over six orders of magnitude.
+func TestLinearFitConvergesAtAnyScale(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scale := math.Pow(10, rapid.Float64Range(-3, 3).Draw(t, "scale"))
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -31,7 +30,7 @@
 	})
 }
 
-func TestLineIsKnownFromTheFirstObservation(t *testing.T) {
+func TestLinearFitAfterFirstObservation(t *testing.T) {
 	is := is.New(t)
 	var line LinearFit
 	is.True(!line.Known())
@@ -40,7 +39,7 @@
 	is.True(slope > 0.01 && slope <= 0.05)
 }
 
-func TestChangeOfSpeedIsFollowed(t *testing.T) {
+func TestLinearFitFollowsChange(t *testing.T) {
 	for _, factor := range []float64{3, 1.0 / 3} {
 		is := is.New(t)
 		random := rand.New(rand.NewPCG(1, 2))
@@ -58,9 +57,9 @@
 	}
 }
 
-// TestEstimatesStayUsable: whatever is observed, no rate is negative, infinite or not
-// a number, and sound observations bring it back.
-func TestEstimatesStayUsable(t *testing.T) {
+// No sequence of observations may make an estimate negative, infinite or NaN, and
+// plausible observations must restore it.
+func TestEstimatesStayFiniteAndNonNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		odd := rapid.SliceOfN(rapid.Float64(), 0, 50)
 		var line LinearFit
@@ -93,7 +92,7 @@
 	})
 }
 
-func TestUnseenDelaysMoveTheLineLittle(t *testing.T) {
+func TestRandomDelaysBarelyBiasLinearFit(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	var line LinearFit
@@ -109,9 +108,8 @@
 	is.True(math.Abs(slope-0.05) < 0.015)
 }
 
-// TestSlopeIsNotMisledBySlowReplicas: slower replicas have more to do, and each request
-// beside adds a little.
-func TestSlopeIsNotMisledBySlowReplicas(t *testing.T) {
+// The slope must not be biased if slower replicas also have more concurrent requests.
+func TestSlopeIsUnbiasedByGroupMeans(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(5, 6))
 	var slope Slope
@@ -124,7 +122,7 @@
 	is.True(math.Abs(slope.Value()-0.5) < 0.05)
 }
 
-func TestServiceBeginsWithPriorsAndLeavesThem(t *testing.T) {
+func TestServiceReplacesPriors(t *testing.T) {
 	is := is.New(t)
 	var service Service
 	before := service.Rates()
