--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds pauses that end early with a context.
+// Package wait provides sleeps that end early when a context is done.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for duration. It returns ctx's error if that ends first.
+// For sleeps for duration. It returns early with ctx's error if ctx is done first.
 func For(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestPauseEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestForEndsWithTimerOrContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
