--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -121,7 +121,7 @@
 		failures := rapid.IntRange(1, 1000).Draw(t, "failures")
 		pause := suspectDuration(failures)
 		if pause < suspectDuration(1) || pause > 5*time.Second || pause < suspectDuration(max(failures-1, 1)) {
-			t.Fatalf("%d failures: %v", failures, pause)
+			t.Fatalf("suspect duration after %d failures is %v", failures, pause)
 		}
 	})
 }
@@ -162,9 +162,9 @@
 func TestPaceCostIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fastest := rapid.Float64Range(1, 100).Draw(t, "fastest")
-		pace := fastest + rapid.Float64Range(0, 1000).Draw(t, "more")
+		pace := fastest + rapid.Float64Range(0, 1000).Draw(t, "difference")
 		if paceCost(pace, fastest) < 0 || paceCost(pace+1, fastest) <= paceCost(pace, fastest) || paceCost(fastest, fastest) != 0 {
-			t.Fatalf("%v behind %v: %v", pace, fastest, paceCost(pace, fastest))
+			t.Fatalf("cost of pace %v with fastest %v is %v", pace, fastest, paceCost(pace, fastest))
 		}
 	})
 }
--- a/internal/balance/ejection_test.go
+++ b/internal/balance/ejection_test.go
@@ -37,14 +37,14 @@
 		notRetryable   bool
 		healthy, probe string
 	}{
-		"none ejected":                  {queried: candidatesNamed(3), all: candidatesNamed(9), healthy: "abc"},
-		"one ejected":                   {queried: candidatesNamed(2, ejected("x", 0)), all: candidatesNamed(9, ejected("x", 0)), healthy: "ab"},
-		"all asked ejected":             {queried: candidatesNamed(0, ejected("x", 0)), all: candidatesNamed(3, ejected("x", 0)), healthy: "abc"},
-		"too many ejected":              {queried: candidatesNamed(1, ejected("x", 0)), all: candidatesNamed(1, ejected("x", 0)), healthy: "ax"},
-		"probed":                        {queried: candidatesNamed(3, ejected("x", outlier.SafeProbe)), all: candidatesNamed(9), probe: "x"},
-		"not probed by the exposed":     {queried: candidatesNamed(3, ejected("x", outlier.SafeProbe)), all: candidatesNamed(9), notRetryable: true, healthy: "abc"},
-		"probed by any after long":      {queried: candidatesNamed(3, ejected("x", outlier.AnyProbe)), all: candidatesNamed(9), notRetryable: true, probe: "x"},
-		"one that was not asked is out": {queried: candidatesNamed(2), all: candidatesNamed(9, ejected("x", 0)), healthy: "ab"},
+		"none ejected":                {queried: candidatesNamed(3), all: candidatesNamed(9), healthy: "abc"},
+		"one ejected":                 {queried: candidatesNamed(2, ejected("x", 0)), all: candidatesNamed(9, ejected("x", 0)), healthy: "ab"},
+		"all queried ejected":         {queried: candidatesNamed(0, ejected("x", 0)), all: candidatesNamed(3, ejected("x", 0)), healthy: "abc"},
+		"too many ejected":            {queried: candidatesNamed(1, ejected("x", 0)), all: candidatesNamed(1, ejected("x", 0)), healthy: "ax"},
+		"probed":                      {queried: candidatesNamed(3, ejected("x", outlier.SafeProbe)), all: candidatesNamed(9), probe: "x"},
+		"not probed if not retryable": {queried: candidatesNamed(3, ejected("x", outlier.SafeProbe)), all: candidatesNamed(9), notRetryable: true, healthy: "abc"},
+		"probed by any request":       {queried: candidatesNamed(3, ejected("x", outlier.AnyProbe)), all: candidatesNamed(9), notRetryable: true, probe: "x"},
+		"ejected but not queried":     {queried: candidatesNamed(2), all: candidatesNamed(9, ejected("x", 0)), healthy: "ab"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -120,14 +120,14 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "candidates") {
 			all = append(all, Candidate{Instance: fmt.Sprint(i), Ejected: rapid.Bool().Draw(t, "ejected")})
 		}
-		queried := rapid.IntRange(1, len(all)).Draw(t, "asked")
-		healthy, probe := FilterEjected(all[:queried], all, rapid.Bool().Draw(t, "exposed"))
+		queried := rapid.IntRange(1, len(all)).Draw(t, "queried")
+		healthy, probe := FilterEjected(all[:queried], all, rapid.Bool().Draw(t, "not retryable"))
 		if len(healthy) == 0 || probe != nil {
-			t.Fatalf("%d candidates left, probe %v", len(healthy), probe)
+			t.Fatalf("%d candidates remain, probe %v", len(healthy), probe)
 		}
 		ejected := lo.CountBy(all, Candidate.ejected)
 		if dropped := lo.CountBy(healthy, Candidate.ejected) < lo.CountBy(all[:queried], Candidate.ejected); dropped && outlier.ExceedsEjectionLimit(ejected, len(all)) {
-			t.Fatalf("%d of %d are left out", ejected, len(all))
+			t.Fatalf("%d of %d candidates are ejected, yet some were dropped", ejected, len(all))
 		}
 	})
 }
--- a/internal/balance/peerloads_test.go
+++ b/internal/balance/peerloads_test.go
@@ -24,7 +24,7 @@
 			counts := map[loads.ReplicaKey]loads.Load{}
 			for range rapid.IntRange(0, 3).Draw(t, "replicas") {
 				key := loads.HashReplica(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "replica")))
-				counts[key] = loads.Load{InFlight: rapid.IntRange(0, 9).Draw(t, "under way"), Failing: rapid.Bool().Draw(t, "failing")}
+				counts[key] = loads.Load{InFlight: rapid.IntRange(0, 9).Draw(t, "in flight"), Failing: rapid.Bool().Draw(t, "failing")}
 			}
 			h.set(from, counts, 1, now)
 			newest[from] = peerReport{at: now, counts: counts}
--- a/internal/balance/sampling_test.go
+++ b/internal/balance/sampling_test.go
@@ -187,7 +187,7 @@
 			options.FirstSegment = segment
 			return SampleReplicas(sampledEngines.directory, options, now)
 		})
-		t.Logf("%v a second: scan %.1f ms, %d read anew; gather %.1f ms, %d read anew", perSecond, best, bestPrefills, sampled, sampledPrefills)
+		t.Logf("%v requests per second: full scan %.1f ms with %d prefills, sampling %.1f ms with %d prefills", perSecond, best, bestPrefills, sampled, sampledPrefills)
 		is.New(t).True(sampled <= best*maxRatio)
 	}
 }
--- a/internal/coldstart/model_test.go
+++ b/internal/coldstart/model_test.go
@@ -151,7 +151,7 @@
 		m := newModel(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), count, perSecond, 1)
 		m.run()
 		if m.maxArrivals > m.allowed() {
-			t.Fatalf("%d requests in a second, allowed %d", m.maxArrivals, m.allowed())
+			t.Fatalf("%d requests within a second, allowed %d", m.maxArrivals, m.allowed())
 		}
 	})
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -25,7 +25,7 @@
 		}
 		_, found := line.Fit()
 		if math.Abs(found-slope) > 0.1*slope || math.Abs(line.Predict(2500)-base-2500*slope) > 0.1*(base+2500*slope) {
-			t.Fatalf("scale %v: slope %v for %v", scale, found, slope)
+			t.Fatalf("scale %v: slope %v, want %v", scale, found, slope)
 		}
 	})
 }
@@ -75,7 +75,7 @@
 		base, slope := line.Fit()
 		for _, value := range []float64{base, slope, line.Predict(1e6), mean.Or(1), grows.Value()} {
 			if !usable(value) {
-				t.Fatalf("%v after %v and %v", value, xs, ys)
+				t.Fatalf("estimate %v after x %v and y %v", value, xs, ys)
 			}
 		}
 		for i := range 30 * int(memory) {
@@ -84,10 +84,10 @@
 			mean.Observe(7)
 		}
 		if got := line.Predict(500); math.Abs(got-55) > 6 {
-			t.Fatalf("stuck at %v", got)
+			t.Fatalf("prediction does not recover: %v", got)
 		}
 		if got := mean.Or(0); math.Abs(got-7) > 1 {
-			t.Fatalf("mean stuck at %v", got)
+			t.Fatalf("mean does not recover: %v", got)
 		}
 	})
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -85,7 +85,7 @@
 // If all replicas of a service fail at the known baseline rate, ejections must be rare.
 func TestFailuresAtBaselineRarelyEject(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rate := rapid.Float64Range(0, 0.2).Draw(t, "share")
+		rate := rapid.Float64Range(0, 0.2).Draw(t, "failure rate")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		total := 0
 		for range 35 {
@@ -93,7 +93,7 @@
 			total += ejections
 		}
 		if total > 1 {
-			t.Fatalf("%d ejections of 35 replicas that fail %v of 10,500 requests", total, rate)
+			t.Fatalf("%d ejections of 35 replicas at a failure rate of %v in 10,500 requests", total, rate)
 		}
 	})
 }
@@ -118,7 +118,7 @@
 // At a high known baseline no replica may be ejected.
 func TestHighBaselineDoesNotEject(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rate := rapid.Float64Range(0.3, 1).Draw(t, "share")
+		rate := rapid.Float64Range(0.3, 1).Draw(t, "failure rate")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		_, _, ejections := simulate(&Detector{}, 1000, 10*time.Millisecond, rate, failingWith(rate, random))
 		if ejections > 0 {
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -72,7 +72,7 @@
 }
 
 // errNoReplica means that no replica is left to try.
-var errNoReplica = errors.New("router: no replica takes the request")
+var errNoReplica = errors.New("router: no replica accepted the request")
 
 // send tries replicas until one responds. It returns errNoReplica, an error that wraps
 // errStale, or a *exchange.FailureError after which the call must not be retried.
--- a/internal/router/authenticate.go
+++ b/internal/router/authenticate.go
@@ -10,7 +10,7 @@
 
 // errStale means that the configuration may be outdated, so that this node cannot decide
 // whether a key is valid.
-var errStale = errors.New("router: nobody has confirmed the configuration lately")
+var errStale = errors.New("router: configuration was not confirmed recently")
 
 // reasonStale is the rejection reason for errStale.
 const reasonStale = "configuration_stale"
@@ -40,7 +40,7 @@
 
 func (r *Router) tenantOf(keys []string, configuration *routing.Configuration, stale error) (*routing.Tenant, *denial) {
 	if len(keys) != 1 {
-		return nil, &denial{http.StatusUnauthorized, rejection{reason: "no_key", cause: fmt.Errorf("%d keys", len(keys))}}
+		return nil, &denial{http.StatusUnauthorized, rejection{reason: "no_key", cause: fmt.Errorf("expected one key, got %d", len(keys))}}
 	}
 	// With a stale configuration, an unknown key may be valid and a known one revoked.
 	if stale != nil {
@@ -72,5 +72,5 @@
 	if known && age <= r.config.Lease {
 		return nil
 	}
-	return fmt.Errorf("%w: age %s, allowed %s", errStale, age, r.config.Lease)
+	return fmt.Errorf("%w: age %s, maximum %s", errStale, age, r.config.Lease)
 }
--- a/internal/router/call.go
+++ b/internal/router/call.go
@@ -201,7 +201,7 @@
 	return segments
 }
 
-var errBodyTooLarge = errors.New("router: the body is larger than allowed")
+var errBodyTooLarge = errors.New("router: request body exceeds the limit")
 
 // headerBytes returns the approximate size of a request's header on the wire.
 func headerBytes(request *http.Request) int {
@@ -241,18 +241,18 @@
 	if request.ContentLength > 0 {
 		body := make([]byte, request.ContentLength)
 		if _, err := io.ReadFull(request.Body, body); err != nil {
-			return nil, fmt.Errorf("router: read body: %w", err)
+			return nil, fmt.Errorf("router: read request body: %w", err)
 		}
 		// The server detects a disconnect of the client only after EOF has been read.
 		_, err := request.Body.Read(make([]byte, 1))
 		if err != nil && !errors.Is(err, io.EOF) {
-			return nil, fmt.Errorf("router: read body: %w", err)
+			return nil, fmt.Errorf("router: read request body: %w", err)
 		}
 		return body, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, limit+1))
 	if err != nil {
-		return nil, fmt.Errorf("router: read body: %w", err)
+		return nil, fmt.Errorf("router: read request body: %w", err)
 	}
 	if int64(len(body)) > limit {
 		return nil, errBodyTooLarge
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -13,8 +13,8 @@
 const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLarge  = errors.New("router: event is too large")
-	errEventTruncated = errors.New("router: stream ends within an event")
+	errEventTooLarge  = errors.New("router: event exceeds the maximum size")
+	errEventTruncated = errors.New("router: stream ended within an event")
 )
 
 // event is one event of a text/event-stream.
--- a/internal/router/outcome.go
+++ b/internal/router/outcome.go
@@ -65,7 +65,7 @@
 		logger.Warn("replica ejected", name, slog.Uint64("key", uint64(changed.Key)), slog.String("reason", changed.Reason.String()),
 			slog.Int("failures", changed.Failures), slog.Int("of", changed.Outcomes), slog.Float64("others_share", changed.BaselineFailureRate))
 	case outlier.NowReinstated:
-		logger.Info("replica returns", name, slog.Uint64("key", uint64(changed.Key)), slog.String("reason", changed.Reason.String()))
+		logger.Info("replica reinstated", name, slog.Uint64("key", uint64(changed.Key)), slog.String("reason", changed.Reason.String()))
 	case outlier.Unchanged:
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -239,14 +239,14 @@
 	}{
 		{"shed", withStatus(http.StatusServiceUnavailable, "Test-Not-Run: 1"), 200, 200},
 		{"another instance", withStatus(http.StatusMisdirectedRequest), 200, 200},
-		{"503 that promises nothing", withStatus(http.StatusServiceUnavailable), 200, 502},
-		{"429 that promises nothing", withStatus(http.StatusTooManyRequests), 200, 502},
-		{"no answer", closeConnection, 200, 502},
-		{"torn answer", truncated, 200, 502},
-		{"unsigned success", withStatus(http.StatusOK), 200, 502},
+		{"503 without not-run header", withStatus(http.StatusServiceUnavailable), 200, 502},
+		{"429 without not-run header", withStatus(http.StatusTooManyRequests), 200, 502},
+		{"no response", closeConnection, 200, 502},
+		{"truncated response", truncated, 200, 502},
+		{"success without stamp", withStatus(http.StatusOK), 200, 502},
 		{"encoded success", withStatus(http.StatusOK, "Test-Stamp: s", "Content-Encoding: gzip"), 200, 502},
-		{"own failure", withStatus(http.StatusInternalServerError, "Test-Stamp: s"), 200, 500},
-		{"own refusal", withStatus(http.StatusBadRequest, "Test-Stamp: s"), 400, 400},
+		{"error response", withStatus(http.StatusInternalServerError, "Test-Stamp: s"), 200, 500},
+		{"client error response", withStatus(http.StatusBadRequest, "Test-Stamp: s"), 400, 400},
 	}
 	for _, one := range cases {
 		t.Run(one.name, func(t *testing.T) {
@@ -350,7 +350,7 @@
 		select {
 		case <-canceled:
 		case <-time.After(500 * time.Millisecond):
-			t.Fatalf("%s: the replica works on", path)
+			t.Fatalf("%s: the attempt was not canceled", path)
 		}
 	}
 }
--- a/internal/router/stalled_test.go
+++ b/internal/router/stalled_test.go
@@ -76,12 +76,12 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 			taken := int64(heap()) - int64(before)
-			t.Logf("%d clients that don't read take %d kB, %d of bodies", clients, taken>>10, h.router.responseBytes.Load()>>10)
+			t.Logf("%d stalled clients use %d kB, %d kB of them reserved for bodies", clients, taken>>10, h.router.responseBytes.Load()>>10)
 			is.True(taken < most)
 			is.True(h.router.responseBytes.Load() <= h.router.config.BufferBytes)
 			for end := time.Now().Add(writeGracePeriod + 6*time.Second); testutil.ToFloat64(h.router.metrics.inFlight) > 0; {
 				if time.Now().After(end) {
-					t.Fatalf("%v of them are still served", testutil.ToFloat64(h.router.metrics.inFlight))
+					t.Fatalf("%v requests are still in flight", testutil.ToFloat64(h.router.metrics.inFlight))
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -115,6 +115,6 @@
 	case took := <-ended:
 		is.True(took >= 300*time.Millisecond)
 	case <-time.After(10 * time.Second):
-		t.Fatal("it goes on")
+		t.Fatal("the write did not time out")
 	}
 }
--- a/internal/router/stream_test.go
+++ b/internal/router/stream_test.go
@@ -206,11 +206,11 @@
 		for range 2 {
 			read, err := readEvent(reader)
 			if err != nil || string(read.raw) != text {
-				t.Fatalf("%q became %q, %v", text, read.raw, err)
+				t.Fatalf("read %q as %q, %v", text, read.raw, err)
 			}
 		}
 		if _, err := readEvent(reader); !errors.Is(err, io.EOF) {
-			t.Fatalf("no end: %v", err)
+			t.Fatalf("want io.EOF, got %v", err)
 		}
 	})
 }
--- a/internal/router/usable.go
+++ b/internal/router/usable.go
@@ -14,12 +14,12 @@
 var (
 	// errEvacuated means that the replica's zone was evacuated after the replica was
 	// selected.
-	errEvacuated = errors.New("router: the replica's zone is evacuated")
+	errEvacuated = errors.New("router: zone of the replica is evacuated")
 	// errCold means that this node has no permit for a cold replica.
-	errCold = errors.New("router: the replica is cold and gets no more from this node now")
+	errCold = errors.New("router: no permit for a cold replica")
 	// errNoAllowedRegion means that no replica is in the regions where the request's data
 	// may be.
-	errNoAllowedRegion = errors.New("router: no replica in the regions where the data may be")
+	errNoAllowedRegion = errors.New("router: no replica in the allowed regions")
 )
 
 const (
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -135,7 +135,7 @@
 	case route.Host == "":
 		return errors.New("no host")
 	case !strings.HasPrefix(route.PathPrefix, "/") || !strings.HasSuffix(route.PathPrefix, "/"):
-		return fmt.Errorf("path prefix %q does not begin and end with a slash", route.PathPrefix)
+		return fmt.Errorf("path prefix %q must begin and end with a slash", route.PathPrefix)
 	case route.Kind != KindSafe && route.Kind != KindUnsafe && route.Kind != KindStreaming:
 		return fmt.Errorf("unknown kind %q", route.Kind)
 	case len(route.WeightedServices) == 0:
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -48,7 +48,7 @@
 			services = append(services, WeightedService{Service: string(rune('a' + i)), Weight: weight})
 		}
 		route := routeTo("/", services...)
-		start := rapid.Float64Range(0, 0.999).Draw(t, "begin")
+		start := rapid.Float64Range(0, 0.999).Draw(t, "start")
 		splitter, counts := NewSplitter(), map[string]int{}
 		const requests = 200
 		for range requests {
@@ -57,7 +57,7 @@
 		for _, service := range services {
 			want := float64(requests) * float64(service.Weight) / float64(totalWeight(services))
 			if got := float64(counts[service.Service]); got < want-float64(len(services)) || got > want+float64(len(services)) {
-				t.Fatalf("%s got %v of %v", service.Service, got, want)
+				t.Fatalf("%s got %v requests, want %v", service.Service, got, want)
 			}
 		}
 	})
--- a/internal/routing/tenant.go
+++ b/internal/routing/tenant.go
@@ -99,14 +99,14 @@
 	case tenant.Name == "":
 		return errors.New("no name")
 	case c.byTenant[tenant.Name] != nil:
-		return errors.New("another tenant has this name")
+		return errors.New("duplicate name")
 	case tenant.RatePerSecond < 0 || tenant.Burst < 0:
-		return fmt.Errorf("a rate of %g and a burst of %g can't be kept", tenant.RatePerSecond, tenant.Burst)
+		return fmt.Errorf("negative rate %g or burst %g", tenant.RatePerSecond, tenant.Burst)
 	}
 	c.byTenant[tenant.Name] = tenant
 	for _, key := range tenant.Keys {
 		if other := c.byKey[key]; other != nil && other != tenant {
-			return fmt.Errorf("key %s is held by %s too", key, other.Name)
+			return fmt.Errorf("key %s belongs to tenant %s too", key, other.Name)
 		}
 		c.byKey[key] = tenant
 	}
--- a/internal/routing/tenant_test.go
+++ b/internal/routing/tenant_test.go
@@ -35,7 +35,7 @@
 		{Name: "c", RatePerSecond: -1},
 	}})
 	is.True(err != nil)
-	for _, part := range []string{"tenant 1 (b): key " + key.String() + " is held by a too", "tenant 2 (): no name", "tenant 3 (a): another", "tenant 4 (c): a rate of -1"} {
+	for _, part := range []string{"tenant 1 (b): key " + key.String() + " belongs to tenant a too", "tenant 2 (): no name", "tenant 3 (a): duplicate name", "tenant 4 (c): negative rate -1"} {
 		is.True(strings.Contains(err.Error(), part))
 	}
 	is.True(!strings.Contains(err.Error(), "shared"))
