--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -9,12 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// withinObservations is how many observations a line needs to be close.
+// withinObservations is the number of observations after which a fit must be accurate.
 const withinObservations = 100
 
-// TestLineFindsRatesOfAnySize: base and slope within a tenth for rates from a
-// thousandth to a thousand times of a usual one.
-func TestLineFindsRatesOfAnySize(t *testing.T) {
+// The fit must converge to within a tenth for rates over six orders of magnitude.
+func TestLinearFitConvergesAtAnyScale(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scale := math.Pow(10, rapid.Float64Range(-3, 3).Draw(t, "scale"))
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -26,12 +25,12 @@
 		}
 		_, found := line.Fit()
 		if math.Abs(found-slope) > 0.1*slope || math.Abs(line.Predict(2500)-base-2500*slope) > 0.1*(base+2500*slope) {
-			t.Fatalf("scale %v: slope %v for %v", scale, found, slope)
+			t.Fatalf("scale %v: slope %v, want %v", scale, found, slope)
 		}
 	})
 }
 
-func TestLineIsKnownFromTheFirstObservation(t *testing.T) {
+func TestLinearFitAfterFirstObservation(t *testing.T) {
 	is := is.New(t)
 	var line LinearFit
 	is.True(!line.Known())
@@ -40,7 +39,7 @@
 	is.True(slope > 0.01 && slope <= 0.05)
 }
 
-func TestChangeOfSpeedIsFollowed(t *testing.T) {
+func TestLinearFitFollowsChange(t *testing.T) {
 	for _, factor := range []float64{3, 1.0 / 3} {
 		is := is.New(t)
 		random := rand.New(rand.NewPCG(1, 2))
@@ -58,9 +57,9 @@
 	}
 }
 
-// TestEstimatesStayUsable: whatever is observed, no rate is negative, infinite or not
-// a number, and sound observations bring it back.
-func TestEstimatesStayUsable(t *testing.T) {
+// No sequence of observations may make an estimate negative, infinite or NaN, and
+// plausible observations must restore it.
+func TestEstimatesStayFiniteAndNonNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		odd := rapid.SliceOfN(rapid.Float64(), 0, 50)
 		var line LinearFit
@@ -76,7 +75,7 @@
 		base, slope := line.Fit()
 		for _, value := range []float64{base, slope, line.Predict(1e6), mean.Or(1), grows.Value()} {
 			if !usable(value) {
-				t.Fatalf("%v after %v and %v", value, xs, ys)
+				t.Fatalf("estimate %v after x %v and y %v", value, xs, ys)
 			}
 		}
 		for i := range 30 * int(memory) {
@@ -85,15 +84,15 @@
 			mean.Observe(7)
 		}
 		if got := line.Predict(500); math.Abs(got-55) > 6 {
-			t.Fatalf("stuck at %v", got)
+			t.Fatalf("prediction does not recover: %v", got)
 		}
 		if got := mean.Or(0); math.Abs(got-7) > 1 {
-			t.Fatalf("mean stuck at %v", got)
+			t.Fatalf("mean does not recover: %v", got)
 		}
 	})
 }
 
-func TestUnseenDelaysMoveTheLineLittle(t *testing.T) {
+func TestRandomDelaysBarelyBiasLinearFit(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	var line LinearFit
@@ -109,9 +108,8 @@
 	is.True(math.Abs(slope-0.05) < 0.015)
 }
 
-// TestSlopeIsNotMisledBySlowReplicas: slower replicas have more to do, and each request
-// beside adds a little.
-func TestSlopeIsNotMisledBySlowReplicas(t *testing.T) {
+// The slope must not be biased if slower replicas also have more concurrent requests.
+func TestSlopeIsUnbiasedByGroupMeans(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(5, 6))
 	var slope Slope
@@ -124,7 +122,7 @@
 	is.True(math.Abs(slope.Value()-0.5) < 0.05)
 }
 
-func TestServiceBeginsWithPriorsAndLeavesThem(t *testing.T) {
+func TestServiceReplacesPriors(t *testing.T) {
 	is := is.New(t)
 	var service Service
 	before := service.Rates()
--- a/internal/routing/tenant_test.go
+++ b/internal/routing/tenant_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestKeysLeadToTheirTenants(t *testing.T) {
+func TestTenantLookup(t *testing.T) {
 	is := is.New(t)
 	built, err := Build(Configuration{Tenants: []Tenant{
 		{Name: "a", Keys: []KeyDigest{DigestKey("k1"), DigestKey("k2")}},
@@ -24,7 +24,7 @@
 	is.True(!nobody.Limited())
 }
 
-func TestAllFaultsOfTenantsComeTogether(t *testing.T) {
+func TestBuildReportsAllInvalidTenants(t *testing.T) {
 	is := is.New(t)
 	key := DigestKey("shared")
 	_, err := Build(Configuration{Tenants: []Tenant{
@@ -35,7 +35,7 @@
 		{Name: "c", RatePerSecond: -1},
 	}})
 	is.True(err != nil)
-	for _, part := range []string{"tenant 1 (b): key " + key.String() + " is held by a too", "tenant 2 (): no name", "tenant 3 (a): another", "tenant 4 (c): a rate of -1"} {
+	for _, part := range []string{"tenant 1 (b): key " + key.String() + " belongs to tenant a too", "tenant 2 (): no name", "tenant 3 (a): duplicate name", "tenant 4 (c): negative rate -1"} {
 		is.True(strings.Contains(err.Error(), part))
 	}
 	is.True(!strings.Contains(err.Error(), "shared"))
