--- a/internal/trace/check.go
+++ b/internal/trace/check.go
@@ -11,8 +11,9 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// check returns what is wrong with a trace beyond single fields: names that
-// nothing has, programs without a creation, outcomes that contradict themselves.
+// check validates a trace across fields and events: references to undefined
+// names, programs used before their creation, times out of order and
+// contradictory outcomes.
 func check(t *Trace) []Finding {
 	c := &checker{trace: t, programs: map[identity.ProgramID]bool{}, publications: map[string]bool{}}
 	c.classes = c.table(1, "site.table", t.Header.Site.Table)
@@ -45,7 +46,8 @@
 	c.findings = append(c.findings, Finding{File: c.trace.File, Line: c.line, Field: field, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// table checks a table and returns its classes.
+// table parses a table, reports its findings and returns its classes, nil if it
+// is invalid.
 func (c *checker) table(line int, field string, lines []string) map[string]table.Class {
 	c.line = line
 	parsed, err := table.Parse(TableContent(lines))
@@ -63,7 +65,7 @@
 	return parsed.Classes
 }
 
-// TableContent joins the lines of a table's CSV.
+// TableContent joins the lines of a table into CSV with a final newline.
 func TableContent(lines []string) []byte { return []byte(strings.Join(lines, "\n") + "\n") }
 
 func (c *checker) backends(site Site) {
@@ -203,15 +205,15 @@
 	c.outcome(event.Outcome)
 }
 
-func (c *checker) outcome(stated Outcome) {
-	refused := stated.Is == OutcomeRefused
+func (c *checker) outcome(expected Outcome) {
+	refused := expected.Is == OutcomeRefused
 	switch {
-	case refused && !slices.Contains(api.Codes(), stated.Code):
-		c.add("outcome.code", "%q is no code of a problem", stated.Code)
-	case !refused && (stated.Code != "" || stated.NotRun):
+	case refused && !slices.Contains(api.Codes(), expected.Code):
+		c.add("outcome.code", "%q is no code of a problem", expected.Code)
+	case !refused && (expected.Code != "" || expected.NotRun):
 		c.add("outcome", "code and not_run belong to a refusal")
 	}
-	if answered := stated.Is == OutcomeAnswered || stated.Is == OutcomeReplayed; stated.Digest != "" && !answered {
+	if answered := expected.Is == OutcomeAnswered || expected.Is == OutcomeReplayed; expected.Digest != "" && !answered {
 		c.add("outcome.digest", "belongs to an answer")
 	}
 }
--- a/internal/trace/client.go
+++ b/internal/trace/client.go
@@ -9,9 +9,9 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// ClientPrograms shows real nodes, as a client reaches them, as serving.Programs,
-// so that a Recorder can stand before them. The client asks again by itself: a
-// recorded call is then the whole of its attempts, and From is not needed.
+// ClientPrograms implements serving.Programs with an HTTP client, so that a
+// Recorder can record the traffic of real nodes. The client retries by itself, so
+// a recorded call covers all of its attempts.
 type ClientPrograms struct {
 	Client *client.Client
 }
--- a/internal/trace/events.go
+++ b/internal/trace/events.go
@@ -8,22 +8,24 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// Kind names a kind of event in a line's field "event".
+// Kind is the value of the field "event", which selects the type of a line.
 type Kind string
 
-// NodeReference names a node: by its name, or as "owner:PROGRAM", which is the
-// node that owns the program's shard when the event happens. Empty is any node.
+// NodeReference identifies a node: a name, or "owner:PROGRAM" for the node that
+// owns the program's shard at the time of the event. The empty reference means
+// any node.
 type NodeReference string
 
 const ownerPrefix = "owner:"
 
-// OwnerOf returns the program whose owner r names, if it names one.
+// OwnerOf returns the program of a reference of the form "owner:PROGRAM", and
+// false for any other reference.
 func (r NodeReference) OwnerOf() (identity.ProgramID, bool) {
 	program, found := strings.CutPrefix(string(r), ownerPrefix)
 	return identity.ProgramID(program), found
 }
 
-// Create is a caller that makes a program. It insists until the program stands.
+// Create is a caller's creation of a program, retried until it succeeds.
 type Create struct {
 	Program identity.ProgramID `json:"program" validate:"required"`
 	Tenant  string             `json:"tenant" validate:"required"`
@@ -31,25 +33,26 @@
 	Node    NodeReference      `json:"node,omitempty"`
 }
 
-// Call is a caller that makes a call, with what has to come of it.
+// Call is a caller's model or application call, with its expected outcome.
 type Call struct {
 	Program identity.ProgramID `json:"program" validate:"required"`
 	Node    NodeReference      `json:"node,omitempty"`
-	// Pause is the time that the caller's tools take after the call of the branch
-	// on the line before: the call leaves that long after that one has its outcome,
-	// and not before its own time. Without it the call leaves at its own time.
+	// Pause is how long the caller waits, once the event's time has come and all
+	// earlier calls of the branch have an outcome, before it sends the call; it
+	// stands for the caller's tools. If Pause is nil, the call is sent at the
+	// event's time.
 	Pause *Duration `json:"pause,omitempty"`
-	// Timeout is how long the caller waits for one answer before it gives the
-	// connection up; 0 is as long as it takes.
+	// Timeout bounds one attempt, after which the caller closes the connection; 0
+	// selects the default of the replay.
 	Timeout Duration `json:"timeout,omitempty" validate:"min=0"`
-	// Patience is how long the caller asks again, through other nodes, where asking
-	// again may help. 0 is one attempt.
+	// Patience is how long the caller retries retryable errors through other nodes;
+	// 0 allows one attempt.
 	Patience Duration        `json:"patience,omitempty" validate:"min=0"`
 	Call     api.CallRequest `json:"call"`
 	Outcome  Outcome         `json:"outcome"`
 }
 
-// CallID names the call.
+// CallID returns the call's ID; an empty branch is the main branch.
 func (c Call) CallID() identity.CallID {
 	branch := identity.BranchID(c.Call.Branch)
 	if branch == "" {
@@ -58,119 +61,124 @@
 	return identity.CallID{Program: c.Program, Branch: branch, Sequence: identity.Sequence(c.Call.Sequence)}
 }
 
-// OutcomeKind is what became of a call.
+// OutcomeKind classifies the result of a call.
 type OutcomeKind string
 
 // The outcomes of calls.
 const (
-	// OutcomeAnswered is an answer, fresh or from the journal.
+	// OutcomeAnswered is an answer, newly computed or replayed from the journal.
 	OutcomeAnswered OutcomeKind = "answered"
-	// OutcomeReplayed is an answer from the journal.
+	// OutcomeReplayed is an answer replayed from the journal.
 	OutcomeReplayed OutcomeKind = "replayed"
-	// OutcomeRefused is a problem with a code.
+	// OutcomeRefused is a problem with a code other than outcome_unknown.
 	OutcomeRefused OutcomeKind = "refused"
-	// OutcomeUnknown is the problem outcome_unknown: sent once, never again.
+	// OutcomeUnknown is the problem outcome_unknown: an unrepeatable call was sent
+	// and its effect is not known.
 	OutcomeUnknown OutcomeKind = "outcome_unknown"
-	// OutcomeLost is a connection that ended without any answer.
+	// OutcomeLost is a connection that ended without a response.
 	OutcomeLost OutcomeKind = "lost"
 )
 
-// Outcome states what has to come of a call.
+// Outcome is the expected result of a call.
 type Outcome struct {
 	Is OutcomeKind `json:"is" validate:"oneof=answered replayed refused outcome_unknown lost"`
-	// Code and NotRun belong to a refusal.
+	// Code and NotRun are set for OutcomeRefused only.
 	Code   api.Code `json:"code,omitempty"`
 	NotRun bool     `json:"not_run,omitempty"`
-	// Digest is of a model's answer, in hexadecimal; empty takes any.
+	// Digest is the hexadecimal hash of a model's answer; empty matches any answer.
 	Digest string `json:"digest,omitempty"`
-	// Within is the longest time from the call's first attempt to its outcome; 0 is
-	// no bound.
+	// Within bounds the time from the first attempt to the outcome; 0 means
+	// unbounded.
 	Within Duration `json:"within,omitempty" validate:"min=0"`
-	// Attempts bounds the caller's attempts; 0 is no bound.
+	// Attempts bounds the number of attempts; 0 means unbounded.
 	Attempts int `json:"attempts,omitempty" validate:"min=0"`
 }
 
-// End is a caller that ends a program, once its calls before have an outcome.
+// End is a caller's end of a program, sent after the outcomes of all its earlier
+// calls.
 type End struct {
 	Program identity.ProgramID `json:"program" validate:"required"`
 	Node    NodeReference      `json:"node,omitempty"`
 }
 
-// Cancel is a caller or operator that cancels a program at once.
+// Cancel is the cancellation of a program, which doesn't wait for its calls.
 type Cancel struct {
 	Program identity.ProgramID `json:"program" validate:"required"`
 	Node    NodeReference      `json:"node,omitempty"`
 }
 
-// For is how long a failure lasts; 0 is until the trace's last event is over.
+// For is embedded in failures and bounds their duration; 0 lasts until all
+// events of the trace have finished.
 type For struct {
 	For Duration `json:"for,omitempty" validate:"min=0"`
 }
 
-// Lasts returns how long the failure lasts.
+// Lasts returns the duration of the failure.
 func (f For) Lasts() Duration { return f.For }
 
-// Kill ends a node as SIGKILL does; after For it starts again with nothing kept.
+// Kill terminates a node as SIGKILL does; after For it restarts with empty state.
 type Kill struct {
 	Node NodeReference `json:"node" validate:"required"`
 	For
 }
 
-// Freeze stops a node between its last checks and its sends; after For it goes on.
+// Freeze pauses a node's process between its last checks and the resulting sends;
+// after For it resumes.
 type Freeze struct {
 	Node NodeReference `json:"node" validate:"required"`
 	For
 }
 
-// Drain stops a node as planned; after For it starts again.
+// Drain shuts a node down gracefully; after For it restarts.
 type Drain struct {
 	Node NodeReference `json:"node" validate:"required"`
 	For
 }
 
-// Cut takes the link from one node to another away, in this direction.
+// Cut drops all messages from one node to another, in this direction only.
 type Cut struct {
 	From NodeReference `json:"from" validate:"required"`
 	To   NodeReference `json:"to" validate:"required"`
 	For
 }
 
-// CutZone cuts a zone off from all others: its nodes from the other nodes and
-// from the other zones' back ends, and from the log and the machine list if
-// Platform is set.
+// CutZone partitions a zone from all others: its nodes lose the other zones'
+// nodes and back ends and, if Platform is set, the log and the machine list.
 type CutZone struct {
 	Zone     identity.Zone `json:"zone" validate:"required"`
 	Platform bool          `json:"platform,omitempty"`
 	For
 }
 
-// Log changes what is wrong with the log service.
+// Log sets the faults of the log service.
 type Log struct {
 	Down        bool     `json:"down,omitempty"`
 	AppendDelay Duration `json:"append_delay,omitempty" validate:"min=0"`
 	ReadDelay   Duration `json:"read_delay,omitempty" validate:"min=0"`
-	// LoseAnswers is the share of appends that take effect and whose answer is lost.
+	// LoseAnswers is the fraction of appends that take effect but whose response is
+	// lost.
 	LoseAnswers float64 `json:"lose_answers,omitempty" validate:"min=0,max=1"`
 	For
 }
 
-// Engine changes what is wrong with an engine.
+// Engine sets the faults of an engine.
 type Engine struct {
 	Name   string  `json:"name" validate:"required"`
 	Down   bool    `json:"down,omitempty"`
 	Frozen bool    `json:"frozen,omitempty"`
 	Slow   float64 `json:"slow,omitempty" validate:"min=0"`
-	// LoseNext answers are lost after their effect.
+	// LoseNext is the number of next responses that are lost after the request took
+	// effect.
 	LoseNext int `json:"lose_next,omitempty" validate:"min=0"`
 	For
 }
 
-// RestartEngine ends an engine's process and starts another with nothing kept.
+// RestartEngine restarts an engine with an empty cache and no streams.
 type RestartEngine struct {
 	Name string `json:"name" validate:"required"`
 }
 
-// Application changes what is wrong with an application replica.
+// Application sets the faults of an application replica.
 type Application struct {
 	Name       string  `json:"name" validate:"required"`
 	Down       bool    `json:"down,omitempty"`
@@ -181,38 +189,39 @@
 	For
 }
 
-// Leave is a back end that begins to leave: it finishes what it has, refuses new
-// work and says so in its reports; the machine list shows it later.
+// Leave starts to drain a back end: it finishes its requests, rejects new ones
+// and reports that it is draining. The machine list shows the change after its
+// lag.
 type Leave struct {
 	Name string `json:"name" validate:"required"`
 }
 
-// Publish is an operator who publishes a table, with what has to come of it.
+// Publish is an operator's publication of a table, with its expected outcome.
 type Publish struct {
 	ID     string        `json:"id" validate:"required"`
 	Node   NodeReference `json:"node,omitempty"`
 	Base   table.Version `json:"base"`
 	Author string        `json:"author" validate:"required"`
 	Table  []string      `json:"table" validate:"min=1"`
-	// RaceOf groups publications of which exactly one has to win; Outcome is then
-	// left out. Else Outcome says what has to come of this one.
+	// RaceOf names a group of concurrent publications of which exactly one must be
+	// accepted. Either RaceOf or Outcome is set.
 	RaceOf  string             `json:"race_of,omitempty"`
 	Outcome PublicationOutcome `json:"outcome,omitempty" validate:"omitempty,oneof=accepted lost invalid refused"`
 }
 
-// PublicationOutcome is what an operator is told.
+// PublicationOutcome is the result of a publication as its operator sees it.
 type PublicationOutcome string
 
 // The outcomes of publications.
 const (
 	PublicationAccepted PublicationOutcome = "accepted"
-	// PublicationLost: another version was accepted on the base.
+	// PublicationLost means that another version was accepted on the same base.
 	PublicationLost PublicationOutcome = "lost"
-	// PublicationInvalid: the table has findings.
+	// PublicationInvalid means that the table has findings.
 	PublicationInvalid PublicationOutcome = "invalid"
-	// PublicationRefused: nothing was published, for certain.
+	// PublicationRefused means that nothing was published.
 	PublicationRefused PublicationOutcome = "refused"
-	// PublicationUnknown: the operator was not told.
+	// PublicationUnknown means that the operator got no definite response.
 	PublicationUnknown PublicationOutcome = "unknown"
 )
 
--- a/internal/trace/expectations.go
+++ b/internal/trace/expectations.go
@@ -6,8 +6,8 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// ExpectExecutions states how often the applications executed an operation with
-// a key, over the whole trace.
+// ExpectExecutions bounds the number of executions of an operation with a key,
+// over all application replicas and the whole trace.
 type ExpectExecutions struct {
 	Operation string `json:"operation" validate:"required"`
 	Key       string `json:"key" validate:"required"`
@@ -15,51 +15,52 @@
 	AtMost    int    `json:"at_most" validate:"gtefield=AtLeast"`
 }
 
-// ExpectOrder states the order in which a branch's model calls first reached the
-// engines, all of them; no call may arrive after a later one.
+// ExpectOrder lists all model calls of a branch in the order in which they first
+// reached an engine. No call may arrive after one with a higher sequence.
 type ExpectOrder struct {
 	Program   identity.ProgramID  `json:"program" validate:"required"`
 	Branch    identity.BranchID   `json:"branch" validate:"required"`
 	Sequences []identity.Sequence `json:"sequences" validate:"min=1"`
 }
 
-// ExpectConversation states that each model call of a branch reached the engines
-// with all turns that its callers sent and all answers they got, in order and
-// nothing else, and how many turns the longest one had.
+// ExpectConversation requires that each model call of a branch reached the engines
+// with exactly the messages that callers sent and the answers that they received,
+// in order. Turns is the number of messages of the longest prompt.
 type ExpectConversation struct {
 	Program identity.ProgramID `json:"program" validate:"required"`
 	Branch  identity.BranchID  `json:"branch" validate:"required"`
 	Turns   int                `json:"turns" validate:"min=1"`
 }
 
-// ExpectSpent bounds the tokens that the engines computed for a program, repeats
-// included.
+// ExpectSpent bounds the tokens that the engines computed for a program, including
+// repeated attempts.
 type ExpectSpent struct {
 	Program identity.ProgramID `json:"program" validate:"required"`
 	AtLeast int64              `json:"at_least" validate:"min=0"`
 	AtMost  int64              `json:"at_most" validate:"gtefield=AtLeast"`
 }
 
-// ExpectVersion states the version of the table in force at its time on every
-// live node.
+// ExpectVersion is the version of the table in force on every live node at the
+// time of the event.
 type ExpectVersion struct {
 	Version table.Version `json:"version" validate:"required"`
 }
 
-// ExpectMemory states whether any engine holds memory of a program at its time.
+// ExpectMemory states whether any engine caches a prefix of a program at the time
+// of the event.
 type ExpectMemory struct {
 	Program identity.ProgramID `json:"program" validate:"required"`
 	Held    bool               `json:"held"`
 }
 
-// ExpectState states where a program is in its life at its time.
+// ExpectState is the state of a program at the time of the event.
 type ExpectState struct {
 	Program identity.ProgramID `json:"program" validate:"required"`
 	State   api.ProgramState   `json:"state" validate:"oneof=running ended cancelled expired"`
 }
 
-// ExpectNoNewWork states that an engine takes on no stream from its time on. It
-// must have taken one on before.
+// ExpectNoNewWork requires that an engine receives no stream from the time of the
+// event on, and at least one before.
 type ExpectNoNewWork struct {
 	Name string `json:"name" validate:"required"`
 }
--- a/internal/trace/fields.go
+++ b/internal/trace/fields.go
@@ -21,7 +21,7 @@
 
 var errNoObject = errors.New("want one JSON object")
 
-// objectFields returns the members of an object in their order, repeats included.
+// objectFields returns the members of an object in order, including duplicates.
 func objectFields(text []byte) ([]field, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if first, err := decoder.Token(); err != nil || first != json.Delim('{') {
@@ -34,7 +34,7 @@
 			return nil, fmt.Errorf("%w: %w", errNoObject, err)
 		}
 		member := field{}
-		member.name, _ = name.(string) // the decoder gives nothing else inside an object
+		member.name, _ = name.(string) // a key is always a string
 		if err := decoder.Decode(&member.value); err != nil {
 			return nil, fmt.Errorf("%w: %w", errNoObject, err)
 		}
@@ -46,7 +46,7 @@
 	return fields, nil
 }
 
-// splitFields parts the members with one of names from the others.
+// splitFields separates the members with one of the given names from the others.
 func splitFields(fields []field, names ...string) (named, others []field) {
 	for _, member := range fields {
 		if slices.Contains(names, member.name) {
@@ -58,7 +58,7 @@
 	return named, others
 }
 
-// object sets the struct target from a JSON object.
+// object decodes a JSON object into the struct target.
 func (r *reader) object(line int, path string, text []byte, target reflect.Value) {
 	fields, err := objectFields(text)
 	if err != nil {
@@ -71,15 +71,15 @@
 func (r *reader) fields(line int, path string, fields []field, target reflect.Value) {
 	seen := map[string]bool{}
 	for _, member := range fields {
-		place := join(path, member.name)
+		fieldPath := join(path, member.name)
 		value, known := fieldByName(target, member.name)
 		switch {
 		case !known:
-			r.add(line, place, "unknown field")
+			r.add(line, fieldPath, "unknown field")
 		case seen[member.name]:
-			r.add(line, place, "given twice")
+			r.add(line, fieldPath, "given twice")
 		default:
-			r.set(line, place, member.value, value)
+			r.set(line, fieldPath, member.value, value)
 		}
 		seen[member.name] = true
 	}
@@ -90,8 +90,8 @@
 	jsonType = reflect.TypeFor[json.Unmarshaler]()
 )
 
-// set sets one field. Structs and lists of structs are read field by field, so
-// that each fault is found at its own place.
+// set decodes one field. Structs and slices of structs are decoded field by field,
+// so that each finding has the path of its own field.
 func (r *reader) set(line int, path string, text json.RawMessage, target reflect.Value) {
 	if isSection(target.Type()) {
 		r.object(line, path, text, target)
@@ -124,7 +124,7 @@
 	return kind.Kind() == reflect.Struct && !pointer.Implements(textType) && !pointer.Implements(jsonType)
 }
 
-// fieldByName finds a struct's field by its JSON name, in embedded structs too.
+// fieldByName finds a struct's field by its JSON name, also in embedded structs.
 func fieldByName(target reflect.Value, name string) (reflect.Value, bool) {
 	for index := range target.NumField() {
 		described := target.Type().Field(index)
@@ -153,14 +153,14 @@
 	return path + "." + name
 }
 
-// rules checks the validate tags and names fields as JSON does.
+// rules checks the validate tags and reports fields by their JSON names.
 var rules = func() *validator.Validate {
 	built := validator.New(validator.WithRequiredStructEnabled())
 	built.RegisterTagNameFunc(jsonName)
 	return built
 }()
 
-// validate adds a finding for each field that breaks the rule of its tag.
+// validate adds a finding for each field that violates its validate tag.
 func (r *reader) validate(line int, value any) {
 	var broken validator.ValidationErrors
 	if !errors.As(rules.Struct(value), &broken) {
--- a/internal/trace/outcome.go
+++ b/internal/trace/outcome.go
@@ -9,8 +9,8 @@
 	"stepseam.example/stepseam/api"
 )
 
-// OutcomeOf returns the outcome that a caller's answer and error are. Any error
-// without a problem is a lost connection.
+// OutcomeOf classifies the result of a call. An error that isn't an api.Problem is
+// a lost connection.
 func OutcomeOf(answer api.Answer, err error) Outcome {
 	var problem *api.Problem
 	switch {
@@ -26,8 +26,8 @@
 	return Outcome{Is: OutcomeRefused, Code: problem.Code, NotRun: problem.NotRun}
 }
 
-// digestOf is of a model's text. An application's output names the replica that
-// ran it, so that it differs from run to run.
+// digestOf hashes a model's text. It is empty for an application's output, which
+// contains the name of the replica that ran it and so differs between runs.
 func digestOf(answer api.Answer) string {
 	if answer.Text == "" {
 		return ""
--- a/internal/trace/read.go
+++ b/internal/trace/read.go
@@ -12,12 +12,12 @@
 	"strings"
 )
 
-// Finding is one fault of a trace with its place.
+// Finding is one error in a trace with its location.
 type Finding struct {
 	File string
-	// Line is 0 where the fault is of the whole file.
 	Line int
-	// Field is the path of the field, such as call.sequence, empty for a whole line.
+	// Field is the path of the field, such as call.sequence; it is empty if the
+	// finding concerns the whole line.
 	Field   string
 	Message string
 }
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Message)
 }
 
-// InvalidError reports all findings of a trace together.
+// InvalidError contains all findings of a trace.
 type InvalidError struct{ Findings []Finding }
 
 // Error returns one line per finding.
@@ -42,7 +42,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// bodies gives an empty body of each kind.
+// bodies maps each kind to its type.
 var bodies = func() map[Kind]reflect.Type {
 	known := map[Kind]reflect.Type{}
 	for _, body := range []Body{
@@ -84,8 +84,9 @@
 	return Read(filepath.Base(path), bytes.NewReader(content))
 }
 
-// Read reads a trace and checks it whole. The error is an *InvalidError with all
-// findings unless reading itself failed.
+// Read decodes and validates a trace. The error is an *InvalidError with all
+// findings unless the source can't be read. The checks across events run only if
+// every line is valid by itself.
 func Read(file string, source io.Reader) (*Trace, error) {
 	content, err := io.ReadAll(source)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return read, nil
 }
 
-// reader collects findings; it goes on after a fault so that one run finds all.
+// reader collects findings and continues after each one.
 type reader struct {
 	file     string
 	findings []Finding
@@ -133,13 +134,13 @@
 	}
 }
 
-// eventHead is what every event line has.
+// eventHead has the fields that all event lines share.
 type eventHead struct {
 	At    *Duration `json:"at"`
 	Event Kind      `json:"event"`
 }
 
-// event reads one line; whole is false if it has findings.
+// event decodes one line; whole is false if the line has findings.
 func (r *reader) event(number int, line []byte) (event Event, whole bool) {
 	before := len(r.findings)
 	fields, err := objectFields(line)
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -12,24 +12,24 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// Recorder records callers' traffic as events of a trace, with the outcomes that
-// callers got as the stated ones. It stands where callers meet a node, so each
-// attempt of a caller is a line of its own. It is safe for concurrent use.
+// Recorder records callers' requests as events of a trace, with the observed
+// outcomes as the expected ones. It wraps a node's serving.Programs, so each
+// attempt of a caller is an event of its own. It is safe for concurrent use.
 type Recorder struct {
 	began time.Time
 
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex    sync.Mutex
 	events   []Event
 	created  map[identity.ProgramID]bool
 	branches map[branchKey]*branchTraffic
 }
 
-// branchTraffic is what was seen of a branch's calls.
+// branchTraffic tracks the calls of one branch.
 type branchTraffic struct {
-	// open counts the calls without outcome; concluded is when the last one had its.
-	open      int
-	concluded time.Time
+	// open counts the calls in flight; lastOutcome is the time of the last outcome.
+	open        int
+	lastOutcome time.Time
 }
 
 type branchKey struct {
@@ -37,18 +37,18 @@
 	branch  identity.BranchID
 }
 
-// NewRecorder returns a recorder whose events' times count from began.
+// NewRecorder returns a recorder whose event times are relative to began.
 func NewRecorder(began time.Time) *Recorder {
 	return &Recorder{began: began, created: map[identity.ProgramID]bool{}, branches: map[branchKey]*branchTraffic{}}
 }
 
-// Programs returns programs as callers of the node name see them, recorded.
+// Programs wraps the programs of the node name and records the requests to them.
 func (r *Recorder) Programs(name identity.NodeName, programs serving.Programs) serving.Programs {
 	return &recordedPrograms{Programs: programs, recorder: r, node: NodeReference(name)}
 }
 
-// Events returns what was recorded, in the order in which it began. Their lines
-// are those that Write gives them.
+// Events returns the recorded events in order of their start, with the line
+// numbers that Write gives them. Requests in flight are not included.
 func (r *Recorder) Events() []Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -60,7 +60,7 @@
 	return events
 }
 
-// firstEventLine is the line after the header's.
+// firstEventLine follows the line of the header.
 const firstEventLine = 2
 
 func (r *Recorder) add(at time.Time, body Body) {
@@ -69,8 +69,8 @@
 	r.events = append(r.events, Event{At: Duration(at.Sub(r.began)), Body: body})
 }
 
-// send notes that a call is sent now. It returns how long after the branch's last
-// outcome that is, nil where none has an outcome yet or another call is open.
+// send registers a call that is sent now. It returns the time since the branch's
+// last outcome, or nil if there is none yet or another call is in flight.
 func (r *Recorder) send(branch branchKey) *Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -80,22 +80,23 @@
 		r.branches[branch] = traffic
 	}
 	traffic.open++
-	if traffic.open > 1 || traffic.concluded.IsZero() {
+	if traffic.open > 1 || traffic.lastOutcome.IsZero() {
 		return nil
 	}
-	pause := Duration(time.Since(traffic.concluded))
+	pause := Duration(time.Since(traffic.lastOutcome))
 	return &pause
 }
 
-func (r *Recorder) conclude(branch branchKey) {
+func (r *Recorder) finish(branch branchKey) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	traffic := r.branches[branch]
 	traffic.open--
-	traffic.concluded = time.Now()
+	traffic.lastOutcome = time.Now()
 }
 
-// firstCreation tells whether the program was not recorded before.
+// firstCreation reports whether the program's creation was not recorded before,
+// and marks it as recorded.
 func (r *Recorder) firstCreation(program identity.ProgramID) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -104,15 +105,16 @@
 	return first
 }
 
-// recordedPrograms is one node as its callers see it. Fetch and Get change
-// nothing and are handed on.
+// recordedPrograms records the requests to one node. Fetch and Get are read-only
+// and are not recorded.
 type recordedPrograms struct {
 	serving.Programs
 	recorder *Recorder
 	node     NodeReference
 }
 
-// Create implements serving.Programs. Repeats of a creation are one event.
+// Create implements serving.Programs. Repeated creations of a program are recorded
+// once.
 func (p *recordedPrograms) Create(ctx context.Context, request serving.CreateRequest) (api.Program, error) {
 	at := time.Now()
 	created, err := p.Programs.Create(ctx, request)
@@ -133,7 +135,7 @@
 	if event.Outcome.Is == OutcomeLost {
 		event.Timeout = Duration(time.Since(at))
 	}
-	p.recorder.conclude(branch)
+	p.recorder.finish(branch)
 	p.recorder.add(at, event)
 	return answer, err
 }
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -22,7 +22,7 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// script is a serving.Programs whose calls take a second and end by sequence.
+// script is a fake serving.Programs whose result depends on the call's sequence.
 type script struct{ serving.Programs }
 
 func (script) Create(_ context.Context, request serving.CreateRequest) (api.Program, error) {
@@ -53,20 +53,20 @@
 	}}
 }
 
-// textOf is what a recorder's events look like in a file, without the header.
+// textOf returns the lines that Write produces for the recorded events.
 func textOf(is *is.I, recorder *trace.Recorder) []string {
 	var file strings.Builder
 	is.NoErr(trace.Write(&file, &trace.Trace{Events: recorder.Events()}))
 	return strings.Split(strings.TrimSpace(file.String()), "\n")[1:]
 }
 
-func TestRecorderKeepsTimesPausesAndOutcomes(t *testing.T) {
+func TestRecorderRecordsTimesPausesAndOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		recorder := trace.NewRecorder(time.Now())
 		programs := recorder.Programs("node-2", script{})
 		time.Sleep(2 * time.Second)
-		for range 2 { // a repeated creation is one event
+		for range 2 { // a repeated creation is recorded once
 			_, err := programs.Create(t.Context(), serving.CreateRequest{ID: "p1", Tenant: "t", Class: "c"})
 			is.NoErr(err)
 		}
@@ -99,8 +99,8 @@
 	})
 }
 
-// TestRecorderStandsBeforeARealClient records what passes through HTTP.
-func TestRecorderStandsBeforeARealClient(t *testing.T) {
+// TestRecorderWrapsHTTPClient records requests that go through the gateway.
+func TestRecorderWrapsHTTPClient(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(gateway.New(gateway.Config{Programs: script{}, Board: blackboard.NewBoard()}).Handler())
 	defer server.Close()
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -40,11 +40,11 @@
 	return found
 }
 
-func TestASoundTraceHasNoFindings(t *testing.T) {
+func TestValidTraceHasNoFindings(t *testing.T) {
 	is.New(t).Equal(findingsOf(t, header, creation), nil)
 }
 
-func TestAllFindingsOfFormAreReportedTogether(t *testing.T) {
+func TestAllSyntaxFindingsAreReportedTogether(t *testing.T) {
 	is.New(t).Equal(findingsOf(
 		t, header, creation,
 		`{"at":"soon","event":"kill","node":"node-0"}`,
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestAllFindingsOfMeaningAreReportedTogether(t *testing.T) {
+func TestAllSemanticFindingsAreReportedTogether(t *testing.T) {
 	is.New(t).Equal(findingsOf(
 		t, header, creation,
 		`{"at":"2s","event":"kill","node":"node-9"}`,
@@ -98,13 +98,13 @@
 	})
 }
 
-func TestAnotherVersionIsRefused(t *testing.T) {
+func TestUnsupportedVersionIsRejected(t *testing.T) {
 	is.New(t).Equal(findingsOf(t, strings.Replace(header, `"stepseam_trace":1`, `"stepseam_trace":2`, 1)),
 		[]string{"t.jsonl:1: stepseam_trace: is version 2, this reads version 1"})
 }
 
-// TestWritingGivesBackWhatWasRead reads and writes the traces of test/replay.
-func TestWritingGivesBackWhatWasRead(t *testing.T) {
+// TestWriteThenReadPreservesTraces round-trips the traces of test/replay.
+func TestWriteThenReadPreservesTraces(t *testing.T) {
 	files, err := filepath.Glob("../../test/replay/testdata/*.jsonl")
 	is.New(t).NoErr(err)
 	for _, file := range files {
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestDamagedTracesHaveFindings damages a trace at random places: reading it ends
-// with findings or a trace, never in a panic.
+// TestDamagedTracesHaveFindings overwrites random bytes of a trace: Read must return
+// a trace or an *InvalidError and must not panic.
 func TestDamagedTracesHaveFindings(t *testing.T) {
 	content, err := os.ReadFile("../../test/replay/testdata/haldane-hung-tool.jsonl")
 	is.New(t).NoErr(err)
--- a/internal/trace/write.go
+++ b/internal/trace/write.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// encodeEvent writes time and kind first, then the fields of the body.
+// encodeEvent encodes the time and the kind, followed by the fields of the body.
 func encodeEvent(event Event) ([]byte, error) {
 	head, err := encode(struct {
 		At    Duration `json:"at"`
@@ -45,7 +45,7 @@
 	if bytes.Equal(body, []byte("{}\n")) {
 		return head, nil
 	}
-	head[len(head)-2] = ',' // in place of the closing brace
+	head[len(head)-2] = ',' // replaces the closing brace
 	return append(head[:len(head)-1], body[1:]...), nil
 }
 
