--- a/internal/trace/check.go
+++ b/internal/trace/check.go
@@ -22,10 +22,10 @@
 	for _, event := range t.Events {
 		c.line = event.Line
 		if event.At < 0 {
-			c.add("at", "lies before the start")
+			c.add("at", "is before the start of the trace")
 		}
 		if event.At < last {
-			c.add("at", "lies before the time of the line before")
+			c.add("at", "is earlier than the previous event")
 		}
 		last = max(last, event.At)
 		c.event(event.Body)
@@ -153,7 +153,7 @@
 
 func (c *checker) program(program identity.ProgramID) {
 	if !c.programs[program] {
-		c.add("program", "no line before creates %q", program)
+		c.add("program", "no earlier line creates %q", program)
 	}
 }
 
@@ -163,7 +163,7 @@
 	}
 	if program, named := reference.OwnerOf(); named {
 		if !c.programs[program] {
-			c.add(field, "no line before creates %q", program)
+			c.add(field, "no earlier line creates %q", program)
 		}
 		return
 	}
@@ -177,7 +177,7 @@
 
 func (c *checker) backend(name string, lists ...[]Backend) {
 	if !slices.ContainsFunc(slices.Concat(lists...), func(one Backend) bool { return one.Name == name }) {
-		c.add("name", "the site has no such back end as %q", name)
+		c.add("name", "the site has no back end %q", name)
 	}
 }
 
@@ -185,7 +185,7 @@
 	c.program(event.Program)
 	c.node("node", event.Node)
 	if event.Pause != nil && *event.Pause < 0 {
-		c.add("pause", "is below 0")
+		c.add("pause", "is negative")
 	}
 	switch event.Call.Kind {
 	case api.CallModel:
@@ -194,7 +194,7 @@
 		}
 	case api.CallApplication:
 		if event.Call.Application == "" || event.Call.Operation == "" {
-			c.add("call", "an application call names application and operation")
+			c.add("call", "an application call needs application and operation")
 		}
 	default:
 		c.add("call.kind", "is %q, want model or application", event.Call.Kind)
@@ -209,12 +209,12 @@
 	refused := expected.Is == OutcomeRefused
 	switch {
 	case refused && !slices.Contains(api.Codes(), expected.Code):
-		c.add("outcome.code", "%q is no code of a problem", expected.Code)
+		c.add("outcome.code", "%q is not a problem code", expected.Code)
 	case !refused && (expected.Code != "" || expected.NotRun):
-		c.add("outcome", "code and not_run belong to a refusal")
+		c.add("outcome", "code and not_run are allowed for a refusal only")
 	}
 	if answered := expected.Is == OutcomeAnswered || expected.Is == OutcomeReplayed; expected.Digest != "" && !answered {
-		c.add("outcome.digest", "belongs to an answer")
+		c.add("outcome.digest", "is allowed for an answer only")
 	}
 }
 
@@ -225,7 +225,7 @@
 	c.publications[event.ID] = true
 	c.node("node", event.Node)
 	if (event.Outcome == "") == (event.RaceOf == "") {
-		c.add("outcome", "either this or race_of is given")
+		c.add("outcome", "exactly one of outcome and race_of is required")
 	}
 	if event.Outcome != PublicationInvalid {
 		c.table(c.line, "table", event.Table)
--- a/internal/trace/read.go
+++ b/internal/trace/read.go
@@ -127,7 +127,7 @@
 	before := len(r.findings)
 	r.object(1, "", line, reflect.ValueOf(header).Elem())
 	if header.Version != 0 && header.Version != FormatVersion {
-		r.add(1, "stepseam_trace", "is version %d, this reads version %d", header.Version, FormatVersion)
+		r.add(1, "stepseam_trace", "unsupported version %d, want %d", header.Version, FormatVersion)
 	}
 	if len(r.findings) == before {
 		r.validate(1, *header)
@@ -156,7 +156,7 @@
 	}
 	bodyType, known := bodies[head.Event]
 	if !known {
-		r.add(number, "event", "%q is no kind of event", head.Event)
+		r.add(number, "event", "unknown kind %q", head.Event)
 		return Event{}, false
 	}
 	body := reflect.New(bodyType)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -57,7 +57,7 @@
 	), []string{
 		`t.jsonl:3: at: want a duration such as 1.5s or 10m, have "soon"`,
 		`t.jsonl:4: node: is missing`,
-		`t.jsonl:5: event: "explode" is no kind of event`,
+		`t.jsonl:5: event: unknown kind "explode"`,
 		`t.jsonl:6: speed: unknown field`,
 		`t.jsonl:6: slow: want float64, have "much"`,
 		`t.jsonl:7: at: is missing`,
@@ -81,17 +81,17 @@
 		`{"at":"2s","event":"cut_zone","zone":"c"}`,
 	), []string{
 		`t.jsonl:3: node: the site has no node "node-9"`,
-		`t.jsonl:4: name: the site has no such back end as "p"`,
-		`t.jsonl:5: at: lies before the time of the line before`,
-		`t.jsonl:5: program: no line before creates "p2"`,
-		`t.jsonl:6: node: no line before creates "p2"`,
+		`t.jsonl:4: name: the site has no back end "p"`,
+		`t.jsonl:5: at: is earlier than the previous event`,
+		`t.jsonl:5: program: no earlier line creates "p2"`,
+		`t.jsonl:6: node: no earlier line creates "p2"`,
 		`t.jsonl:6: call.messages: is missing`,
-		`t.jsonl:6: outcome.code: "tired" is no code of a problem`,
-		`t.jsonl:7: call: an application call names application and operation`,
-		`t.jsonl:7: outcome: code and not_run belong to a refusal`,
+		`t.jsonl:6: outcome.code: "tired" is not a problem code`,
+		`t.jsonl:7: call: an application call needs application and operation`,
+		`t.jsonl:7: outcome: code and not_run are allowed for a refusal only`,
 		`t.jsonl:8: program: "p1" is created twice`,
 		`t.jsonl:8: class: the first table has no class "d"`,
-		`t.jsonl:9: outcome: either this or race_of is given`,
+		`t.jsonl:9: outcome: exactly one of outcome and race_of is required`,
 		`t.jsonl:9: table: table: has no model row; at least one is needed`,
 		`t.jsonl:9: table: table: has no class row; at least one is needed`,
 		`t.jsonl:10: zone: the site has no zone "c"`,
@@ -100,7 +100,7 @@
 
 func TestUnsupportedVersionIsRejected(t *testing.T) {
 	is.New(t).Equal(findingsOf(t, strings.Replace(header, `"stepseam_trace":1`, `"stepseam_trace":2`, 1)),
-		[]string{"t.jsonl:1: stepseam_trace: is version 2, this reads version 1"})
+		[]string{"t.jsonl:1: stepseam_trace: unsupported version 2, want 1"})
 }
 
 // TestWriteThenReadPreservesTraces round-trips the traces of test/replay.
