--- a/internal/lab/demo/check.go
+++ b/internal/lab/demo/check.go
@@ -12,10 +12,10 @@
 	"stepseam.example/stepseam/internal/lab/site"
 )
 
-// freeLimit bounds the time from a program's end to the freeing of its memory.
-const freeLimit = 10 * time.Second
+// releaseTimeout bounds the time from a program's end to the release of its cache.
+const releaseTimeout = 10 * time.Second
 
-// check compares what the back ends saw with what the program asked for.
+// check compares the requests that the back ends received with the program's calls.
 func (e *enrolment) check(ctx context.Context) error {
 	arrivals, err := e.arrivals(ctx)
 	if err != nil {
@@ -37,14 +37,14 @@
 	}
 	e.demo.say("the applications ran %q once and the enrolment %q once", readOperation, enrolKey)
 	began := time.Now()
-	if err := e.awaitFree(ctx); err != nil {
+	if err := e.awaitRelease(ctx); err != nil {
 		return err
 	}
 	e.demo.say("the engines hold nothing for the program %.1f s after its end", time.Since(began).Seconds())
 	return nil
 }
 
-// arrivals returns the program's streams at all engines in order of arrival.
+// arrivals returns the program's streams on all engines in order of arrival.
 func (e *enrolment) arrivals(ctx context.Context) ([]engine.Arrival, error) {
 	var found []engine.Arrival
 	for _, standIn := range e.demo.site.Engines {
@@ -62,8 +62,8 @@
 	return found, nil
 }
 
-// checkArrivals checks one branch: each call once, in order, run to its end,
-// and on a prompt that continues the one before.
+// checkArrivals checks that the calls of a branch arrived once each, in order, that
+// all of them finished and that each prompt extends the previous one.
 func checkArrivals(arrivals []engine.Arrival, branch identity.BranchID, wanted []identity.Sequence) error {
 	var sequences []identity.Sequence
 	var before []engine.Digest
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// executions adds up the executions at all application replicas by operation and key.
+// executions counts the executions on all application replicas by operation and key.
 func (e *enrolment) executions(ctx context.Context) (map[string]int, error) {
 	total := map[string]int{}
 	for _, standIn := range e.demo.site.Applications {
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// awaitFree waits until no engine holds memory for the program.
-func (e *enrolment) awaitFree(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, freeLimit)
+// awaitRelease waits until no engine caches a prefix of the program.
+func (e *enrolment) awaitRelease(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	return site.Eventually(ctx, "the program's memory to be freed", func(ctx context.Context) error {
 		for _, standIn := range e.demo.site.Engines {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs the demonstration: a whole site as real processes on one
-// machine, an enrolment program through its nodes, a changed table and the
-// planned stop of every node. It checks what the back ends saw, not only what
-// the answers say.
+// Package demo runs the demonstration: a complete site of real processes on one
+// machine, an enrolment program through its nodes, the publication of a changed
+// table and the graceful shutdown of every node. It verifies the requests that the
+// back ends received as well as the answers.
 package demo
 
 import (
@@ -20,42 +20,41 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// Options say how to run the demonstration.
+// Options configure the demonstration.
 type Options struct {
-	// Programs is the directory of the built programs.
+	// Programs is the directory of the executables.
 	Programs string
-	// Output takes the account of the steps.
+	// Output receives the report of the steps.
 	Output io.Writer
-	// KeepFiles leaves settings and logs behind; they are left after a failure too.
+	// KeepFiles keeps settings and logs, which are always kept after a failure.
 	KeepFiles bool
-	// Stay starts the site and publishes its first table, and then leaves it
-	// running for whoever wants to try it, until the context ends.
+	// Stay starts the site, publishes its first table and leaves the site running
+	// until the context is cancelled. The enrolment is not run.
 	Stay bool
 }
 
 const (
-	// timeLimit bounds the whole demonstration.
-	timeLimit = 50 * time.Second
-	// stopPatience bounds the planned stop of one node.
-	stopPatience = 15 * time.Second
-	// callPatience bounds a client's tries of one request.
-	callPatience = 20 * time.Second
+	// runTimeout bounds the whole demonstration.
+	runTimeout = 50 * time.Second
+	// stopTimeout bounds the graceful shutdown of one node.
+	stopTimeout = 15 * time.Second
+	// retryTimeout bounds a client's attempts of one request.
+	retryTimeout = 20 * time.Second
 )
 
-// demonstration is one run.
+// demonstration is one run of the demonstration.
 type demonstration struct {
 	options   Options
 	directory string
 	site      *site.Site
-	// clients has one client for each node, which asks that node alone.
+	// clients has one client per node, which sends to that node only.
 	clients []*client.Client
 }
 
-// Run runs the demonstration. It returns the first thing that was not as it
-// should be.
+// Run runs the demonstration and returns the first failed step or check.
 func Run(ctx context.Context, options Options) error {
 	if !options.Stay {
-		limited, cancel := context.WithTimeout(ctx, timeLimit)
+		limited, cancel := context.WithTimeout(ctx, runTimeout)
 		defer cancel()
 		ctx = limited
 	}
@@ -80,7 +79,7 @@
 	fmt.Fprintf(d.options.Output, format+"\n", arguments...)
 }
 
-// step is one part of the demonstration.
+// step is a titled step of the demonstration.
 type step struct {
 	title string
 	run   func(context.Context) error
@@ -113,7 +112,7 @@
 	return nil
 }
 
-// stay tells how to reach the site and waits until the context ends.
+// stay reports the addresses of the nodes and waits until the context is cancelled.
 func (d *demonstration) stay(ctx context.Context) error {
 	for _, node := range d.site.Nodes {
 		d.say("%s: callers at %s, operators at %s", node.Name, node.CallersURL(), node.OperatorsURL())
@@ -142,7 +141,7 @@
 	}
 	for _, node := range started.Nodes {
 		d.say("%-22s process %-8d %s in zone %s", node.Name, node.ID(), node.Addresses.Callers, node.Zone)
-		caller, err := client.New(client.Options{Nodes: []string{node.Addresses.Callers.String()}, Patience: callPatience})
+		caller, err := client.New(client.Options{Nodes: []string{node.Addresses.Callers.String()}, Patience: retryTimeout})
 		if err != nil {
 			return err
 		}
@@ -151,7 +150,7 @@
 	return nil
 }
 
-// operate runs stepseamctl against all nodes and shows what it prints.
+// operate runs stepseamctl against all nodes and reports its output.
 func (d *demonstration) operate(ctx context.Context, arguments ...string) error {
 	line := []string{}
 	for _, node := range d.site.Nodes {
@@ -177,8 +176,8 @@
 	return d.site.AwaitReady(ctx)
 }
 
-// publish publishes the table with budget on base and checks that it is in
-// force on every node.
+// publish publishes the table with budget as the successor of base and checks that
+// it is in force on every node.
 func (d *demonstration) publish(ctx context.Context, file, budget string, base table.Version) error {
 	path, err := writeTable(d.directory, file, budget)
 	if err != nil {
@@ -204,8 +203,8 @@
 	return nil
 }
 
-// publishChanged publishes a second version and shows by new programs, made
-// through each node, that its budget counts.
+// publishChanged publishes a second version and checks, with a new program through
+// each node, that its budget applies.
 func (d *demonstration) publishChanged(ctx context.Context) error {
 	if err := d.publish(ctx, "table-2.csv", changedBudget, 1); err != nil {
 		return err
@@ -229,7 +228,7 @@
 func (d *demonstration) stop(context.Context) error {
 	for _, node := range d.site.Nodes {
 		began := time.Now()
-		if err := node.Stop(stopPatience); err != nil {
+		if err := node.Stop(stopTimeout); err != nil {
 			return err
 		}
 		d.say("%s stopped in %.1f s", node.Name, time.Since(began).Seconds())
--- a/internal/lab/demo/demo_test.go
+++ b/internal/lab/demo/demo_test.go
@@ -11,7 +11,7 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-func TestTheDemonstrationsTablesAreValid(t *testing.T) {
+func TestDemoTablesAreValid(t *testing.T) {
 	check := is.New(t)
 	directory := t.TempDir()
 	for _, budget := range []string{firstBudget, changedBudget} {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestCheckArrivalsFindsWhatIsWrong(t *testing.T) {
+func TestCheckArrivalsRejectsInvalidArrivals(t *testing.T) {
 	first, second := arrival(1, 7), arrival(2, 7, 8, 9)
 	lost := arrival(2, 7, 8, 9)
 	lost.Outcome = engine.OutcomeLost
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestCheckExecutionsFindsWhatIsWrong(t *testing.T) {
+func TestCheckExecutionsRejectsWrongCounts(t *testing.T) {
 	check := is.New(t)
 	read, enrol := readOperation+" ", enrolOperation+" "+enrolKey
 	check.NoErr(checkExecutions(map[string]int{read: 1, enrol: 1}))
--- a/internal/lab/demo/enrolment.go
+++ b/internal/lab/demo/enrolment.go
@@ -13,11 +13,10 @@
 )
 
 const (
-	// subAgentBranch is the branch of the sub-agent.
 	subAgentBranch = "course-check"
-	// enrolKey names the enrolment, which must happen once.
+	// enrolKey is the idempotency key of the enrolment, which must be executed once.
 	enrolKey = "applicant-4711/algebra-1"
-	// answerTokens bounds the answers of the program's model calls.
+	// answerTokens bounds the answer of each model call.
 	answerTokens = 64
 
 	readOperation  = "read_file"
@@ -28,15 +27,15 @@
 	return api.ProgramRequest{Tenant: tenantName, Class: className}
 }
 
-// enrolment is the program that the demonstration runs.
+// enrolment is the program that the demonstration runs, with its caller's state.
 type enrolment struct {
 	demo *demonstration
 	id   string
-	// spent adds up what the answers say they used.
+	// spent is the sum of the token usage in the answers.
 	spent int64
 }
 
-// enrol runs the program, each call through another node than the one before.
+// enrol runs the program, with successive calls through different nodes.
 func (d *demonstration) enrol(ctx context.Context) error {
 	created, err := d.clients[0].CreateProgram(ctx, programRequest())
 	if err != nil {
@@ -62,7 +61,7 @@
 	return e.check(ctx)
 }
 
-// turns makes the program's calls.
+// turns makes the calls of the program.
 func (e *enrolment) turns(ctx context.Context) error {
 	if _, err := e.model(ctx, 0, "", 1, "Which documents does applicant 4711 lack?"); err != nil {
 		return err
@@ -86,8 +85,8 @@
 	return e.enrolOnce(ctx)
 }
 
-// enrolOnce makes the unrepeatable call, and makes it again through another
-// node as a caller does whose answer was lost.
+// enrolOnce makes the unrepeatable call and repeats it through another node, as a
+// caller does that lost the response. The second answer must come from the journal.
 func (e *enrolment) enrolOnce(ctx context.Context) error {
 	call := api.CallRequest{
 		Sequence: 5, Operation: enrolOperation, Unrepeatable: true, IdempotencyKey: enrolKey,
@@ -152,7 +151,8 @@
 	return answer, nil
 }
 
-// tool makes the caller's own tool call, during which the program pauses.
+// tool makes a tool call of the caller's own, while the program has no call in
+// flight.
 func (e *enrolment) tool(ctx context.Context, name string) error {
 	began := time.Now()
 	var result tools.Result
--- a/internal/lab/demo/plan.go
+++ b/internal/lab/demo/plan.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-// The demonstration's site is a small Quito.
+// Names and parameters of the demonstration's site.
 const (
 	region             = "sierra-norte"
 	engineService      = "modelos-asesor"
@@ -22,18 +22,17 @@
 	className          = "applicant"
 	tenantName         = "universidad-central"
 	machineListLag     = time.Second
-	// shardCount is small, so that the log of each start is short to read.
+	// shardCount is small to keep the log of each node's start short.
 	shardCount = 64
 )
 
-// The budgets of the first and of the changed table, in tokens.
+// Token budgets of the first and of the changed table.
 const (
 	firstBudget   = "20000"
 	changedBudget = "30000"
 )
 
-// tableText is the table that the demonstration publishes, as a spreadsheet
-// saves it; BUDGET is replaced.
+// tableText is the published table in CSV; writeTable replaces BUDGET.
 const tableText = `kind,name,version,service,model,weight,context_tokens,priority,budget_tokens,max_calls,max_branches,max_duration,idle_timeout,call_timeout,max_tokens
 model,asesor-8b,2026-05,modelos-asesor,,1,32768,,,,,,,,
 class,applicant,,,asesor-8b,2,,5,BUDGET,40,4,1h,15m,30s,512
@@ -62,7 +61,7 @@
 	return plan
 }
 
-// writeTable writes the table with budget to a file and returns its path.
+// writeTable writes the table with the given budget and returns the path of the file.
 func writeTable(directory, name, budget string) (string, error) {
 	path := filepath.Join(directory, name)
 	return path, os.WriteFile(path, []byte(strings.Replace(tableText, "BUDGET", budget, 1)), 0o600)
