--- a/internal/lab/demo/check.go
+++ b/internal/lab/demo/check.go
@@ -72,16 +72,16 @@
 			continue
 		}
 		if arrival.Outcome != engine.OutcomeFinished {
-			return fmt.Errorf("the engine's stream %s is %s: %s", arrival.Stream, arrival.Outcome, arrival.Reason)
+			return fmt.Errorf("engine stream %s ended as %s: %s", arrival.Stream, arrival.Outcome, arrival.Reason)
 		}
 		if len(arrival.Messages) <= len(before) || !slices.Equal(arrival.Messages[:len(before)], before) {
-			return fmt.Errorf("the engine's stream %s does not continue the history of the call before it", arrival.Stream)
+			return fmt.Errorf("engine stream %s does not extend the history of the previous call", arrival.Stream)
 		}
 		before = arrival.Messages
 		sequences = append(sequences, arrival.Stream.Call.Sequence)
 	}
 	if !slices.Equal(sequences, wanted) {
-		return fmt.Errorf("the engines saw the calls %v of branch %s, want %v", sequences, branch, wanted)
+		return fmt.Errorf("the engines received the calls %v of branch %s, want %v", sequences, branch, wanted)
 	}
 	return nil
 }
@@ -105,11 +105,11 @@
 	wanted := map[string]int{readOperation + " ": 1, enrolOperation + " " + enrolKey: 1}
 	for key, count := range wanted {
 		if executions[key] != count {
-			return fmt.Errorf("the applications ran %q %d times, want %d", key, executions[key], count)
+			return fmt.Errorf("the applications executed %q %d times, want %d", key, executions[key], count)
 		}
 	}
 	if len(executions) != len(wanted) {
-		return fmt.Errorf("the applications ran more than was asked for: %v", executions)
+		return fmt.Errorf("the applications executed unexpected operations: %v", executions)
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 func (e *enrolment) awaitRelease(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	return site.Eventually(ctx, "the program's memory to be freed", func(ctx context.Context) error {
+	return site.Eventually(ctx, "the program's cache to be released", func(ctx context.Context) error {
 		for _, standIn := range e.demo.site.Engines {
 			var truth engine.Truth
 			if err := standIn.Get(ctx, engine.PathTruth, &truth); err != nil {
@@ -126,7 +126,7 @@
 			}
 			for _, held := range truth.Held {
 				if string(held.Program) == e.id {
-					return fmt.Errorf("%s holds %d tokens of branch %s", standIn.Name(), held.Tokens, held.Branch)
+					return fmt.Errorf("%s still caches %d tokens of branch %s", standIn.Name(), held.Tokens, held.Branch)
 				}
 			}
 		}
--- a/internal/lab/demo/enrolment.go
+++ b/internal/lab/demo/enrolment.go
@@ -56,7 +56,7 @@
 	}
 	d.say("program latency %.3f s, spend %d of %d tokens", latency.Seconds(), ended.Spent, ended.Budget)
 	if ended.Spent != e.spent || ended.Reserved != 0 {
-		return fmt.Errorf("the program's spend is %d with %d reserved, the answers add up to %d", ended.Spent, ended.Reserved, e.spent)
+		return fmt.Errorf("the program spent %d tokens with %d still reserved, the answers add up to %d", ended.Spent, ended.Reserved, e.spent)
 	}
 	return e.check(ctx)
 }
@@ -101,7 +101,7 @@
 		return err
 	}
 	if !again.Replayed || !bytes.Equal(again.Output, first.Output) {
-		return errors.New("the repeated enrolment was not answered from the journal with the first answer")
+		return errors.New("the repeated enrolment did not return the first answer from the journal")
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 		return answer, fmt.Errorf("model call %d of branch %q: %w", sequence, branch, err)
 	}
 	if answer.Text == "" || streamed.String() != answer.Text {
-		return answer, fmt.Errorf("model call %d of branch %q: the stream and the answer differ", sequence, branch)
+		return answer, fmt.Errorf("model call %d of branch %q: the streamed tokens and the answer differ", sequence, branch)
 	}
 	e.spent += int64(answer.Usage.PromptTokens + answer.Usage.CompletionTokens)
 	e.show(index, call, answer, time.Since(began), question)
