--- a/internal/lab/experiment/caller.go
+++ b/internal/lab/experiment/caller.go
@@ -7,41 +7,42 @@
 	"stepseam.example/stepseam/internal/emulator/engine/model"
 )
 
-// execution is one program as its caller drives it.
+// execution is the state of a running program on its caller's side.
 type execution struct {
 	run     *run
 	program *Program
 	class   *Class
 	node    *node
-	// waitsFor counts, per call, the answers that it still waits for.
+	// waitsFor counts, per call, the predecessors without an answer.
 	waitsFor []int
-	left     int
-	// turns are the measures of the person's questions.
+	// left counts the calls without an answer.
+	left  int
 	turns []turn
-	// answered counts answered calls, service is their time at back ends.
-	answered int
-	service  time.Duration
-	refusals int
-	gaveUp   bool
-	keys     []model.Key
-	// branchLeft counts the calls that each branch still has to make.
+	// answered counts the answered calls; service is the sum of their times from
+	// arrival at the node to the answer.
+	answered  int
+	service   time.Duration
+	refusals  int
+	abandoned bool
+	keys      []model.Key
+	// branchLeft counts the calls of each branch without an answer.
 	branchLeft map[string]int
 }
 
-// turn is one question of a person, from its first call to the last answer.
+// turn measures one user turn, from its first call to its last answer.
 type turn struct {
 	begun    bool
 	startsAt time.Duration
 	endsAt   time.Duration
 	left     int
-	// admittedAt is when its first call was let in.
+	// admittedAt is when an engine first took a call of the turn into its batch.
 	admittedAt time.Duration
 	stalled    bool
 	firstGood  bool
 	calls      int
 }
 
-// begin starts a program.
+// begin starts a program by sending its first call.
 func (r *run) begin(program *Program) {
 	x := &execution{
 		run: r, program: program, class: r.classes[program.Class], node: r.owner(program.ID),
@@ -59,55 +60,57 @@
 	x.send(0)
 }
 
-// send makes call index now. After the end of the run nothing new is begun.
+// send sends the call at index now. After the end of the run no new turn starts.
 func (x *execution) send(index int) {
 	r := x.run
 	call := &x.program.Calls[index]
 	current := &x.turns[call.Turn]
-	if x.gaveUp || r.clock.now >= r.site.Duration && !current.begun {
+	if x.abandoned || r.clock.now >= r.site.Duration && !current.begun {
 		return
 	}
 	if !current.begun {
 		current.begun = true
 		current.startsAt = r.clock.now
 	}
-	r.underWay++
-	// The gateway that the caller reached is usually not the owner.
-	way := r.site.ClientLatency + r.site.ZoneLatency
-	r.clock.after(way, func() { x.node.accept(x, index) })
+	r.inFlight++
+	// The node that receives the request is usually not the program's owner and
+	// forwards it.
+	latency := r.site.ClientLatency + r.site.ZoneLatency
+	r.clock.after(latency, func() { x.node.accept(x, index) })
 }
 
-// refused tells the caller that a call did not run. It comes back when it was
-// told to, a few times; then the program is given up.
+// refused rejects a call that did not run. The caller retries it after retryAfter
+// and abandons the program after maxRetriesAfterRefusal retries.
 func (r *run) refused(request *request, retryAfter time.Duration) {
 	x := request.execution
-	r.underWay--
+	r.inFlight--
 	r.measures.refusal(r)
 	x.refusals++
-	if x.refusals > returnsAfterRefusal {
-		x.giveUp()
+	if x.refusals > maxRetriesAfterRefusal {
+		x.abandon()
 		return
 	}
-	r.underWay++
+	r.inFlight++
 	r.clock.after(retryAfter+2*r.site.ClientLatency, func() {
-		r.underWay--
+		r.inFlight--
 		x.send(request.index)
 	})
 }
 
-func (x *execution) giveUp() {
-	if x.gaveUp {
+func (x *execution) abandon() {
+	if x.abandoned {
 		return
 	}
-	x.gaveUp = true
-	x.run.measures.gaveUp()
+	x.abandoned = true
+	x.run.measures.abandoned()
 	for _, key := range x.keys {
 		x.run.ledger.end(key)
 	}
 	x.node.finish(x)
 }
 
-// answered hands an answer to the caller, who goes on with what waited for it.
+// answered delivers an answer to the caller, which continues with the calls that
+// depend on it.
 func (r *run) answered(request *request) {
 	x := request.execution
 	call := request.call
@@ -122,12 +125,14 @@
 	x.service += r.clock.now - request.arrived
 	r.measures.call(r, request)
 	r.clock.after(r.site.ClientLatency+r.site.ZoneLatency, func() {
-		r.underWay--
+		r.inFlight--
 		x.proceed(request.index)
 	})
 }
 
-// proceed goes on after the answer to call index reached the caller.
+// proceed handles the arrival of the answer to the call at index at the caller: it
+// schedules the calls whose predecessors are now all answered and ends the program
+// after its last call.
 func (x *execution) proceed(index int) {
 	r := x.run
 	call := &x.program.Calls[index]
@@ -148,11 +153,11 @@
 		}
 		sameTurn := next.Turn == call.Turn
 		if sameTurn {
-			r.underWay++ // the program is in the middle of a turn
+			r.inFlight++ // keeps the run alive during the pause within a turn
 		}
 		r.clock.after(next.Pause, func() {
 			if sameTurn {
-				r.underWay--
+				r.inFlight--
 			}
 			x.send(later)
 		})
@@ -163,9 +168,9 @@
 	}
 }
 
-// lowerBounds returns the least time of each turn: its calls' prefill of what is
-// new, their decode alone in the batch, the ways and the tools, without any
-// waiting.
+// lowerBounds returns the minimum latency of each turn: the prefill of its calls'
+// new tokens, their decode in a batch of one, network latencies and tool pauses,
+// without any queueing.
 func lowerBounds(site *Site, program *Program) []time.Duration {
 	ends := make([]time.Duration, len(program.Calls))
 	starts := map[int]time.Duration{}
@@ -190,10 +195,10 @@
 	return bounds
 }
 
-// callBound is the least time of one call.
+// callBound returns the minimum latency of one call with history cached tokens.
 func callBound(site *Site, call *Call, history int) time.Duration {
-	way := 2 * (site.ClientLatency + site.ZoneLatency/10)
+	roundTrip := 2 * (site.ClientLatency + site.ZoneLatency/10)
 	context := history + call.NewTokens + call.AnswerTokens/2
 	decode := time.Duration(call.AnswerTokens) * site.Engine.DecodeStep(1, context)
-	return way + site.Engine.PrefillTime(call.NewTokens) + decode
+	return roundTrip + site.Engine.PrefillTime(call.NewTokens) + decode
 }
--- a/internal/lab/experiment/capacity.go
+++ b/internal/lab/experiment/capacity.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// capacitySample is how many programs of each class Capacity draws.
+	// capacitySample is the number of programs that Capacity draws of each class.
 	capacitySample = 1000
-	// longestHold and holdPrecision bound the search for the pause over which an
-	// ideal pool can keep prefixes.
-	longestHold   = 24 * time.Hour
-	holdPrecision = time.Second
+	// maxRetention and retentionPrecision bound the binary search for the longest
+	// pause over which an ideal pool can keep prefixes cached.
+	maxRetention       = 24 * time.Hour
+	retentionPrecision = time.Second
 )
 
-// Capacity is how many programs a second the site's engines could finish with
-// no scheduling loss at all: each engine always decodes a full batch, each call
-// prefills only what is new to its branch, and no memory is held for what is
-// gone or held twice. The pool keeps each prefix over pauses up to the longest
-// one for which everything kept fits into its memory at that rate; after a longer
-// pause the whole history is prefilled again.
+// Capacity returns the number of programs per second that the site's engines could
+// finish with ideal scheduling: each engine always decodes a full batch, each call
+// prefills only the tokens that are new to its branch, and no prefix is cached
+// after the end of its branch or on two engines. Prefixes stay cached over pauses
+// up to the longest duration for which all of them fit into the pool's cache at
+// that rate; after a longer pause the whole history is prefilled again.
 //
-// It is an upper bound that no policy reaches: bursts, uneven batches, late
-// signals and lost engines all take from it.
+// It is an upper bound that no policy reaches, because of bursts, uneven batches,
+// delayed signals and failed engines.
 func Capacity(site *Site) float64 {
 	sample := capacityPrograms(site)
-	low, high := time.Duration(0), longestHold
-	for high-low > holdPrecision {
+	low, high := time.Duration(0), maxRetention
+	for high-low > retentionPrecision {
 		middle := (low + high) / 2
 		if fitsPool(site, sample, middle) {
 			low = middle
@@ -38,7 +38,7 @@
 	return rate
 }
 
-// weightedProgram is a drawn program with its share of all.
+// weightedProgram is a sampled program with its fraction of all programs.
 type weightedProgram struct {
 	program Program
 	share   float64
@@ -56,32 +56,33 @@
 	return sample
 }
 
-func fitsPool(site *Site, sample []weightedProgram, hold time.Duration) bool {
-	rate, tokenSeconds := idealRate(site, sample, hold)
+func fitsPool(site *Site, sample []weightedProgram, retention time.Duration) bool {
+	rate, tokenSeconds := idealRate(site, sample, retention)
 	pool := float64(site.Engines * site.Engine.CacheCapacityTokens)
 	return rate*tokenSeconds <= pool
 }
 
-// idealRate returns the programs a second that the engines finish if prefixes
-// are kept over pauses up to hold, and the token-seconds of cache that one takes.
-func idealRate(site *Site, sample []weightedProgram, hold time.Duration) (rate, tokenSeconds float64) {
+// idealRate returns the programs per second that the engines finish if prefixes
+// are kept over pauses up to retention, and the token-seconds of cache that a mean
+// program takes.
+func idealRate(site *Site, sample []weightedProgram, retention time.Duration) (rate, tokenSeconds float64) {
 	work := 0.0
 	for i := range sample {
-		engineSeconds, memory := idealWork(site, &sample[i].program, hold)
+		engineSeconds, memory := idealWork(site, &sample[i].program, retention)
 		work += sample[i].share * engineSeconds
 		tokenSeconds += sample[i].share * memory
 	}
 	return float64(site.Engines) / work, tokenSeconds
 }
 
-// idealWork returns the engine seconds and the token-seconds of one program.
-func idealWork(site *Site, program *Program, hold time.Duration) (engineSeconds, tokenSeconds float64) {
+// idealWork returns the engine seconds and the token-seconds of cache of one program.
+func idealWork(site *Site, program *Program, retention time.Duration) (engineSeconds, tokenSeconds float64) {
 	history := map[string]int{}
 	batch := site.Engine.MaxBatch
 	for _, call := range program.Calls {
 		before := history[call.Branch]
 		uncached := call.NewTokens
-		if call.Pause > hold {
+		if call.Pause > retention {
 			uncached += before
 		}
 		context := before + call.NewTokens + call.AnswerTokens
@@ -89,7 +90,7 @@
 		decode := time.Duration(call.AnswerTokens) * site.Engine.DecodeStep(batch, batch*context)
 		engineSeconds += prefill.Seconds() + decode.Seconds()/float64(batch)
 		tokenSeconds += float64(context) * (prefill + decode).Seconds()
-		tokenSeconds += float64(before) * min(call.Pause, hold).Seconds()
+		tokenSeconds += float64(before) * min(call.Pause, retention).Seconds()
 		history[call.Branch] = context
 	}
 	return engineSeconds, tokenSeconds
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -8,8 +8,8 @@
 	"stepseam.example/stepseam/internal/emulator/engine/model"
 )
 
-// engine is one model engine: a batch that makes a step at a time by the formulae
-// of package model, a queue by priority, and a prefix cache.
+// engine simulates a model engine: a batch that advances in steps with the timing
+// of package model, a priority queue and a prefix cache.
 type engine struct {
 	index      int
 	name       string
@@ -17,21 +17,21 @@
 	parameters model.Parameters
 	clock      *clock
 	cache      *model.Cache
-	// slowdown multiplies the time of every step; 1 is as usual.
+	// slowdown multiplies the time of every step; 1 is normal speed.
 	slowdown float64
 	dead     bool
-	// waiting is ordered by priority, equal ones by arrival.
+	// waiting is ordered by descending priority, then by arrival.
 	waiting []*stream
 	running []*stream
-	// jump is the run of equal steps under way; generation voids its end event
-	// when it is cut short.
+	// jump is the sequence of steps in progress. generation invalidates the end
+	// event of a jump that was shortened.
 	jump       jump
 	generation uint64
-	// cacheChanged is called after each change of the cache.
+	// cacheChanged is called after changes of the cache.
 	cacheChanged func(*engine)
 }
 
-// stream is one call at an engine.
+// stream is one call on an engine.
 type stream struct {
 	key       model.Key
 	prompt    []model.Segment
@@ -39,20 +39,23 @@
 	maxTokens int
 	priority  int
 	lease     *model.Lease
-	// prefillLeft is what is left to prefill; started tells that its overhead was paid.
+	// prefillLeft counts the prompt tokens to prefill; started is set once the fixed
+	// overhead of the prefill is accounted for.
 	prefillLeft int
 	started     bool
 	decoded     int
-	// beganAt and prefilledAt are for measures and observed rates.
+	// beganAt is when the stream entered the batch, prefilledAt when its prefill
+	// ended.
 	beganAt     time.Duration
 	prefilledAt time.Duration
-	// done gets whether the stream ran to its end.
+	// done is called at the end of the stream, with false if the engine failed.
 	done func(*stream, bool)
 	// began is called when the stream enters the batch.
 	began func(*stream)
 }
 
-// jump is count steps of one batch that only decodes, or one step with prefill.
+// jump is a sequence of count decode steps of an unchanged batch, simulated as one
+// event, or a single step that includes prefill.
 type jump struct {
 	active  bool
 	start   time.Duration
@@ -63,7 +66,7 @@
 	chunks  []chunk
 }
 
-// chunk is the part of a prompt that a step prefills.
+// chunk is the piece of a prompt that one step prefills.
 type chunk struct {
 	stream *stream
 	tokens int
@@ -77,7 +80,7 @@
 	}
 }
 
-// submit queues a stream; the engine must not be dead.
+// submit enqueues a stream. The engine must not be dead.
 func (e *engine) submit(s *stream) {
 	position := sort.Search(len(e.waiting), func(i int) bool { return e.waiting[i].priority < s.priority })
 	e.waiting = slices.Insert(e.waiting, position, s)
@@ -89,7 +92,7 @@
 	}
 }
 
-// next admits what fits and begins the next step or run of steps.
+// next admits waiting streams and starts the next jump.
 func (e *engine) next() {
 	e.admit()
 	if len(e.running) == 0 {
@@ -99,8 +102,9 @@
 	e.schedule()
 }
 
-// admit moves waiting streams into the batch, most urgent first. The first that
-// does not fit into memory blocks those behind it, so that large ones get their turn.
+// admit moves waiting streams into the batch, highest priority first. A stream that
+// does not fit into the cache blocks those behind it, so that large prompts don't
+// starve.
 func (e *engine) admit() {
 	admitted := 0
 	for admitted < len(e.waiting) && len(e.running) < e.parameters.MaxBatch {
@@ -122,8 +126,8 @@
 	}
 }
 
-// plan makes the next step: a chunk of prefill beside the decoding batch, or as
-// many decode-only steps as pass until the first stream ends.
+// plan returns the next jump: one step that combines prefill chunks with the
+// decoding batch, or the decode-only steps until the first stream finishes.
 func (e *engine) plan() jump {
 	next := jump{active: true, start: e.clock.now, count: 1}
 	budget := e.parameters.PrefillChunkTokens
@@ -156,7 +160,7 @@
 	return next
 }
 
-// elapsed returns how long the first count steps of j take.
+// elapsed returns the duration of the first count steps of j.
 func (e *engine) elapsed(j *jump, count int) time.Duration {
 	first := e.parameters.DecodeStep(j.batch, j.context)
 	total := time.Duration(count) * first
@@ -176,7 +180,8 @@
 	})
 }
 
-// cutShort ends the run of steps with the step under way, to let a new stream in.
+// cutShort ends the jump after the current step, so that a new stream can be
+// admitted.
 func (e *engine) cutShort() {
 	if e.jump.count == 1 {
 		return
@@ -187,7 +192,7 @@
 	e.schedule()
 }
 
-// finishJump books the steps done and ends streams that are complete.
+// finishJump applies the completed steps and ends the streams that are complete.
 func (e *engine) finishJump() {
 	j := e.jump
 	e.jump = jump{}
@@ -224,7 +229,7 @@
 	}
 }
 
-// release frees the prefix of a branch.
+// release evicts the prefix of a branch from the cache.
 func (e *engine) release(key model.Key) {
 	if e.dead {
 		return
@@ -233,7 +238,7 @@
 	e.cacheChanged(e)
 }
 
-// kill ends the engine and everything in it.
+// kill fails all streams and empties the cache.
 func (e *engine) kill() {
 	e.dead = true
 	e.generation++
@@ -254,5 +259,5 @@
 	}
 }
 
-// revive starts the engine again, empty.
+// revive restarts the engine with an empty cache.
 func (e *engine) revive() { e.dead = false }
--- a/internal/lab/experiment/engine_test.go
+++ b/internal/lab/experiment/engine_test.go
@@ -23,9 +23,9 @@
 	return model.Key{Program: identity.ProgramID(program), Branch: identity.MainBranch}
 }
 
-// TestAnEngineAloneTakesTheModelsTime checks the skipping over equal steps
-// against the formulae, step by step.
-func TestAnEngineAloneTakesTheModelsTime(t *testing.T) {
+// TestSingleStreamTakesModelTime checks the duration of a jump against the sum of
+// the model's step times.
+func TestSingleStreamTakesModelTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prompt, answer := rapid.IntRange(1, 5000).Draw(t, "prompt"), rapid.IntRange(1, 400).Draw(t, "answer")
 		var c clock
@@ -47,9 +47,9 @@
 	})
 }
 
-// TestANewcomerBeginsAtTheNextStep checks that a run of steps is cut short for a
-// stream that arrives in its middle, at a step's end, and that no token is lost.
-func TestANewcomerBeginsAtTheNextStep(t *testing.T) {
+// TestNewStreamStartsAtNextStep guards against a jump that delays a stream arriving
+// during it by more than one step, or that loses tokens when it is shortened.
+func TestNewStreamStartsAtNextStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		arrives := time.Duration(rapid.IntRange(0, 4000).Draw(t, "arrives")) * time.Millisecond
 		var c clock
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestPrioritiesOrderTheQueueAndEqualOnesStayInOrder(t *testing.T) {
+func TestQueueIsOrderedByPriorityThenArrival(t *testing.T) {
 	is := is.New(t)
 	var c clock
 	parameters := model.Default()
@@ -93,12 +93,12 @@
 	}
 	for c.step() {
 	}
-	is.Equal(order, []int{0, 2, 4, 1, 3}) // the first began before the others came
+	is.Equal(order, []int{0, 2, 4, 1, 3}) // the first started before the others arrived
 }
 
-// TestTheLedgerTellsTheThreeKindsOfWasteApart walks one branch through being
-// duplicated, evicted and outlived.
-func TestTheLedgerTellsTheThreeKindsOfWasteApart(t *testing.T) {
+// TestCacheLedgerClassifiesWaste follows one branch through a duplicate, an eviction
+// and its end.
+func TestCacheLedgerClassifiesWaste(t *testing.T) {
 	is := is.New(t)
 	var c clock
 	l := newLedger(&c, 2, 0, time.Hour)
@@ -112,20 +112,20 @@
 	stored(0, 100)
 	at(10) // 10 s idle, then used again: useful
 	l.use(0, key, 100)
-	at(20) // idle for another 10 s when it runs elsewhere
+	at(20) // idle for another 10 s, then used on another engine
 	l.use(1, key, 0)
 	stored(1, 100)
-	at(25) // 5 s held twice, then the first copy is evicted with its 10 s idle
+	at(25) // cached twice for 5 s, then the first copy is evicted with its 10 idle seconds
 	l.change(0, model.Change{Key: key})
 	l.used(0, 0)
 	at(30)
 	l.end(key)
-	at(37) // 7 s held after the last answer
+	at(37) // cached for 7 s after the last answer
 	l.change(1, model.Change{Key: key, Wanted: true})
 	l.used(1, 0)
 	l.close()
 	is.Equal(l.duplicate, 500.0)
 	is.Equal(l.evicted, 1000.0)
-	is.Equal(l.gone, 700.0)
+	is.Equal(l.afterEnd, 700.0)
 	is.Equal(l.held, 2500.0+1700.0)
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -7,13 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// short makes a site run for minutes, for tests.
+// short limits the simulated time of a site to minutes.
 func short(site Site) Site {
 	site.Duration, site.Warmup, site.Prehistory = 4*time.Minute, 30*time.Second, min(site.Prehistory, time.Hour)
 	return site
 }
 
-func TestTheSameSeedGivesTheSameFigures(t *testing.T) {
+func TestRunIsDeterministicPerSeed(t *testing.T) {
 	for _, site := range []Site{short(Quito()), short(Haldane())} {
 		for _, name := range []string{"prefix_affinity", "stepseam"} {
 			is := is.New(t)
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestNoTurnBeatsItsLowerBound also checks that the parts of the waste stay
-// within what was held.
-func TestNoTurnBeatsItsLowerBound(t *testing.T) {
+// TestLatencyIsAtLeastLowerBound also checks that wasted cache doesn't exceed the
+// cache in use.
+func TestLatencyIsAtLeastLowerBound(t *testing.T) {
 	is := is.New(t)
 	for _, site := range []Site{short(Quito()), short(Haldane())} {
 		programs := Workload(&site, 0.5, 3)
--- a/internal/lab/experiment/ledger.go
+++ b/internal/lab/experiment/ledger.go
@@ -9,25 +9,25 @@
 	"stepseam.example/stepseam/internal/emulator/engine/model"
 )
 
-// ledger accounts for every token-second of cache in the measured window, from
-// the truth of the engines and of the programs.
+// ledger accounts for every token-second of cache in the measured window, using the
+// actual state of the engines and programs.
 //
-// Memory held for a branch is wasted where
-//   - the branch has had its last answer (gone),
-//   - another engine holds the branch as well and was used later (duplicate),
-//   - it lay idle and was evicted or given up before the branch used it again
+// Cache of a branch counts as wasted in the time in which
+//   - the branch has already had its last answer (afterEnd),
+//   - another engine also caches the branch and was used later (duplicate),
+//   - it was idle and then evicted or released before the branch used it again
 //     (evicted).
 //
-// What lies idle when the window ends counts as useful.
+// Idle cache at the end of the window counts as useful.
 type ledger struct {
 	clock *clock
 	from  time.Duration
 	until time.Duration
 	keys  map[model.Key]*keyAccount
-	// engines is the memory in use at each engine since it last changed.
+	// engines has the cache in use on each engine.
 	engines []engineAccount
 
-	held, gone, duplicate, evicted float64
+	held, afterEnd, duplicate, evicted float64
 }
 
 type engineAccount struct {
@@ -36,15 +36,15 @@
 }
 
 type keyAccount struct {
-	at       time.Duration
-	gone     bool
-	primary  int
-	holdings []holding
+	at      time.Duration
+	ended   bool
+	primary int
+	copies  []cachedCopy
 }
 
-// holding is what one engine holds of a branch; pending are the token-seconds
-// since its last use, of which it is not known yet whether they were wasted.
-type holding struct {
+// cachedCopy is the prefix of a branch that one engine caches. pending are the
+// token-seconds since its last use, which become waste on eviction.
+type cachedCopy struct {
 	engine  int
 	tokens  int
 	pending float64
@@ -57,7 +57,7 @@
 	}
 }
 
-// span returns the seconds from at to now that lie in the window.
+// span returns the seconds between at and now that are in the window.
 func (l *ledger) span(at time.Duration) float64 {
 	return max(min(l.clock.now, l.until)-max(at, l.from), 0).Seconds()
 }
@@ -71,16 +71,16 @@
 	return account
 }
 
-// accrue books the time since the account last changed.
+// accrue accounts for the time since the account last changed.
 func (l *ledger) accrue(account *keyAccount) {
 	span := l.span(account.at)
 	account.at = l.clock.now
-	for i := range account.holdings {
-		h := &account.holdings[i]
+	for i := range account.copies {
+		h := &account.copies[i]
 		amount := span * float64(h.tokens)
 		switch {
-		case account.gone:
-			l.gone += amount
+		case account.ended:
+			l.afterEnd += amount
 		case h.engine != account.primary:
 			l.duplicate += amount
 		default:
@@ -89,34 +89,34 @@
 	}
 }
 
-// used books the memory in use at an engine, which has just changed to tokens.
+// used records that the cache in use on an engine has just changed to tokens.
 func (l *ledger) used(engine, tokens int) {
 	account := &l.engines[engine]
 	l.held += l.span(account.at) * float64(account.used)
 	*account = engineAccount{used: tokens, at: l.clock.now}
 }
 
-// use notes that a call of the branch begins at engine; what it found cached
-// there was not wasted.
+// use records that a call of the branch starts on engine. The pending token-seconds
+// of the cached tokens that it reuses were not wasted.
 func (l *ledger) use(engine int, key model.Key, cached int) {
 	account := l.key(key)
 	l.accrue(account)
 	account.primary = engine
-	for i := range account.holdings {
-		if h := &account.holdings[i]; h.engine == engine && h.tokens > 0 {
+	for i := range account.copies {
+		if h := &account.copies[i]; h.engine == engine && h.tokens > 0 {
 			h.pending *= 1 - min(float64(cached)/float64(h.tokens), 1)
 		}
 	}
 }
 
-// change notes that engine now holds tokens of the branch. stored tells that a
-// call stored them.
+// change records that engine now caches change.Tokens of the branch. A shrinking
+// prefix turns its fraction of the pending token-seconds into waste.
 func (l *ledger) change(engine int, change model.Change) {
 	account := l.key(change.Key)
 	l.accrue(account)
 	position := -1
-	for i := range account.holdings {
-		if account.holdings[i].engine == engine {
+	for i := range account.copies {
+		if account.copies[i].engine == engine {
 			position = i
 		}
 	}
@@ -124,14 +124,14 @@
 		if change.Tokens == 0 {
 			return
 		}
-		account.holdings = append(account.holdings, holding{engine: engine})
-		position = len(account.holdings) - 1
+		account.copies = append(account.copies, cachedCopy{engine: engine})
+		position = len(account.copies) - 1
 	}
-	h := &account.holdings[position]
+	h := &account.copies[position]
 	if change.Tokens < h.tokens {
 		lost := h.pending * float64(h.tokens-change.Tokens) / float64(h.tokens)
 		h.pending -= lost
-		if !account.gone {
+		if !account.ended {
 			l.evicted += lost
 		}
 	} else if change.Stored {
@@ -139,20 +139,20 @@
 	}
 	h.tokens = change.Tokens
 	if h.tokens == 0 {
-		account.holdings = append(account.holdings[:position], account.holdings[position+1:]...)
+		account.copies = append(account.copies[:position], account.copies[position+1:]...)
 	}
 }
 
-// end notes that the branch has had its last answer.
+// end records that the branch has had its last answer.
 func (l *ledger) end(key model.Key) {
 	account := l.key(key)
 	l.accrue(account)
-	account.gone = true
+	account.ended = true
 }
 
-// close books everything up to the end of the window.
+// close accounts for the time up to the end of the window.
 func (l *ledger) close() {
-	// In a fixed order, so that sums of floats come out the same each time.
+	// The fixed order makes the floating-point sums deterministic.
 	keys := slices.SortedFunc(maps.Keys(l.keys), func(a, b model.Key) int {
 		return cmp.Or(cmp.Compare(a.Program, b.Program), cmp.Compare(a.Branch, b.Branch))
 	})
--- a/internal/lab/experiment/measure.go
+++ b/internal/lab/experiment/measure.go
@@ -7,16 +7,18 @@
 
 const (
 	// A call is good if it took at most goodFactor times its lower bound, and
-	// stalled if it took more than stallFactor times that and stallFloor longer.
+	// stalled if it took more than stallFactor times the bound and exceeded it by
+	// more than stallFloor.
 	goodFactor  = 2.5
 	stallFactor = 5
 	stallFloor  = 2 * time.Second
-	// tenantSample is the least count of turns that makes a tenant's slowdown known.
-	tenantSample = 20
+	// minTenantTurns is the number of turns below which a tenant's slowdown is
+	// ignored.
+	minTenantTurns = 20
 )
 
-// Result is what one run measured. Its JSON form is the output of `stepseam-lab
-// compare --json`.
+// Result has the measurements of one run. Its JSON encoding is the output of
+// `stepseam-lab compare --json`.
 type Result struct {
 	Site                 string  `json:"site"`
 	Policy               string  `json:"policy"`
@@ -35,36 +37,38 @@
 	Completed            int     `json:"completed"`
 	WorstTenantSlowdown  float64 `json:"worst_tenant_slowdown"`
 
-	// Classes, and what follows, are for the table alone.
+	// Classes and the fields below are printed in tables but not in JSON.
 	Classes []ClassResult `json:"-"`
-	// GaveUp counts programs whose caller went away after refusals.
+	// GaveUp counts programs that their callers abandoned after refusals.
 	GaveUp int `json:"-"`
-	// Unfinished counts turns that were begun and not ended when the run stopped.
+	// Unfinished counts calls in flight and tool pauses within turns at the end of
+	// the run.
 	Unfinished int `json:"-"`
-	// StalledShare is the share of turns of more than one call whose first call
-	// was good and a later one stalled.
+	// StalledShare is the fraction of turns with several calls in which the first
+	// call was good and a later one stalled.
 	StalledShare float64 `json:"-"`
-	// AdmittedP95 is the latency from the time the first call was let in.
+	// AdmittedP95 is the latency from the admission of the first call.
 	AdmittedP95 float64 `json:"-"`
-	// LowerBoundP50 is the median lower bound.
+	// LowerBoundP50 is the median of the turns' lower bounds.
 	LowerBoundP50 float64 `json:"-"`
-	// MeanHeld is the cache in use on average, as a share of all.
+	// MeanHeld is the mean cache in use as a fraction of the capacity.
 	MeanHeld float64 `json:"-"`
 }
 
-// ClassResult is the latency of one class.
+// ClassResult has the latencies of one class, in seconds.
 type ClassResult struct {
 	Class                        string
 	Turns                        int
 	P50, P95, P99, LowerBoundP95 float64
 }
 
-// sample is one finished turn.
+// sample has the latencies of one finished turn, in seconds.
 type sample struct {
 	latency, admitted, bound float64
 }
 
-// measures collects what the turns that begin in the measured window see.
+// measures collects the measurements of a run. Turns count if they start in the
+// measured window.
 type measures struct {
 	classes    map[string][]sample
 	tenants    map[string][]float64
@@ -79,7 +83,8 @@
 	return at >= r.site.Warmup && at < r.site.Duration
 }
 
-// prefilled counts the tokens of a branch's history that had to be prefilled again.
+// prefilled records the admission of a call and counts the tokens of its branch's
+// history that have to be prefilled again.
 func (m *measures) prefilled(r *run, s *stream, request *request) {
 	current := &request.execution.turns[request.call.Turn]
 	if current.admittedAt == 0 {
@@ -96,9 +101,9 @@
 	}
 }
 
-func (m *measures) gaveUp() { m.lost++ }
+func (m *measures) abandoned() { m.lost++ }
 
-// call judges one call of its turn against its lower bound.
+// call compares the latency of a call with its lower bound.
 func (m *measures) call(r *run, request *request) {
 	current := &request.execution.turns[request.call.Turn]
 	took := r.clock.now - request.arrived
@@ -111,7 +116,7 @@
 	}
 }
 
-// turn books a finished turn.
+// turn records a finished turn.
 func (m *measures) turn(r *run, x *execution, number int) {
 	current := &x.turns[number]
 	if !m.inWindow(r, current.startsAt) {
@@ -135,12 +140,12 @@
 	}
 }
 
-// result works the measures out.
+// result computes the result from the measurements.
 func (r *run) result(options Options) Result {
 	m := &r.measures
 	result := Result{
 		Site: r.site.Name, Policy: r.strategy.Name, Load: options.Load, Seed: options.Seed,
-		RecomputedTokens: m.recomputed, Refused: m.refusals, GaveUp: m.lost, Unfinished: r.underWay,
+		RecomputedTokens: m.recomputed, Refused: m.refusals, GaveUp: m.lost, Unfinished: r.inFlight,
 	}
 	var all []sample
 	for i := range r.site.Classes {
@@ -172,18 +177,18 @@
 	}
 	result.WastedEvictedShare = l.evicted / l.held
 	result.WastedDuplicateShare = l.duplicate / l.held
-	result.WastedGoneShare = l.gone / l.held
-	result.WastedCacheShare = (l.evicted + l.duplicate + l.gone) / l.held
+	result.WastedGoneShare = l.afterEnd / l.held
+	result.WastedCacheShare = (l.evicted + l.duplicate + l.afterEnd) / l.held
 	capacity := float64(r.site.Engines*r.site.Engine.CacheCapacityTokens) * (r.site.Duration - r.site.Warmup).Seconds()
 	result.MeanHeld = l.held / capacity
 }
 
-// worstTenant returns the highest mean slowdown, against the lower bound, that a
-// tenant saw.
+// worstTenant returns the highest mean slowdown of a tenant's turns, relative to
+// their lower bounds.
 func (m *measures) worstTenant() float64 {
 	worst := 0.0
 	for _, slowdowns := range m.tenants {
-		if len(slowdowns) < tenantSample {
+		if len(slowdowns) < minTenantTurns {
 			continue
 		}
 		sum := 0.0
@@ -200,7 +205,7 @@
 	return percentile(values, 0.5), percentile(values, 0.95), percentile(values, 0.99)
 }
 
-// pick returns one value of each sample, sorted.
+// pick returns one value of each sample in ascending order.
 func pick(samples []sample, value func(sample) float64) []float64 {
 	values := make([]float64, len(samples))
 	for i := range samples {
@@ -210,10 +215,11 @@
 	return values
 }
 
-// percentile returns the value that share of the sorted values do not exceed.
-func percentile(sorted []float64, share float64) float64 {
+// percentile returns the quantile at fraction of the sorted values, 0 if there are
+// none.
+func percentile(sorted []float64, fraction float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
+	return sorted[min(int(fraction*float64(len(sorted))), len(sorted)-1)]
 }
--- a/internal/lab/experiment/node.go
+++ b/internal/lab/experiment/node.go
@@ -12,59 +12,60 @@
 )
 
 const (
-	// maximumAttempts is how often one call is tried before it is refused.
+	// maximumAttempts bounds the attempts of one call before it is refused.
 	maximumAttempts = 5
-	// retryPause is the mean pause before another attempt; it is drawn with jitter.
+	// retryPause is the mean delay before another attempt, to which jitter is applied.
 	retryPause = 100 * time.Millisecond
-	// rateGain is the weight of a new sample in the observed rates.
+	// rateGain is the weight of a new sample in the moving averages of the rates.
 	rateGain = 0.1
-	// prefillSampleTokens is the least uncached prompt that tells a prefill rate.
+	// prefillSampleTokens is the minimum number of uncached tokens for a sample of
+	// the prefill rate.
 	prefillSampleTokens = 200
-	// connectionFailure is how long a node takes to notice that an engine it
-	// sends to is not there.
+	// connectionFailure is the time after which a connection to a dead engine fails.
 	connectionFailure = 5 * time.Millisecond
 )
 
-// node is one stepseamd: it owns some programs and decides for their calls with
-// what it knows.
+// node simulates one stepseamd: it owns a subset of the programs and schedules their
+// calls by its own, possibly stale, view of the engines.
 type node struct {
 	run    *run
 	index  int
 	zone   int
 	random *rand.Rand
 	turn   uint64
-	// view is the snapshot handed to policies, kept to be filled again.
+	// view is the snapshot passed to policies, reused between decisions.
 	view []scheduling.Backend
-	// books are per engine.
-	books []book
-	// branches is what the node believes of its branches' prefixes.
+	// records has the node's state per engine.
+	records []engineRecord
+	// branches has the branches of the node's programs.
 	branches map[model.Key]*branch
-	// pauses are the histories per kind of branch.
+	// pauses has the history of pauses per kind of branch.
 	pauses *scheduling.PauseHistories
 }
 
-// book is what a node keeps about one engine.
-type book struct {
+// engineRecord is a node's local state for one engine: the calls that it dispatched
+// there, the observed rates in tokens per second and the engine's health.
+type engineRecord struct {
 	inFlight []dispatch
 	prefill  float64
 	decode   float64
 	health   scheduling.HealthRecord
 }
 
-// dispatch is one call sent to an engine and not answered yet.
+// dispatch is a call in flight on an engine.
 type dispatch struct {
 	at       time.Duration
 	uncached int
 	stream   *stream
 }
 
-// branch is one chain of calls at its owner.
+// branch is the owner's state of one branch of a program.
 type branch struct {
 	history []model.Segment
 	tokens  int
-	// cached is the expected prefix at each engine.
+	// cached is the estimated length of the cached prefix per engine, in tokens.
 	cached map[int]int
-	// placed are the engines where it ran since its memory was last given up.
+	// placed has the engines on which the branch ran since its cache was released.
 	placed    map[int]bool
 	last      int
 	running   bool
@@ -73,7 +74,7 @@
 	kind      string
 }
 
-// request is one call on its way.
+// request is one call that a node is handling.
 type request struct {
 	execution *execution
 	index     int
@@ -91,13 +92,13 @@
 	return &node{
 		run: r, index: index, zone: index % len(r.site.Zones),
 		random: rand.New(rand.NewPCG(r.seed, uint64(1000+index))),
-		view:   make([]scheduling.Backend, 0, len(r.engines)), books: make([]book, len(r.engines)),
+		view:   make([]scheduling.Backend, 0, len(r.engines)), records: make([]engineRecord, len(r.engines)),
 		branches: map[model.Key]*branch{},
 		pauses:   scheduling.NewPauseHistories(),
 	}
 }
 
-// accept takes a call in from its caller.
+// accept starts to handle a call from a caller.
 func (n *node) accept(execution *execution, index int) {
 	call := &execution.program.Calls[index]
 	key := model.Key{Program: identity.ProgramID(execution.program.ID), Branch: identity.BranchID(call.Branch)}
@@ -119,7 +120,7 @@
 	n.decide(request)
 }
 
-// decide asks the policy and carries its decision out.
+// decide obtains the policy's decision for a call and executes it.
 func (n *node) decide(request *request) {
 	call := n.describe(request)
 	now := n.run.wall(n.run.clock.now)
@@ -141,8 +142,8 @@
 	n.run.refused(request, retryAfter)
 }
 
-// describe makes the policy's view of a call: nothing in it tells what the
-// program will do next.
+// describe returns the policy's view of a call, which contains nothing about the
+// program's future calls.
 func (n *node) describe(request *request) scheduling.Call {
 	n.turn++
 	class := request.execution.class
@@ -165,7 +166,8 @@
 	return call
 }
 
-// snapshot fills the view of the back ends for one call.
+// snapshot returns the node's view of the listed engines for one call. It is valid
+// until the next snapshot.
 func (n *node) snapshot(request *request) []scheduling.Backend {
 	now := n.run.clock.now
 	n.view = n.view[:0]
@@ -174,18 +176,18 @@
 		if !report.listed {
 			continue
 		}
-		book := &n.books[i]
+		record := &n.records[i]
 		backend := scheduling.Backend{
 			Name: e.name, Service: n.run.site.Service, ServesModel: true,
-			Health:          book.health.At(n.run.wall(now)).Health,
+			Health:          record.health.At(n.run.wall(now)).Health,
 			ReportedRunning: report.running, ReportedWaiting: report.waiting,
 			QueuedPrefillTokens: report.queuedPrefill, ReportAge: now - report.asOf,
 			CachedTokens:        min(request.branch.cached[i], request.tokens),
 			CacheCapacityTokens: e.parameters.CacheCapacityTokens, CacheUsedTokens: report.cacheUsed,
-			PrefillRate: book.prefill, DecodeRate: book.decode,
+			PrefillRate: record.prefill, DecodeRate: record.decode,
 			Latency: n.run.latency(n.zone, e.zone),
 		}
-		for _, sent := range book.inFlight {
+		for _, sent := range record.inFlight {
 			if sent.at > report.asOf {
 				backend.OwnInFlight++
 				backend.OwnPrefillTokens += sent.uncached
@@ -211,9 +213,9 @@
 	s.done = func(s *stream, succeeded bool) {
 		n.run.clock.after(latency, func() { n.ended(request, e, s, sent, succeeded) })
 	}
-	book := &n.books[e.index]
+	record := &n.records[e.index]
 	uncached := max(request.tokens-request.branch.cached[e.index], 0)
-	book.inFlight = append(book.inFlight, dispatch{at: sent, uncached: uncached, stream: s})
+	record.inFlight = append(record.inFlight, dispatch{at: sent, uncached: uncached, stream: s})
 	n.run.clock.after(latency, func() {
 		if e.dead {
 			n.run.clock.after(connectionFailure, func() { s.done(s, false) })
@@ -223,17 +225,18 @@
 	})
 }
 
-// ended takes the outcome of a dispatch.
+// ended handles the result of a dispatch: it retries a failed call and answers a
+// successful one.
 func (n *node) ended(request *request, e *engine, s *stream, sent time.Duration, succeeded bool) {
 	now := n.run.clock.now
-	book := &n.books[e.index]
-	for i := range book.inFlight {
-		if book.inFlight[i].stream == s {
-			book.inFlight = append(book.inFlight[:i], book.inFlight[i+1:]...)
+	record := &n.records[e.index]
+	for i := range record.inFlight {
+		if record.inFlight[i].stream == s {
+			record.inFlight = append(record.inFlight[:i], record.inFlight[i+1:]...)
 			break
 		}
 	}
-	book.health = book.health.Observe(n.run.wall(now), succeeded)
+	record.health = record.health.Observe(n.run.wall(now), succeeded)
 	if !succeeded {
 		delete(request.branch.cached, e.index)
 		request.attempt++
@@ -246,7 +249,7 @@
 		n.run.clock.after(pause, func() { n.decide(request) })
 		return
 	}
-	observe(book, s, n.run.clock.now, sent, n.run.latency(n.zone, e.zone))
+	observe(record, s, n.run.clock.now, sent, n.run.latency(n.zone, e.zone))
 	b := request.branch
 	b.history = append(request.prompt, s.answer)
 	b.tokens = request.tokens + s.answer.Tokens
@@ -261,27 +264,27 @@
 	n.run.answered(request)
 }
 
-// observe takes the rates that a node can see: from the time to the first token
-// and from the time between tokens.
-func observe(book *book, s *stream, now, sent, latency time.Duration) {
+// observe updates the prefill and decode rates from the time to the first token and
+// the time between tokens.
+func observe(record *engineRecord, s *stream, now, sent, latency time.Duration) {
 	finished := now - latency
 	if s.answer.Tokens > 1 {
 		rate := float64(s.answer.Tokens) / max((finished-s.prefilledAt).Seconds(), 1e-6)
-		book.decode = blend(book.decode, rate, rateGain)
+		record.decode = blend(record.decode, rate, rateGain)
 	}
 	uncached := s.lease.PromptTokens - s.lease.Cached
 	if uncached >= prefillSampleTokens {
 		rate := float64(uncached) / max((s.prefilledAt-sent-latency).Seconds(), 1e-6)
 		gain := rateGain
-		if rate > book.prefill {
-			// Waiting only ever makes the rate look lower.
+		if rate > record.prefill {
+			// Queueing can only lower the observed rate, so higher samples count more.
 			gain = 5 * rateGain
 		}
-		book.prefill = blend(book.prefill, rate, gain)
+		record.prefill = blend(record.prefill, rate, gain)
 	}
 }
 
-// blend is a moving average that starts from its first sample.
+// blend updates an exponential moving average; the first sample initializes it.
 func blend(average, sample, gain float64) float64 {
 	if average == 0 {
 		return sample
@@ -289,7 +292,8 @@
 	return average + gain*(sample-average)
 }
 
-// cacheEvent takes an event that an engine published.
+// cacheEvent applies an engine's cache event. Events for unknown branches are
+// ignored.
 func (n *node) cacheEvent(e *engine, key model.Key, tokens int) {
 	b, found := n.branches[key]
 	if !found {
@@ -302,7 +306,7 @@
 	b.cached[e.index] = tokens
 }
 
-// finish forgets a program that its caller ended, and frees its memory.
+// finish removes an ended program and releases its cache.
 func (n *node) finish(execution *execution) {
 	for _, key := range execution.keys {
 		b, found := n.branches[key]
@@ -317,7 +321,7 @@
 	}
 }
 
-// release frees what engines hold of a branch.
+// release evicts the cached prefixes of a branch from all engines.
 func (n *node) release(key model.Key, b *branch) {
 	for i, e := range n.run.engines {
 		if b.placed[i] {
@@ -328,7 +332,7 @@
 	clear(b.cached)
 }
 
-// releaseElsewhere frees what engines other than keep hold of a branch that moved.
+// releaseElsewhere evicts the cached prefixes of a branch from all engines but keep.
 func (n *node) releaseElsewhere(key model.Key, b *branch, keep *engine) {
 	for i, e := range n.run.engines {
 		if i != keep.index && b.placed[i] {
@@ -339,7 +343,7 @@
 	}
 }
 
-// pauseKind is the kind of pause history that a call's branch belongs to.
+// pauseKind returns the kind of pause history for a call's branch.
 func pauseKind(execution *execution, call *Call) string {
 	if call.Branch == mainBranch {
 		return execution.class.Name
@@ -347,7 +351,8 @@
 	return execution.class.Name + "/sub-agent"
 }
 
-// keepWarm gives up the prefixes that are not worth their memory any more.
+// keepWarm evicts the cached prefixes of paused branches that are not expected to be
+// reused soon enough.
 func (n *node) keepWarm() {
 	var paused []scheduling.Paused
 	for key, b := range n.branches {
@@ -362,7 +367,7 @@
 	slices.SortFunc(paused, func(a, b scheduling.Paused) int {
 		return cmp.Or(cmp.Compare(a.Program, b.Program), cmp.Compare(a.Branch, b.Branch))
 	})
-	for _, release := range n.pauses.SelectEvictions(n.run.wall(n.run.clock.now), paused, n.run.patience()) {
+	for _, release := range n.pauses.SelectEvictions(n.run.wall(n.run.clock.now), paused, n.run.breakEvenInterval()) {
 		key := model.Key{Program: release.Program, Branch: release.Branch}
 		n.release(key, n.branches[key])
 	}
--- a/internal/lab/experiment/plot.go
+++ b/internal/lab/experiment/plot.go
@@ -16,11 +16,11 @@
 const (
 	plotWidth  = 7 * vg.Inch
 	plotHeight = 4.5 * vg.Inch
-	// lowerBoundLine names the line of the lower bound among the policies.
+	// lowerBoundLine is the legend of the lower bound among the policies.
 	lowerBoundLine = "lower bound"
 )
 
-// figure is one plot: a measure against load, a line for each policy.
+// figure is a plot of one measurement over load, with one line per policy.
 type figure struct {
 	file        string
 	title       string
@@ -50,8 +50,8 @@
 	}
 }
 
-// Plot writes one PNG for each site and measure into directory and returns their
-// paths. Each point is the median over the seeds among results.
+// Plot writes one PNG per site and measurement into directory and returns the paths.
+// Each point is the median over the seeds in results.
 func Plot(results []Result, directory string) ([]string, error) {
 	var paths []string
 	for _, site := range lo.Uniq(lo.Map(results, func(r Result, _ int) string { return r.Site })) {
@@ -92,7 +92,7 @@
 	return drawing.Save(plotWidth, plotHeight, path)
 }
 
-// medians returns, for each load, the median of a measure over the seeds.
+// medians returns the median over the seeds for each load, in order of load.
 func medians(results []Result, value func(*Result) float64) plotter.XYs {
 	byLoad := lo.GroupBy(results, func(r Result) float64 { return r.Load })
 	var points plotter.XYs
--- a/internal/lab/experiment/queue.go
+++ b/internal/lab/experiment/queue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// clock runs events in virtual time. Events of one time run in the order in
-// which they were set.
+// clock runs events in virtual time. Events with the same time run in the order in
+// which they were scheduled.
 type clock struct {
 	now    time.Duration
 	count  uint64
@@ -19,13 +19,13 @@
 	run      func()
 }
 
-// after runs f when delay has passed.
+// after schedules f to run after delay.
 func (c *clock) after(delay time.Duration, f func()) {
 	c.count++
 	heap.Push(&c.events, event{at: c.now + max(delay, 0), sequence: c.count, run: f})
 }
 
-// step runs the next event; false if there is none.
+// step runs the next event and reports whether there was one.
 func (c *clock) step() bool {
 	if len(c.events) == 0 {
 		return false
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// reportPeriod is how often an engine reports its load; a report reaches the
-	// nodes after reportLag and up to reportJitter more, and reportLoss of them never.
+	// An engine reports its load every reportPeriod. A report reaches the nodes after
+	// a delay between reportLag and reportLag+reportJitter, or is lost with
+	// probability reportLoss.
 	reportPeriod = time.Second
 	reportLag    = 500 * time.Millisecond
 	reportJitter = time.Second
 	reportLoss   = 0.05
-	// A cache event reaches its node after eventLag and up to eventJitter more,
-	// and eventLoss of them never.
+	// A cache event reaches its node after a delay between eventLag and
+	// eventLag+eventJitter, or is lost with probability eventLoss.
 	eventLag    = 500 * time.Millisecond
 	eventJitter = 2500 * time.Millisecond
 	eventLoss   = 0.1
-	// machineListLag is how late the machine list shows an engine gone or back.
+	// machineListLag is the delay after which the machine list shows a change.
 	machineListLag = 5 * time.Second
-	// keepWarmPeriod is how often a node looks for prefixes to give up.
+	// keepWarmPeriod is the interval between a node's searches for prefixes to evict.
 	keepWarmPeriod = 5 * time.Second
-	// returnsAfterRefusal is how often a refused caller comes back, each time
-	// after the time it was told, before it goes away for good.
-	returnsAfterRefusal = 3
-	// overrun is how long after the last arrival a run may go on.
+	// maxRetriesAfterRefusal bounds a caller's retries of refused calls in one
+	// program, after which it abandons the program.
+	maxRetriesAfterRefusal = 3
+	// overrun bounds the time that a run continues after its last arrival.
 	overrun = 30 * time.Minute
 )
 
-// Options select one run.
+// Options configure one run.
 type Options struct {
 	Site     Site
 	Strategy Strategy
 	Load     float64
 	Seed     uint64
-	// Programs are run instead of a drawn workload, if set.
+	// Programs replaces the generated workload, if set.
 	Programs []Program
-	// Calm leaves out the lost and the slow engine.
+	// Calm disables the injected engine failure and slowdown.
 	Calm bool
 }
 
-// run is one simulation under way.
+// run is the state of one simulation.
 type run struct {
 	site     *Site
 	strategy Strategy
@@ -59,11 +60,13 @@
 	classes  map[string]*Class
 	ledger   *ledger
 	measures measures
-	// underWay counts calls that were sent and are not answered or given up.
-	underWay int
+	// inFlight counts the calls between sending and answer, and the pauses within
+	// turns. The run continues until it is 0 or overrun has passed.
+	inFlight int
 }
 
-// report is the last load report of an engine that reached the nodes.
+// report is the last load report of an engine that the nodes received. listed is
+// false while the machine list doesn't contain the engine.
 type report struct {
 	listed        bool
 	asOf          time.Duration
@@ -73,12 +76,12 @@
 	cacheUsed     int
 }
 
-// start is the wall time at which every run begins; only its differences matter.
+// start is the wall-clock time of the beginning of every run.
 var start = time.Date(2026, 3, 1, 20, 0, 0, 0, time.UTC)
 
 func (r *run) wall(at time.Duration) time.Time { return start.Add(at) }
 
-// latency is one way between two zones, by their index.
+// latency returns the one-way latency between two zones, given by their indexes.
 func (r *run) latency(a, b int) time.Duration {
 	if a == b {
 		return r.site.ZoneLatency / 10
@@ -86,7 +89,7 @@
 	return r.site.ZoneLatency
 }
 
-// Run simulates one strategy at one site and returns its measures.
+// Run simulates one strategy on one site and returns its measurements.
 func Run(options Options) Result {
 	site := options.Site
 	programs := options.Programs
@@ -120,7 +123,7 @@
 			}
 		}
 	})
-	for (r.clock.now < site.Duration || r.underWay > 0) && r.clock.now < site.Duration+overrun {
+	for (r.clock.now < site.Duration || r.inFlight > 0) && r.clock.now < site.Duration+overrun {
 		if !r.clock.step() {
 			break
 		}
@@ -142,14 +145,14 @@
 	}
 }
 
-// every runs f now and each period again while programs may arrive or run.
+// every runs f now and once per period until the run ends.
 func (r *run) every(period time.Duration, f func()) {
 	f()
 	r.clock.after(period, func() { r.every(period, f) })
 }
 
-// planFaults slows one engine down from a third of the measured window to two
-// thirds, and loses another at its middle for a tenth of it.
+// planFaults slows one engine down during the middle third of the measured window
+// and kills another for a tenth of the window, starting at its middle.
 func (r *run) planFaults() {
 	window := r.site.Duration - r.site.Warmup
 	slow, lost := r.engines[1], r.engines[0]
@@ -162,10 +165,11 @@
 	r.clock.after(back+machineListLag, func() { r.reports[lost.index] = report{listed: true, asOf: r.clock.now} })
 }
 
-// slowEngineFactor is how much longer each step of the slow engine takes.
+// slowEngineFactor multiplies the step time of the slow engine.
 const slowEngineFactor = 3
 
-// publishLoad sends an engine's load report on its late way.
+// publishLoad sends an engine's load report, which arrives late or is lost. Reports
+// older than the last one received are ignored.
 func (r *run) publishLoad(e *engine) {
 	if e.dead || r.random.Float64() < reportLoss {
 		return
@@ -189,8 +193,8 @@
 	})
 }
 
-// patience follows from the memory in use by the last load reports.
-func (r *run) patience() time.Duration {
+// breakEvenInterval returns the interval for the cache use in the last load reports.
+func (r *run) breakEvenInterval() time.Duration {
 	used, capacity := 0, 0
 	for i := range r.reports {
 		if r.reports[i].listed {
@@ -201,7 +205,7 @@
 	return scheduling.BreakEvenInterval(r.strategy.Patience, used, capacity)
 }
 
-// cacheChanged books a change of an engine's cache and publishes its events.
+// cacheChanged records a change of an engine's cache and publishes its events.
 func (r *run) cacheChanged(e *engine) {
 	r.ledger.used(e.index, e.cache.Used())
 	for _, change := range e.cache.TakeChanges() {
@@ -220,7 +224,7 @@
 	return r.nodes[int(identity.ProgramID(program).Shard(len(r.nodes)))]
 }
 
-// began notes that a call entered an engine's batch.
+// began records that a call entered an engine's batch.
 func (r *run) began(e *engine, s *stream, request *request) {
 	r.ledger.use(e.index, s.key, s.lease.Cached)
 	r.measures.prefilled(r, s, request)
--- a/internal/lab/experiment/site.go
+++ b/internal/lab/experiment/site.go
@@ -1,11 +1,11 @@
-// Package experiment runs both deployments in virtual time, as a discrete-event
-// simulation: callers with their programs, the nodes with the scheduling code
-// that the daemon runs, and engines with the token-time and cache arithmetic of
-// the engine stand-in. It measures program latency and wasted cache.
+// Package experiment simulates the reference deployments as discrete events in
+// virtual time: callers with their programs, nodes with the daemon's scheduling
+// code, and engines with the timing and cache model of the engine emulator. It
+// measures program latency and wasted cache.
 //
-// What a node knows is what the daemon knows: load reports that lag, cache
-// events that come late and with gaps, its own dispatches and answers. The shape
-// of a program stays with its caller. The same seed gives the same figures.
+// A simulated node has the same information as the daemon: delayed load reports,
+// delayed and lossy cache events, its own dispatches and their answers. Only the
+// caller knows a program's future calls. Runs are deterministic for a given seed.
 package experiment
 
 import (
@@ -18,69 +18,70 @@
 // Site describes one deployment.
 type Site struct {
 	Name string
-	// Service is the pool that the engines belong to.
+	// Service is the service that the engines belong to.
 	Service string
 	Zones   []string
-	// Nodes and Engines are spread over the zones in turn.
+	// Nodes and Engines are assigned to the zones round-robin.
 	Nodes   int
 	Engines int
 	Engine  model.Parameters
-	// ZoneLatency is one way between zones, ClientLatency one way to callers.
+	// ZoneLatency is the one-way latency between zones, ClientLatency that between
+	// callers and nodes.
 	ZoneLatency   time.Duration
 	ClientLatency time.Duration
-	// Duration is how long programs arrive. Those that arrive in the Warmup are
-	// run but not measured, and cache held in it is not counted.
+	// Programs arrive until Duration. The measured window starts after Warmup.
 	Duration time.Duration
 	Warmup   time.Duration
-	// Prehistory is how long before the run programs began to arrive; those still
-	// under way continue in the run, with their history cached nowhere.
+	// Prehistory is the time before the run in which programs arrive already. Those
+	// that are still running continue in the run, without any cached prefix.
 	Prehistory time.Duration
 	Tenants    int
 	Classes    []Class
-	// BurstPeriod, BurstLength and BurstFactor shape the arrivals: in each
-	// period, arrivals of bursty classes come BurstFactor times as fast for
-	// BurstLength, and slower in the rest, so that the mean stays.
+	// In each BurstPeriod, the arrival rate of bursty classes is BurstFactor times
+	// its mean during BurstLength and lower in the rest, so that the mean over the
+	// period stays the same.
 	BurstPeriod time.Duration
 	BurstLength time.Duration
 	BurstFactor float64
 }
 
-// Class is a program class: its row of the table, then the shape that its
-// programs are drawn from. The policies see the row alone.
+// Class is a program class: its row of the table, followed by the distributions of
+// its programs. Policies see the row only.
 type Class struct {
 	Name     string
 	Weight   float64
 	Priority int
-	// MaxTokens is the longest answer, KeepWarm the table's column.
+	// MaxTokens bounds an answer; KeepWarm is the table's column.
 	MaxTokens int
 	KeepWarm  time.Duration
 
-	// Share is the class's share of the arriving programs.
+	// Share is the fraction of the arriving programs.
 	Share  float64
 	Bursty bool
-	// Turns is the mean count of questions that a person asks in one program,
-	// CallsPerTurn the mean count of dependent calls for one of them.
+	// Turns is the mean number of user turns of a program, CallsPerTurn the mean
+	// number of sequential main-branch calls of a turn.
 	Turns        float64
 	CallsPerTurn float64
-	// FirstPrompt, NewTokens and Answer are tokens.
+	// FirstPrompt, NewTokens and Answer are in tokens.
 	FirstPrompt lognormal
 	NewTokens   lognormal
 	Answer      lognormal
-	// ToolPause is between the calls of one turn, Return between turns; with
-	// LongReturnShare it is LongReturn.
+	// ToolPause is the pause between the calls of a turn, Return that between turns,
+	// in seconds. A fraction LongReturnShare of the pauses between turns is drawn
+	// from LongReturn instead.
 	ToolPause       lognormal
 	Return          lognormal
 	LongReturn      lognormal
 	LongReturnShare float64
-	// BranchShare is the share of calls whose answer starts sub-agents, up to
-	// MaxBranches of them; their calls come on top.
+	// BranchShare is the fraction of main-branch calls whose answer starts between
+	// one and MaxBranches sub-agents, whose calls are in addition to CallsPerTurn.
 	BranchShare float64
 	MaxBranches int
-	// SilentShare is the share of programs that are never ended by their caller.
+	// SilentShare is the fraction of programs that their callers never end.
 	SilentShare float64
 }
 
-// lognormal is a distribution with bounds. Token counts and seconds are drawn from it.
+// lognormal is a log-normal distribution truncated to Low and High.
 type lognormal struct {
 	Median float64
 	Sigma  float64
@@ -88,8 +89,8 @@
 	High   float64
 }
 
-// Quito is deadline night of Enrolment Agents on the Quito Seam: bursts of many
-// short-lived applicants, registrars beside them.
+// Quito returns a university's enrolment service on the night of its deadline:
+// bursts of many short programs of applicants, and some longer ones of registrars.
 func Quito() Site {
 	engine := model.Default()
 	return Site{
@@ -121,8 +122,8 @@
 	}
 }
 
-// Haldane is the subscriber portal at Haldane Ridge: long conversations that
-// return after minutes to hours before a pool that can't hold them all.
+// Haldane returns a subscriber portal: long conversations that continue after
+// minutes to hours, with more prefixes than the engines can cache.
 func Haldane() Site {
 	engine := model.Default()
 	engine.MaxBatch = 12
@@ -173,7 +174,7 @@
 	}
 }
 
-// SiteByName returns one of the deployments.
+// SiteByName returns the site with the given name.
 func SiteByName(name string) (Site, error) {
 	switch name {
 	case "quito":
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -8,22 +8,24 @@
 	"stepseam.example/stepseam/internal/scheduling"
 )
 
-// Strategy is a policy with the decisions around it.
+// Strategy combines a scheduling policy with the optional features around it.
 type Strategy struct {
 	Name   string
 	Policy scheduling.Policy
-	// Release frees the cache of a program when its caller ends it.
+	// Release evicts a program's cache when its caller ends it, and a branch's cache
+	// on other engines when the branch moves.
 	Release bool
-	// Priorities hands the order among waiting calls to the engines; without it
-	// their queues are first in, first out.
+	// Priorities passes the policy's priorities to the engines; without it their
+	// queues are first in, first out.
 	Priorities bool
-	// KeepWarm gives up prefixes that are not expected to be used soon.
+	// KeepWarm evicts prefixes that are not expected to be reused soon; Patience is
+	// the break-even interval of that decision.
 	KeepWarm bool
 	Patience time.Duration
 }
 
-// Strategies returns all strategies: the baselines, stepseam, and stepseam with
-// one of its decisions left out.
+// Strategies returns all strategies: the baselines, stepseam, and ablations of
+// stepseam that each disable one feature.
 func Strategies() []Strategy {
 	full := Strategy{
 		Name: "stepseam", Policy: scheduling.NewStepseam(),
@@ -50,12 +52,12 @@
 	}
 }
 
-// PrimaryStrategies names those that are compared unless others are asked for.
+// PrimaryStrategies returns the names of the strategies that are compared by default.
 func PrimaryStrategies() []string {
 	return []string{"round_robin", "least_in_flight", "prefix_affinity", "prefix_affinity_release", "stepseam"}
 }
 
-// StrategyByName returns one of the strategies.
+// StrategyByName returns the strategy with the given name.
 func StrategyByName(name string) (Strategy, error) {
 	var names []string
 	for _, strategy := range Strategies() {
--- a/internal/lab/experiment/trace.go
+++ b/internal/lab/experiment/trace.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// ErrTrace is wrapped by every fault found in a trace.
+// ErrTrace is wrapped by every error that ReadTrace finds in a trace.
 var ErrTrace = errors.New("experiment: bad trace")
 
 // maximumTraceLine bounds one line of a trace.
 const maximumTraceLine = 4 << 20
 
-// Trace is a recorded workload with the outcomes that its replay must have. In
-// its file form each line is one JSON object with the field kind: first the
-// site, then programs in order of arrival, then outcomes.
+// Trace is a recorded workload with the expected outcomes of its replay. In a file,
+// each line is a JSON object with the field kind: first the site, then programs in
+// order of arrival, then outcomes.
 type Trace struct {
 	Site     TraceSite
 	Programs []Program
 	Outcomes []Outcome
 }
 
-// TraceSite names the site and what of it the trace changes.
+// TraceSite names a site and overrides some of its parameters.
 type TraceSite struct {
 	Name string `json:"site"`
-	// Engines and Nodes replace the site's counts, if set.
+	// Engines and Nodes override the site's counts unless they are 0.
 	Engines  int           `json:"engines,omitempty"`
 	Nodes    int           `json:"nodes,omitempty"`
 	Duration time.Duration `json:"duration_ns"`
 	Warmup   time.Duration `json:"warmup_ns,omitempty"`
 	Load     float64       `json:"load,omitempty"`
 	Seed     uint64        `json:"seed"`
-	// Calm leaves out the lost and the slow engine.
+	// Calm disables the injected engine failure and slowdown.
 	Calm bool `json:"calm,omitempty"`
 }
 
-// Outcome states what the replay with one policy must give. Fields that are not
-// set state nothing.
+// Outcome bounds the result of a replay with one policy. Fields that are nil are not
+// checked.
 type Outcome struct {
 	Policy            string   `json:"policy"`
 	Completed         *int     `json:"completed,omitempty"`
@@ -57,7 +57,7 @@
 	kindOutcome = "outcome"
 )
 
-// Write writes the trace, a line for each part.
+// Write writes the trace in its file format.
 func (t *Trace) Write(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	write := func(line any) error {
@@ -156,8 +156,8 @@
 	return err
 }
 
-// checkProgram makes sure that a program can be run: its class is known and its
-// calls wait only for earlier ones.
+// checkProgram validates a program: its class must exist and its calls may depend on
+// earlier calls only.
 func (s *TraceSite) checkProgram(program *Program) error {
 	site, err := s.site()
 	if err != nil {
@@ -190,7 +190,7 @@
 	return errors.Join(faults...)
 }
 
-// site returns the site as the trace changes it.
+// site returns the named site with the overrides applied.
 func (s *TraceSite) site() (Site, error) {
 	site, err := SiteByName(s.Name)
 	if err != nil {
@@ -206,7 +206,7 @@
 	return site, nil
 }
 
-// Options returns the options to replay the trace with a strategy.
+// Options returns the options for a replay of the trace with a strategy.
 func (t *Trace) Options(strategy Strategy) (Options, error) {
 	site, err := t.Site.site()
 	return Options{
@@ -215,7 +215,8 @@
 	}, err
 }
 
-// Check returns what in result is not as stated, all of it together.
+// Check returns all deviations of result from the expected outcome, joined into one
+// error.
 func (o *Outcome) Check(result *Result) error {
 	var faults []error
 	state := func(measure string, holds bool, got, want any) {
--- a/internal/lab/experiment/trace_test.go
+++ b/internal/lab/experiment/trace_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// TestTracesReplayToTheirStatedOutcomes replays a recorded trace of each
-// deployment with every policy that it states an outcome for.
+// TestTracesReplayToTheirStatedOutcomes replays a recorded trace of each site with
+// every policy for which it states an outcome.
 func TestTracesReplayToTheirStatedOutcomes(t *testing.T) {
 	for _, path := range []string{"testdata/quito.jsonl", "testdata/haldane.jsonl"} {
 		t.Run(path, func(t *testing.T) {
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestAStatedOutcomeThatDoesNotHoldIsNamed(t *testing.T) {
+func TestCheckReportsEachViolatedOutcome(t *testing.T) {
 	is := is.New(t)
 	completed, tokens := 3, int64(10)
 	outcome := Outcome{Policy: "stepseam", Completed: &completed, RecomputedAtLeast: &tokens}
@@ -44,7 +44,7 @@
 	is.NoErr(outcome.Check(&Result{Completed: 3, RecomputedTokens: 10}))
 }
 
-func TestARecordedTraceReadsBackAndReplaysTheSame(t *testing.T) {
+func TestWrittenTraceReplaysWithSameResult(t *testing.T) {
 	is := is.New(t)
 	site := short(Quito())
 	trace := Trace{
@@ -64,7 +64,7 @@
 	is.Equal(Run(recorded), Run(replayed))
 }
 
-func TestATraceReportsAllItsFaultsWithTheirLines(t *testing.T) {
+func TestReadTraceReportsAllErrorsWithLines(t *testing.T) {
 	is := is.New(t)
 	_, err := ReadTrace(strings.NewReader(strings.Join([]string{
 		`{"kind":"site","site":"quito","duration_ns":60000000000}`,
--- a/internal/lab/experiment/workload.go
+++ b/internal/lab/experiment/workload.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Program is one program as its caller will drive it. No policy sees it.
+// Program is the sequence of calls that a caller will make. Policies don't see it.
 type Program struct {
 	ID     string        `json:"id"`
 	Tenant string        `json:"tenant"`
 	Class  string        `json:"class"`
 	Arrive time.Duration `json:"arrive_ns"`
-	// Silent programs are never ended by their caller.
+	// Silent programs are never ended by their callers.
 	Silent bool   `json:"silent,omitempty"`
 	Calls  []Call `json:"calls"`
 }
@@ -23,12 +23,13 @@
 type Call struct {
 	Branch   string `json:"branch"`
 	Sequence int    `json:"sequence"`
-	// Turn numbers the person's question that the call belongs to.
+	// Turn is the index of the user turn that the call belongs to.
 	Turn int `json:"turn"`
-	// After are the calls whose answers this one waits for; Pause comes after them.
+	// After has the indexes of the calls whose answers this one depends on. The call
+	// is sent Pause after the last of them.
 	After []int         `json:"after,omitempty"`
 	Pause time.Duration `json:"pause_ns,omitempty"`
-	// NewTokens is what the prompt adds to the branch's history.
+	// NewTokens is the number of tokens that the prompt adds to the branch's history.
 	NewTokens    int `json:"new_tokens"`
 	AnswerTokens int `json:"answer_tokens"`
 }
@@ -43,7 +44,8 @@
 	return time.Duration(l.draw(random) * float64(time.Second))
 }
 
-// geometric draws a count of at least 1 with the given mean.
+// geometric draws a number from 1 to maximumCount from a geometric distribution with
+// the given mean.
 func geometric(random *rand.Rand, mean float64) int {
 	count := 1
 	for mean > 1 && random.Float64() < 1-1/mean && count < maximumCount {
@@ -52,13 +54,13 @@
 	return count
 }
 
-// maximumCount bounds drawn counts of calls and turns, as a class's limits do.
+// maximumCount bounds the drawn numbers of calls and turns.
 const maximumCount = 40
 
-// subAgentCalls is the mean count of calls of a sub-agent.
+// subAgentCalls is the mean number of calls of a sub-agent.
 const subAgentCalls = 2
 
-// drawProgram draws one program of class; its arrival, tenant and id are the caller's.
+// drawProgram draws a program of class without an arrival time, tenant and ID.
 func drawProgram(random *rand.Rand, class *Class) Program {
 	program := Program{Class: class.Name, Silent: random.Float64() < class.SilentShare}
 	drawer := &programDrawer{random: random, class: class, program: &program}
@@ -68,18 +70,18 @@
 	return program
 }
 
-// programDrawer appends calls to one program.
+// programDrawer appends drawn calls to one program.
 type programDrawer struct {
 	random   *rand.Rand
 	class    *Class
 	program  *Program
 	sequence int
 	branches int
-	// last are the calls that the main branch's next one waits for.
+	// last has the calls that the next call of the main branch depends on.
 	last []int
 }
 
-// turn appends the calls for one question of the person.
+// turn appends the calls of one user turn.
 func (d *programDrawer) turn(number int) {
 	for call := range geometric(d.random, d.class.CallsPerTurn) {
 		pause := d.class.ToolPause.seconds(d.random)
@@ -120,8 +122,8 @@
 	return d.class.Return.seconds(d.random)
 }
 
-// subAgent appends a branch that starts from the answer of call parent; the
-// main branch waits for its last answer.
+// subAgent appends a branch that starts after the answer to the call parent. The next
+// call of the main branch depends on its last answer.
 func (d *programDrawer) subAgent(turn, parent int) {
 	d.branches++
 	branch := fmt.Sprintf("agent-%d", d.branches)
@@ -146,7 +148,7 @@
 	return len(d.program.Calls) - 1
 }
 
-// Workload draws the programs that arrive at site at load times its capacity,
+// Workload draws the programs that arrive at a rate of load times the site's capacity,
 // in order of arrival.
 func Workload(site *Site, load float64, seed uint64) []Program {
 	random := rand.New(rand.NewPCG(seed, 0x5eed))
@@ -176,9 +178,9 @@
 	return programs
 }
 
-// skipTo drops the turns that begin before start, reckoned without the time that
-// calls take, and tells whether any are left. What they said stays as history:
-// it is part of the first prompt of its branch.
+// skipTo removes the turns that begin before start, assuming that calls take no time,
+// and reports whether any turn remains. The tokens of the removed main-branch calls
+// are added to the first remaining prompt.
 func (p *Program) skipTo(start time.Duration) bool {
 	begins := p.Arrive
 	first := -1
@@ -211,11 +213,11 @@
 	return true
 }
 
-// mainBranch is the name of the chain that every program has.
+// mainBranch is the name of the branch that every program has.
 const mainBranch = "main"
 
-// nextArrival draws the time to the next arrival by thinning, so that the rate
-// may change on the way.
+// nextArrival draws the time to the next arrival of an inhomogeneous Poisson process
+// by thinning.
 func nextArrival(random *rand.Rand, site *Site, class *Class, rate float64, from time.Duration) time.Duration {
 	peak := rate
 	if class.Bursty {
@@ -239,7 +241,7 @@
 	return (s.BurstPeriod.Seconds() - inBurst) / (s.BurstPeriod - s.BurstLength).Seconds()
 }
 
-// drawTenant draws a tenant; a few of them have most of the programs.
+// drawTenant draws a tenant from a skewed distribution: low numbers are more frequent.
 func drawTenant(random *rand.Rand, site *Site) string {
 	position := random.Float64()
 	return fmt.Sprintf("tenant-%d", int(position*position*float64(site.Tenants)))
