--- a/internal/lab/experiment/trace.go
+++ b/internal/lab/experiment/trace.go
@@ -10,7 +10,7 @@
 )
 
 // ErrTrace is wrapped by every error that ReadTrace finds in a trace.
-var ErrTrace = errors.New("experiment: bad trace")
+var ErrTrace = errors.New("experiment: invalid trace")
 
 // maximumTraceLine bounds one line of a trace.
 const maximumTraceLine = 4 << 20
@@ -151,7 +151,7 @@
 		err = errors.Join(err, fmt.Errorf("duration_ns %d: want more than 0", s.Duration))
 	}
 	if s.Engines < 0 || s.Nodes < 0 {
-		err = errors.Join(err, fmt.Errorf("engines %d, nodes %d: want no negative count", s.Engines, s.Nodes))
+		err = errors.Join(err, fmt.Errorf("engines %d, nodes %d: want 0 or more", s.Engines, s.Nodes))
 	}
 	return err
 }
@@ -169,21 +169,21 @@
 	}
 	var faults []error
 	if !known {
-		faults = append(faults, fmt.Errorf("program %s: class %q is not of site %s", program.ID, program.Class, site.Name))
+		faults = append(faults, fmt.Errorf("program %s: class %q is not defined for site %s", program.ID, program.Class, site.Name))
 	}
 	if len(program.Calls) == 0 {
 		faults = append(faults, fmt.Errorf("program %s: no calls", program.ID))
 	}
 	for i, call := range program.Calls {
 		if call.NewTokens < 1 || call.AnswerTokens < 1 || call.Turn < 0 || call.Pause < 0 {
-			faults = append(faults, fmt.Errorf("program %s: call %d: counts and times must be positive", program.ID, i))
+			faults = append(faults, fmt.Errorf("program %s: call %d: token counts must be positive, turn and pause must not be negative", program.ID, i))
 		}
 		if len(call.After) == 0 && i > 0 {
-			faults = append(faults, fmt.Errorf("program %s: call %d: only the first call waits for none", program.ID, i))
+			faults = append(faults, fmt.Errorf("program %s: call %d: only the first call may have no predecessor", program.ID, i))
 		}
 		for _, before := range call.After {
 			if before < 0 || before >= i {
-				faults = append(faults, fmt.Errorf("program %s: call %d waits for call %d, which is not before it", program.ID, i, before))
+				faults = append(faults, fmt.Errorf("program %s: call %d waits for call %d, which is not an earlier call", program.ID, i, before))
 			}
 		}
 	}
