--- a/internal/lab/knowledge/knowledge.go
+++ b/internal/lab/knowledge/knowledge.go
@@ -1,6 +1,6 @@
-// Package knowledge compares what nodes believed of engines when they chose them with
-// what the log lines of all nodes together show. It reads the lines that nodes write at
-// the end of each request, and is pure but for the reader it is given.
+// Package knowledge compares the estimates on which nodes selected replicas with the
+// actual values, reconstructed from the log lines that all nodes write at the end of
+// each request.
 package knowledge
 
 import (
@@ -18,34 +18,34 @@
 	"github.com/samber/lo"
 )
 
-// endMessage is the message of the lines that are read.
+// endMessage is the message of the log lines that are evaluated.
 const endMessage = "request ended"
 
-// longestLine bounds a line in bytes.
-const longestLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// errNoRequests tells that no line is of a request at an engine.
+// errNoRequests is returned if the input has no line of a served request.
 var errNoRequests = errors.New("knowledge: no line of a served request with a prompt")
 
-// Request is one request that an engine has served at the first attempt. Times are in
-// seconds from any beginning that all nodes share.
+// Request is a request that a replica served at the first attempt. Times are in seconds
+// relative to an arbitrary origin that all nodes share.
 type Request struct {
 	Replica string
-	// Sent, First and End are when it was sent, got its first event and ended.
+	// Sent, First and End are the times of the dispatch, the first event and the end.
 	Sent, First, End float64
-	// UncachedTokens is what the replica was taken to have to read for it.
+	// UncachedTokens is the node's estimate of the prompt tokens to prefill.
 	UncachedTokens int
 	Believed       Belief
 }
 
-// Belief is what a node believed of the replica when it sent a request.
+// Belief is a node's estimate of a replica's state at the dispatch of a request.
 type Belief struct {
-	// Others is how many other requests were under way there, UnreadTokens how much of
-	// their prompts was yet to be read, FirstMilliseconds the time to the first event.
+	// Others counts the other requests in flight, UnreadTokens their prompt tokens that
+	// were not yet prefilled, FirstMilliseconds is the time to the first event.
 	Others, UnreadTokens, FirstMilliseconds float64
 }
 
-// line is a log line of a request; fields that other lines lack are zero there.
+// line is a log line; fields that it doesn't contain are zero.
 type line struct {
 	Time     time.Time `json:"time"`
 	Message  string    `json:"msg"`
@@ -62,13 +62,13 @@
 	Expected float64   `json:"expected_first_ms"`
 }
 
-// Parse reads log lines of all nodes. Before the JSON object a line may hold a time in
-// seconds and a node's name, which a merged log has; the nodes' own clocks count
-// otherwise. Lines of anything else are passed over.
+// Parse reads the log lines of all nodes. In a merged log, a time in seconds and a node
+// name may precede the JSON object; that time then replaces the node's own timestamp.
+// Other lines are ignored.
 func Parse(input io.Reader) ([]Request, error) {
 	var requests []Request
 	lines := bufio.NewScanner(input)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		if request, found := parseLine(lines.Text()); found {
 			requests = append(requests, request)
@@ -90,7 +90,7 @@
 	}
 	var read line
 	if json.Unmarshal([]byte(text[len(prefix):]), &read) != nil {
-		return Request{}, false // another program's line
+		return Request{}, false // not a node's log line
 	}
 	const served = 200
 	if read.Message != endMessage || read.Status != served || read.Prompt == 0 || read.Attempts != 1 || read.First == 0 {
@@ -98,8 +98,8 @@
 	}
 	end := float64(read.Time.UnixNano()) / float64(time.Second)
 	if fields := strings.Fields(prefix); len(fields) > 0 {
-		if told, err := strconv.ParseFloat(fields[0], 64); err == nil {
-			end = told
+		if merged, err := strconv.ParseFloat(fields[0], 64); err == nil {
+			end = merged
 		}
 	}
 	const milliseconds = 1000
@@ -111,8 +111,9 @@
 	}, true
 }
 
-// Comparison is what was believed of one quantity, what was so, and how far apart they
-// were in absolute terms: the middle of all requests and the 95th of 100.
+// Comparison has the quantiles of the estimates of one quantity, of its actual values
+// and of the absolute errors. Choices counts the requests, Underestimated those whose
+// estimate was below the actual value.
 type Comparison struct {
 	Quantity                string
 	Believed, Real          Quantiles
@@ -120,20 +121,20 @@
 	Underestimated, Choices int
 }
 
-// Quantiles are the 50th and 95th of 100 values in order.
+// Quantiles are the median and the 95th percentile.
 type Quantiles struct{ Middle, High float64 }
 
-// Measure compares the beliefs of all requests with what was so: who else was at the
-// replica, and what of their prompts was unread, by the nodes' own lines; and the time
-// to the first event.
+// Measure compares the estimates of all requests with the actual values: the other
+// requests in flight on the replica, their pending prompt tokens and the time to the
+// first event.
 func Measure(requests []Request) []Comparison {
 	var others, unread, first []pair
 	for _, group := range lo.GroupBy(requests, func(request Request) string { return request.Replica }) {
 		for _, request := range group {
-			so := at(group, request)
-			others = append(others, pair{request.Believed.Others, so.Others})
-			unread = append(unread, pair{request.Believed.UnreadTokens, so.UnreadTokens})
-			first = append(first, pair{request.Believed.FirstMilliseconds, so.FirstMilliseconds})
+			actual := actualState(group, request)
+			others = append(others, pair{request.Believed.Others, actual.Others})
+			unread = append(unread, pair{request.Believed.UnreadTokens, actual.UnreadTokens})
+			first = append(first, pair{request.Believed.FirstMilliseconds, actual.FirstMilliseconds})
 		}
 	}
 	return []Comparison{
@@ -141,23 +142,23 @@
 	}
 }
 
-// at returns what was so at the replica of group when request was sent.
-func at(group []Request, request Request) Belief {
+// actualState returns the state of the replica that served group when request was sent.
+func actualState(group []Request, request Request) Belief {
 	const milliseconds = 1000
-	so := Belief{FirstMilliseconds: (request.First - request.Sent) * milliseconds}
+	actual := Belief{FirstMilliseconds: (request.First - request.Sent) * milliseconds}
 	for _, other := range group {
 		if other.Sent >= request.Sent || other.End <= request.Sent {
 			continue
 		}
-		so.Others++
+		actual.Others++
 		if other.First > request.Sent {
-			so.UnreadTokens += float64(other.UncachedTokens)
+			actual.UnreadTokens += float64(other.UncachedTokens)
 		}
 	}
-	return so
+	return actual
 }
 
-// pair is a value as believed and as it was.
+// pair is an estimated and an actual value.
 type pair struct{ believed, real float64 }
 
 func compare(quantity string, pairs []pair) Comparison {
--- a/internal/lab/knowledge/knowledge_test.go
+++ b/internal/lab/knowledge/knowledge_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// The first request reads 900 tokens from 1.0 s to 1.5 s and ends at 2 s; the second is
-// sent to the same replica at 1.2 s by a node that knows nothing of it.
+// The first request prefills 900 tokens from 1.0 s to 1.5 s and ends at 2 s. Another node
+// sends the second to the same replica at 1.2 s without information about the first.
 const merged = `
 building
    2.0000 n1 {"time":"2026-01-01T00:00:09Z","msg":"request ended","status":200,"replica":"a","attempts":1,"took_ms":1010,"ledger_ms":10,"first_byte_ms":510,"prompt":1000,"uncached":900,"unread_ahead":0,"beside":0,"expected_first_ms":500}
@@ -20,7 +20,7 @@
    2.4000 n2 {"msg":"request ended"
 `
 
-func TestBeliefsAreComparedWithAllNodesLines(t *testing.T) {
+func TestMeasureUsesLinesOfAllNodes(t *testing.T) {
 	is := is.New(t)
 	requests, err := Parse(strings.NewReader(merged))
 	is.NoErr(err)
@@ -29,16 +29,16 @@
 	is.Equal(len(table), 3)
 	others, unread, first := table[0], table[1], table[2]
 	is.Equal(others.Choices, 3)
-	is.Equal(others.Underestimated, 1) // only the second request had company
+	is.Equal(others.Underestimated, 1) // only the second request overlaps with another one
 	is.Equal(unread.Underestimated, 1)
 	is.Equal(others.Real, Quantiles{Middle: 0, High: 0})
 	is.Equal(first.Underestimated, 2)
-	so := at(requests[:2], requests[1])
-	is.Equal(so.Others, 1.0)
-	is.Equal(so.UnreadTokens, 900.0)
+	actual := actualState(requests[:2], requests[1])
+	is.Equal(actual.Others, 1.0)
+	is.Equal(actual.UnreadTokens, 900.0)
 }
 
-func TestLinesOfOneNodeHaveItsOwnTime(t *testing.T) {
+func TestParseUsesNodeTimestampWithoutPrefix(t *testing.T) {
 	is := is.New(t)
 	requests, err := Parse(strings.NewReader(`{"time":"1970-01-01T00:00:07Z","msg":"request ended","status":200,"replica":"a","attempts":1,"took_ms":1000,"first_byte_ms":500,"prompt":1}`))
 	is.NoErr(err)
@@ -47,7 +47,7 @@
 	is.Equal(requests[0].End, 7.0)
 }
 
-func TestLogWithoutRequestsIsAnError(t *testing.T) {
+func TestParseRejectsLogWithoutRequests(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse(strings.NewReader("nothing\n"))
 	is.True(errors.Is(err, errNoRequests))
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,7 +1,7 @@
-// Package loopback gives out addresses for processes that must know them before they
-// start. Nobody else is given one in between: ports lie below the range from which the
-// system gives out free ones, no address is given out twice by one process, and each
-// process may take an IP number that no other one takes.
+// Package loopback allocates loopback addresses for processes that must know them before
+// they start. To avoid conflicts in between, ports are below the kernel's ephemeral port
+// range, a process allocates no address twice, and each process may use loopback IP
+// addresses of its own.
 package loopback
 
 import (
@@ -16,36 +16,36 @@
 const (
 	firstPort = 10_000
 	portCount = 20_000
-	// portsApart lie between the first ports of two processes whose numbers follow each
-	// other, so that they don't probe the same ones where they share an IP number.
-	portsApart = 97
+	// processPortOffset is the distance between the first ports of processes with
+	// consecutive IDs, so that they probe different ports on a shared IP address.
+	processPortOffset = 97
 )
 
-// errNoPort tells that all ports of an IP number are taken.
+// errNoPort is returned if no port of an IP address is free.
 var errNoPort = errors.New("loopback: no port is free")
 
-// given is what this process has given out.
-var given = struct {
-	// mutex guards all below.
+// allocated tracks the ports that this process has probed or allocated.
+var allocated = struct {
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// tried counts the ports that were tried, by IP number.
+	// tried counts the probed ports per IP address.
 	tried map[netip.Addr]int
 }{tried: map[netip.Addr]int{}}
 
-// Own returns an IP number of the loopback interface that no other living process of
-// this machine gets here: it is made from the process's number.
+// Own returns a loopback IP address derived from the process ID. No other running
+// process on this machine gets the same address, as long as process IDs are below 2^22.
 func Own() netip.Addr {
 	const firstByte, upperHalf, upperMask = 127, 64, 63
 	number := os.Getpid()
 	return netip.AddrFrom4([4]byte{firstByte, byte(upperHalf + number>>16&upperMask), byte(number >> 8), byte(number)})
 }
 
-// maxSiblings is how many IP numbers Sibling gives out.
+// maxSiblings is the number of distinct addresses that Sibling returns.
 const maxSiblings = 128
 
-// Sibling returns a further IP number of this process, by a number from 0 to 127, for
-// sites whose nodes all use one port. Only processes whose numbers differ by a multiple
-// of 65,536 share it, and their ports lie apart.
+// Sibling returns a further IP address of this process, for a number from 0 to 127, for
+// sites whose nodes all use the same port. Only processes whose IDs differ by a multiple
+// of 65,536 share it; they start their search for free ports at different ports.
 func Sibling(number int) netip.Addr {
 	const firstSibling = 256 - maxSiblings
 	bytes := Own().As4()
@@ -55,13 +55,13 @@
 
 // Free returns an address of host whose port is free for TCP and UDP.
 func Free(host netip.Addr) (netip.AddrPort, error) {
-	given.mutex.Lock()
-	defer given.mutex.Unlock()
+	allocated.mutex.Lock()
+	defer allocated.mutex.Unlock()
 	last := errNoPort
-	begin := os.Getpid() * portsApart
-	for given.tried[host] < portCount {
-		chosen := netip.AddrPortFrom(host, uint16(firstPort+(begin+given.tried[host])%portCount))
-		given.tried[host]++
+	begin := os.Getpid() * processPortOffset
+	for allocated.tried[host] < portCount {
+		chosen := netip.AddrPortFrom(host, uint16(firstPort+(begin+allocated.tried[host])%portCount))
+		allocated.tried[host]++
 		if err := probe(chosen); err != nil {
 			last = fmt.Errorf("%w: %w", errNoPort, err)
 			continue
@@ -71,7 +71,7 @@
 	return netip.AddrPort{}, last
 }
 
-// probe tells whether address can be bound.
+// probe returns an error if address can't be bound for TCP and UDP.
 func probe(address netip.AddrPort) error {
 	listener, err := net.Listen("tcp4", address.String())
 	if err != nil {
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestNoAddressIsGivenOutTwiceOrWhileTaken(t *testing.T) {
+func TestFreeSkipsAllocatedAndBoundPorts(t *testing.T) {
 	is := is.New(t)
 	host := Own()
 	is.True(host.IsLoopback())
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestPortsLieBelowThoseThatTheSystemGivesOut: a port that the system may hand to any
-// process, at any moment, can't be promised to one.
-func TestPortsLieBelowThoseThatTheSystemGivesOut(t *testing.T) {
+// TestPortsAreBelowEphemeralRange guards against allocating a port that the kernel may
+// assign to another process at any time.
+func TestPortsAreBelowEphemeralRange(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
@@ -44,7 +44,7 @@
 	is.True(firstPort+portCount <= lowest)
 }
 
-func TestSiblingsAreAllDifferent(t *testing.T) {
+func TestSiblingsAreDistinct(t *testing.T) {
 	is := is.New(t)
 	seen := map[netip.Addr]bool{Own(): true}
 	for number := range maxSiblings {
--- a/internal/lab/process/attributes_linux.go
+++ b/internal/lab/process/attributes_linux.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// attributes ties the child's life to this process's, so that a killed test
-// leaves nothing running.
+// attributes makes the kernel kill the child when the thread that started it ends, so
+// that a killed test leaves no processes behind.
 func attributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/lab/process/attributes_other.go
+++ b/internal/lab/process/attributes_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// attributes is empty where a child's life can't be tied to its parent's.
+// attributes is empty on systems without a parent-death signal.
 func attributes() *syscall.SysProcAttr { return &syscall.SysProcAttr{} }
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,6 +1,5 @@
-// Package process starts the processes of a laboratory site, waits until they
-// are ready and ends them: by planned stop, by kill, or frozen for a while.
-// Only the laboratory uses it; stepseamd starts no process.
+// Package process starts the processes of a laboratory site, waits until they are
+// ready, and stops, kills or pauses them. stepseamd doesn't use it.
 package process
 
 import (
@@ -20,38 +19,39 @@
 	"time"
 )
 
-// ReadyPrefix begins the line that a stand-in prints once it listens; the
-// address follows.
+// ReadyPrefix starts the line that an emulator prints once it listens, followed by
+// its address.
 const ReadyPrefix = "ready "
 
-// ErrStillRunning tells that a process did not end in time and was killed.
+// ErrStillRunning is returned by Stop if the process did not end within the timeout
+// and was killed.
 var ErrStillRunning = errors.New("process: did not end in time")
 
-// Command says what to start.
+// Command describes a process to start.
 type Command struct {
-	// Name is the process's name in messages and of its log file.
+	// Name is used in messages and for the log file.
 	Name string
 	// Program is the path of the executable.
 	Program   string
 	Arguments []string
-	// LogDirectory takes a file with all that the process writes.
+	// LogDirectory is where the log file with the process's output is created.
 	LogDirectory string
 }
 
-// Process is one started process.
+// Process is a started process.
 type Process struct {
 	name    string
 	logPath string
 	command *exec.Cmd
-	// ready gets the address of the first ready line.
+	// ready receives the address of the first ready line.
 	ready chan netip.AddrPort
-	// done is closed once the process has ended; err is set before.
+	// done is closed when the process has ended; err is set before that.
 	done chan struct{}
 	err  error
 }
 
-// starts carries the starting of processes to a thread that never ends, as the
-// kernel ties a child's life to the thread that made it.
+// starts passes the starts of processes to a thread that never ends, because the
+// parent-death signal refers to the thread that started the child.
 var (
 	starts    = make(chan func())
 	startOnce sync.Once
@@ -71,8 +71,8 @@
 	return <-result
 }
 
-// Start starts a process. Its output goes to a file named after it, which
-// repeated starts of one name share.
+// Start starts a process. Its output is appended to the log file of its name, which
+// processes of the same name share.
 func Start(command Command) (*Process, error) {
 	logPath := filepath.Join(command.LogDirectory, command.Name+".log")
 	log, err := os.OpenFile(logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -95,12 +95,13 @@
 		name: command.Name, logPath: logPath, command: started,
 		ready: make(chan netip.AddrPort, 1), done: make(chan struct{}),
 	}
-	go process.follow(output, log)
+	go process.copyOutput(output, log)
 	return process, nil
 }
 
-// follow copies the process's output to its log until it ends.
-func (p *Process) follow(output io.Reader, log *os.File) {
+// copyOutput copies the process's standard output to its log and passes on the ready
+// address, until the process ends.
+func (p *Process) copyOutput(output io.Reader, log *os.File) {
 	lines := bufio.NewScanner(output)
 	for lines.Scan() {
 		_, _ = fmt.Fprintln(log, lines.Text())
@@ -119,16 +120,17 @@
 	close(p.done)
 }
 
-// Name returns the name it was started under.
+// Name returns the name from the Command.
 func (p *Process) Name() string { return p.name }
 
-// ID returns the process's number.
+// ID returns the process ID.
 func (p *Process) ID() int { return p.command.Process.Pid }
 
-// Done is closed once the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Ready returns the address that the process says it listens at.
+// Ready waits for the ready line of the process and returns its address. The address
+// is delivered to one caller only.
 func (p *Process) Ready(ctx context.Context) (netip.AddrPort, error) {
 	select {
 	case address := <-p.ready:
@@ -140,7 +142,7 @@
 	}
 }
 
-// ended returns how the process ended; only after done.
+// ended returns the exit status as an error. It must be called after done is closed.
 func (p *Process) ended() error {
 	if p.err == nil {
 		return errors.New("exit status 0")
@@ -148,20 +150,20 @@
 	return p.err
 }
 
-// Stop asks the process to end (SIGTERM) and waits. It returns an error if the
-// process ends with another status than 0, or not within patience; then it is
+// Stop sends SIGTERM and waits for the process to end. It returns an error if the
+// exit status is not 0, or if the process doesn't end within timeout and has to be
 // killed.
-func (p *Process) Stop(patience time.Duration) error {
+func (p *Process) Stop(timeout time.Duration) error {
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-p.done:
 	case <-timer.C:
 		p.Kill()
-		return fmt.Errorf("%w: %s, within %v\n%s", ErrStillRunning, p.name, patience, p.LogTail())
+		return fmt.Errorf("%w: %s, within %v\n%s", ErrStillRunning, p.name, timeout, p.LogTail())
 	}
 	if p.err != nil {
 		return fmt.Errorf("process: %s stopped with %w\n%s", p.name, p.err, p.LogTail())
@@ -169,16 +171,16 @@
 	return nil
 }
 
-// Kill ends the process at once (SIGKILL) and waits for its end.
+// Kill sends SIGKILL and waits for the process to end.
 func (p *Process) Kill() {
 	_ = p.command.Process.Kill()
 	<-p.done
 }
 
-// Freeze stops the process's work (SIGSTOP) until Thaw.
+// Freeze suspends the process with SIGSTOP until Thaw.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on (SIGCONT).
+// Thaw resumes a suspended process with SIGCONT.
 func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT) }
 
 func (p *Process) signal(signal syscall.Signal) error {
@@ -193,11 +195,12 @@
 	return nil
 }
 
-// crashMarks are what the language's runtime writes when a program is broken.
+// crashMarks occur in the output of a Go program after a panic, a fatal error or a
+// data race.
 var crashMarks = []string{"panic: ", "panic serving", "fatal error: ", "DATA RACE"}
 
-// Crash returns the first line of the process's output that tells of a panic,
-// a fatal error or a data race, or nothing.
+// Crash returns the first line of the process's output that reports a panic, a fatal
+// error or a data race, or an empty string.
 func (p *Process) Crash() string {
 	content, err := os.ReadFile(p.logPath)
 	if err != nil {
@@ -213,10 +216,10 @@
 	return ""
 }
 
-// logTailBytes is how much of a log goes into an error.
+// logTailBytes bounds the part of a log that errors include.
 const logTailBytes = 4 << 10
 
-// LogTail returns the end of what the process wrote.
+// LogTail returns the end of the process's log.
 func (p *Process) LogTail() string {
 	content, err := os.ReadFile(p.logPath)
 	if err != nil {
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-const patience = 20 * time.Second
+const stopTimeout = 20 * time.Second
 
 func startShell(t *testing.T, script string) *Process {
 	t.Helper()
@@ -22,7 +22,7 @@
 	return started
 }
 
-func TestReadyAndPlannedStop(t *testing.T) {
+func TestReadyAndGracefulStop(t *testing.T) {
 	check := is.New(t)
 	started := startShell(t, `trap 'exit 0' TERM; echo noise; echo ready 127.0.0.9:80; while :; do sleep 0.01; done`)
 	address, err := started.Ready(t.Context())
@@ -30,18 +30,18 @@
 	check.Equal(address, netip.MustParseAddrPort("127.0.0.9:80"))
 	check.NoErr(started.Freeze())
 	check.NoErr(started.Thaw())
-	check.NoErr(started.Stop(patience))
-	check.True(started.Stop(patience) != nil)
+	check.NoErr(started.Stop(stopTimeout))
+	check.True(started.Stop(stopTimeout) != nil)
 }
 
-func TestFailuresCarryTheReason(t *testing.T) {
+func TestReadyErrorIncludesOutputAndStatus(t *testing.T) {
 	check := is.New(t)
 	started := startShell(t, `echo the reason >&2; exit 3`)
 	_, err := started.Ready(t.Context())
 	check.True(err != nil && strings.Contains(err.Error(), "the reason") && strings.Contains(err.Error(), "exit status 3"))
 }
 
-func TestACrashIsFoundInTheOutput(t *testing.T) {
+func TestCrashFindsPanicsAndDataRaces(t *testing.T) {
 	check := is.New(t)
 	for script, crash := range map[string]string{
 		`echo all is well`: "",
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestStopKillsWhatDoesNotEnd(t *testing.T) {
+func TestStopKillsProcessAfterTimeout(t *testing.T) {
 	check := is.New(t)
 	started := startShell(t, `trap '' TERM; echo ready 127.0.0.9:80; while :; do sleep 0.01; done`)
 	_, err := started.Ready(t.Context())
