--- a/internal/lab/knowledge/knowledge.go
+++ b/internal/lab/knowledge/knowledge.go
@@ -25,7 +25,7 @@
 const maxLineBytes = 1 << 20
 
 // errNoRequests is returned if the input has no line of a served request.
-var errNoRequests = errors.New("knowledge: no line of a served request with a prompt")
+var errNoRequests = errors.New("knowledge: no log line of a served request with a prompt")
 
 // Request is a request that a replica served at the first attempt. Times are in seconds
 // relative to an arbitrary origin that all nodes share.
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -22,7 +22,7 @@
 )
 
 // errNoPort is returned if no port of an IP address is free.
-var errNoPort = errors.New("loopback: no port is free")
+var errNoPort = errors.New("loopback: no free port")
 
 // allocated tracks the ports that this process has probed or allocated.
 var allocated = struct {
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		t.Skip("the system does not tell")
+		t.Skip("the ephemeral port range is not readable on this system")
 	}
 	lowest, err := strconv.Atoi(strings.Fields(string(text))[0])
 	is.NoErr(err)
