--- a/internal/lab/replay/caller.go
+++ b/internal/lab/replay/caller.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// attemptTimeout is how long a caller waits for one answer where the trace
-	// names no other time.
+	// attemptTimeout bounds one attempt unless the trace sets a timeout.
 	attemptTimeout = 5 * time.Minute
-	// insistence bounds the making, ending and cancelling of a program.
-	insistence = 30 * time.Minute
-	// retryPause is the wait after a lost connection.
+	// retryTimeout bounds the retries of creating, ending or cancelling a program.
+	retryTimeout = 30 * time.Minute
+	// retryPause is the delay before a retry unless the response sets one.
 	retryPause = 200 * time.Millisecond
-	// ownerWait bounds the wait for a program's shard to have an owner.
-	ownerWait = 30 * time.Second
+	// ownerTimeout bounds the wait for a program's shard to have an owner.
+	ownerTimeout = 30 * time.Second
 )
 
-// errConnection is what a caller sees of a node that died or stayed silent.
+// errConnection is a caller's error if the node is down or doesn't respond in time.
 var errConnection = errors.New("replay: connection lost")
 
-// request is one request of a caller to a node.
+// request sends one request of a caller to a node.
 type request func(ctx context.Context, programs serving.Programs) error
 
-// resolve returns the node that reference names now. The first attempt goes to
-// it, further ones through the others in turn, as where none is named.
+// resolve returns the node for an attempt: the referenced node for the first one, and
+// all nodes round-robin for further ones, for an empty reference and if the shard has
+// no owner within ownerTimeout.
 func (p *player) resolve(reference trace.NodeReference, line, attempt int) identity.NodeName {
 	nodes := p.site.Nodes()
 	next := nodes[(line+attempt)%len(nodes)]
@@ -45,7 +45,7 @@
 	case !isOwner:
 		return identity.NodeName(reference)
 	}
-	for deadline := time.Now().Add(ownerWait); time.Now().Before(deadline); time.Sleep(retryPause) {
+	for deadline := time.Now().Add(ownerTimeout); time.Now().Before(deadline); time.Sleep(retryPause) {
 		if owner, found := p.site.OwnerOf(program); found {
 			return owner
 		}
@@ -53,8 +53,8 @@
 	return next
 }
 
-// through sends one request through the node. A node that dies or stays silent
-// under it is a lost connection.
+// through sends one request through the node. It returns errConnection if the node is
+// down, is killed during the request or doesn't respond within timeout.
 func (p *player) through(ctx context.Context, name identity.NodeName, timeout time.Duration, send request) error {
 	at := p.site.Life(name)
 	if at == nil {
@@ -93,10 +93,10 @@
 	return err
 }
 
-// insist repeats a repeatable request through one node after the other until it
-// succeeds.
-func (p *player) insist(ctx context.Context, event trace.Event, reference trace.NodeReference, send request) {
-	ctx, cancel := context.WithTimeout(ctx, insistence)
+// retry sends an idempotent request through one node after the other until it succeeds
+// or fails with a final error.
+func (p *player) retry(ctx context.Context, event trace.Event, reference trace.NodeReference, send request) {
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
 	for attempt := 0; ; attempt++ {
 		err := p.through(ctx, p.resolve(reference, event.Line, attempt), 0, send)
@@ -111,7 +111,7 @@
 	}
 }
 
-// pauseAfter is as long as a refusal asks for, or a moment.
+// pauseAfter returns the delay before a retry: the problem's RetryAfter, or retryPause.
 func pauseAfter(err error) time.Duration {
 	var problem *api.Problem
 	if errors.As(err, &problem) && problem.RetryAfter > 0 {
@@ -120,7 +120,7 @@
 	return retryPause
 }
 
-// isFinal tells that asking again cannot bring another outcome.
+// isFinal reports whether a retry can't change the outcome.
 func isFinal(err error) bool {
 	var problem *api.Problem
 	if !errors.As(err, &problem) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// call makes the call of one line and notes what its caller got.
+// call makes the call of one line, with retries, and records the result.
 func (p *player) call(ctx context.Context, event trace.Event, body trace.Call) {
 	if body.Pause != nil {
 		own := body.CallID()
@@ -158,9 +158,9 @@
 	p.note(func(e *Evidence) { e.Calls[event.Line] = seen })
 }
 
-// attempt makes the call through one node.
+// attempt makes one attempt of a call through one node.
 func (p *player) attempt(ctx context.Context, body trace.Call, name identity.NodeName) CallEvidence {
-	var mutex sync.Mutex // a request that was given up may still write
+	var mutex sync.Mutex // a request may continue to write after its timeout
 	var streamed strings.Builder
 	next := 0
 	var answer api.Answer
--- a/internal/lab/replay/compare.go
+++ b/internal/lab/replay/compare.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// Difference is one stated outcome that did not come.
+// Difference is a deviation from one expected outcome.
 type Difference struct {
 	File    string
 	Line    int
@@ -23,8 +23,8 @@
 // String returns "file:line: message".
 func (d Difference) String() string { return fmt.Sprintf("%s:%d: %s", d.File, d.Line, d.Message) }
 
-// Compare returns every stated outcome of t that found does not show, in the
-// order of the lines. It is pure.
+// Compare returns the deviations of found from the expected outcomes of t, in order of
+// the lines.
 func Compare(t *trace.Trace, found *Evidence) []Difference {
 	c := &comparison{trace: t, found: found, winners: map[string]int{}}
 	for _, event := range t.Events {
@@ -109,7 +109,7 @@
 	c.notRun(id)
 }
 
-// answer checks that an answer is the caller's own and the one it was streamed.
+// answer checks that an answer belongs to the call and equals the streamed text.
 func (c *comparison) answer(id identity.CallID, seen CallEvidence) {
 	if seen.Answer == nil {
 		return
@@ -123,8 +123,8 @@
 	}
 }
 
-// notRun checks that a call which every one of its lines says did not run
-// reached no back end.
+// notRun checks that a call reached no back end if all of its lines expect that it did
+// not run.
 func (c *comparison) notRun(id identity.CallID) {
 	for _, event := range c.trace.Events {
 		other, isCall := event.Body.(trace.Call)
@@ -163,7 +163,7 @@
 	}
 }
 
-// races checks that exactly one publication of each race won.
+// races checks that exactly one publication of each race was accepted.
 func (c *comparison) races() {
 	for _, event := range c.trace.Events {
 		body, isPublication := event.Body.(trace.Publish)
--- a/internal/lab/replay/engines.go
+++ b/internal/lab/replay/engines.go
@@ -13,14 +13,13 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// arrival is one stream that an engine took on.
+// arrival is a stream that an engine accepted.
 type arrival struct {
 	engine.Arrival
 	engine string
 }
 
-// arrivals returns the streams of a program that engines took on, in the order
-// in which they arrived.
+// arrivals returns the streams of a program that engines accepted, in order of arrival.
 func (c *comparison) arrivals(program identity.ProgramID) []arrival {
 	var found []arrival
 	for _, truth := range c.found.Engines {
@@ -55,8 +54,8 @@
 	}
 }
 
-// conversation checks each model call of a branch against what its callers sent
-// and got before.
+// conversation checks the prompt of each model call of a branch against the messages
+// that its callers sent and received before.
 func (c *comparison) conversation(body trace.ExpectConversation) {
 	expected := c.expectedTurns(body.Program, body.Branch)
 	longest := 0
@@ -74,8 +73,8 @@
 	}
 }
 
-// expectedTurns returns the digests of the turns that each model call of a branch
-// has to reach an engine with.
+// expectedTurns returns, per model call of a branch, the digests of the messages that
+// its prompt must consist of.
 func (c *comparison) expectedTurns(program identity.ProgramID, branch identity.BranchID) map[identity.Sequence][]engine.Digest {
 	expected := map[identity.Sequence][]engine.Digest{}
 	var history []engine.Digest
@@ -85,9 +84,9 @@
 		if !isCall || body.Call.Kind != api.CallModel || body.CallID() != id || expected[id.Sequence] != nil {
 			continue
 		}
-		asked, answer := c.answered(body)
+		sent, answer := c.answered(body)
 		turns := slices.Clone(history)
-		for _, message := range asked.Call.Messages {
+		for _, message := range sent.Call.Messages {
 			turns = append(turns, digest(message.Role, message.Content))
 		}
 		expected[id.Sequence] = turns
@@ -98,8 +97,9 @@
 	return expected
 }
 
-// answered returns the first line of the same call that has an answer, since a
-// refused call's sequence is free for another body; without one it returns call.
+// answered returns the first call with the same ID that has an answer, and the answer.
+// The sequence of a refused call may be reused with other messages. Without an answer
+// it returns call itself.
 func (c *comparison) answered(call trace.Call) (trace.Call, *api.Answer) {
 	for _, event := range c.trace.Events {
 		if body, isCall := event.Body.(trace.Call); isCall && body.CallID() == call.CallID() {
--- a/internal/lab/replay/failures.go
+++ b/internal/lab/replay/failures.go
@@ -11,8 +11,8 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// fail brings a failure about and ends it after its time. One without a time ends
-// after the trace's last event.
+// fail injects a failure and reverts it after its duration, or after all events if it
+// has none.
 func (p *player) fail(event trace.Event) {
 	undo := p.failNode(event)
 	if undo == nil {
@@ -32,13 +32,13 @@
 	undo()
 }
 
-// named resolves a reference that is not empty.
+// named resolves a non-empty reference.
 func (p *player) named(reference trace.NodeReference, line int) identity.NodeName {
 	return p.resolve(reference, line, 0)
 }
 
-// failNode begins a failure of a node or of a link between nodes and returns what
-// ends it, nil for other events.
+// failNode injects a failure of a node or of the network between nodes. It returns the
+// function that reverts it, nil for other events.
 func (p *player) failNode(event trace.Event) func() {
 	restart := func(name identity.NodeName) func() {
 		return func() {
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// failOutside begins a failure of the platform or of a back end and returns what
-// ends it, nil for other events and for those that nothing ends.
+// failOutside injects a failure of the platform or of a back end. It returns the
+// function that reverts it, nil for other events and for permanent changes.
 func (p *player) failOutside(event trace.Event) func() {
 	switch body := event.Body.(type) {
 	case trace.Log:
--- a/internal/lab/replay/observe.go
+++ b/internal/lab/replay/observe.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// publish publishes a table and notes what its operator was told.
+// publish publishes a table and records the result.
 func (p *player) publish(ctx context.Context, event trace.Event, body trace.Publish) {
 	seen := PublicationEvidence{Outcome: trace.PublicationUnknown, Err: errConnection}
 	if at := p.site.Life(p.resolve(body.Node, event.Line, 0)); at != nil {
@@ -44,7 +44,7 @@
 	return trace.PublicationUnknown
 }
 
-// observe looks at what only this moment shows.
+// observe records the state that an expectation refers to at the time of its event.
 func (p *player) observe(ctx context.Context, event trace.Event) {
 	switch body := event.Body.(type) {
 	case trace.ExpectVersion:
@@ -59,7 +59,7 @@
 	}
 }
 
-// versions returns what is in force on each live node, 0 before the first table.
+// versions returns the version in force on each live node, 0 if it has no table.
 func (p *player) versions() map[identity.NodeName]table.Version {
 	versions := map[identity.NodeName]table.Version{}
 	for _, name := range p.site.Nodes() {
@@ -75,7 +75,7 @@
 	return versions
 }
 
-// holders returns the engines that hold memory of the program.
+// holders returns the engines that cache a prefix of the program.
 func (p *player) holders(program identity.ProgramID) []string {
 	var holders []string
 	for _, truth := range p.site.Engines() {
@@ -89,16 +89,16 @@
 	return holders
 }
 
-// stateTries bounds the nodes that are asked for a program's state.
-const stateTries = 8
+// stateAttempts bounds the queries for a program's state.
+const stateAttempts = 8
 
 func (p *player) state(ctx context.Context, line int, program identity.ProgramID) StateEvidence {
-	var told api.Program
+	var received api.Program
 	var err error
-	for attempt := range stateTries {
+	for attempt := range stateAttempts {
 		err = p.through(ctx, p.resolve("", line, attempt), 0, func(ctx context.Context, programs serving.Programs) error {
 			var err error
-			told, err = programs.Get(ctx, program)
+			received, err = programs.Get(ctx, program)
 			return err
 		})
 		if err == nil || isFinal(err) {
@@ -106,5 +106,5 @@
 		}
 		time.Sleep(retryPause)
 	}
-	return StateEvidence{State: told.State, Err: err}
+	return StateEvidence{State: received.State, Err: err}
 }
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -1,7 +1,7 @@
-// Package replay replays a trace over a whole simulated site of real nodes and
-// compares what the callers got and what the back ends saw with the outcomes that
-// the trace states. It reads nothing of the nodes' own books, except the version
-// of the table in force and the state of a program, which only they can tell.
+// Package replay replays a trace on a simulated site of real nodes and compares the
+// responses to callers and the requests at back ends with the expected outcomes of
+// the trace. Of the nodes' internal state it reads only the version of the table in
+// force, the owners of shards and whether a node is draining.
 package replay
 
 import (
@@ -21,58 +21,58 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// Options are what a replay may be given besides its trace.
+// Options configure a replay.
 type Options struct {
-	// Wrong replaces rules of the site by wrong ones.
+	// Wrong injects faulty rules into the site.
 	Wrong simulated.Wrong
-	// Logger takes the nodes' logs; nil drops them.
+	// Logger receives the nodes' logs; nil discards them.
 	Logger *slog.Logger
-	// Record wraps what callers see of a node, to record the replay itself.
+	// Record wraps a node's programs, if set, to record the replay.
 	Record func(identity.NodeName, serving.Programs) serving.Programs
 }
 
-// CallEvidence is what a caller got for one line.
+// CallEvidence is the observed result of the call of one line.
 type CallEvidence struct {
 	Outcome  trace.Outcome
 	Answer   *api.Answer
 	Streamed string
 	Attempts int
 	Took     time.Duration
-	// Err is the last error of an outcome without answer.
+	// Err is the error of the last attempt, nil with an answer.
 	Err error
 }
 
-// PublicationEvidence is what an operator was told for one line.
+// PublicationEvidence is the observed result of the publication of one line.
 type PublicationEvidence struct {
 	Outcome trace.PublicationOutcome
 	Version table.Version
 	Err     error
 }
 
-// StateEvidence is what was told of a program.
+// StateEvidence is the observed state of a program.
 type StateEvidence struct {
 	State api.ProgramState
 	Err   error
 }
 
-// Evidence is all that a replay saw, by the number of the line it belongs to.
+// Evidence has the observations of a replay. The maps are indexed by line number.
 type Evidence struct {
 	Began        time.Time
 	Calls        map[int]CallEvidence
 	Publications map[int]PublicationEvidence
 	Versions     map[int]map[identity.NodeName]table.Version
-	// Holders are the engines that held memory of the line's program.
+	// Holders has the engines that cached a prefix of the line's program.
 	Holders map[int][]string
 	States  map[int]StateEvidence
-	// Failures are lines that could not be carried out.
+	// Failures has the errors of events that could not be executed.
 	Failures   map[int]error
 	Engines    []engine.Truth
 	Executions application.Truth
 }
 
-// Run replays t and returns what was seen. It takes as long as the trace. Inside
-// a synctest bubble that is no time, but the caller sleeps simulated.Settle then,
-// so that everything in the bubble ends.
+// Run replays t at its event times and returns the observations. In a synctest bubble, the
+// caller must sleep for simulated.Settle afterwards, so that all goroutines of the
+// bubble end.
 func Run(ctx context.Context, t *trace.Trace, options Options) (*Evidence, error) {
 	site, err := simulated.Start(ctx, planOf(t.Header.Site, options))
 	if err != nil {
@@ -109,26 +109,26 @@
 	return plan
 }
 
-// player carries the events of one trace out. Each event has a goroutine, which
-// waits for its time and for the calls that have to come before it.
+// player executes the events of one trace. Each event has a goroutine that waits for
+// the event's time and for the calls on which it depends.
 type player struct {
 	trace   *trace.Trace
 	site    *simulated.Site
 	options Options
 	began   time.Time
-	// concluded is closed for each line once its event is over. It is not changed
-	// while events run.
-	concluded map[int]chan struct{}
+	// finished has a channel per line that is closed when its event has finished. The
+	// map is not modified while events run.
+	finished map[int]chan struct{}
 
-	// mutex guards all below, evidence with its maps included.
+	// mutex guards the fields below and the maps in evidence.
 	mutex    sync.Mutex
 	evidence *Evidence
-	// undo ends the failures that last as long as the trace.
+	// undo reverts the failures without a duration.
 	undo []func()
 }
 
 func newPlayer(t *trace.Trace, site *simulated.Site, options Options) *player {
-	p := &player{trace: t, site: site, options: options, began: time.Now(), concluded: map[int]chan struct{}{}}
+	p := &player{trace: t, site: site, options: options, began: time.Now(), finished: map[int]chan struct{}{}}
 	p.evidence = &Evidence{
 		Began: p.began,
 		Calls: map[int]CallEvidence{}, Publications: map[int]PublicationEvidence{},
@@ -136,7 +136,7 @@
 		States: map[int]StateEvidence{}, Failures: map[int]error{},
 	}
 	for _, event := range t.Events {
-		p.concluded[event.Line] = make(chan struct{})
+		p.finished[event.Line] = make(chan struct{})
 	}
 	return p
 }
@@ -145,9 +145,9 @@
 	var group sync.WaitGroup
 	for _, event := range p.trace.Events {
 		group.Go(func() {
-			defer close(p.concluded[event.Line])
+			defer close(p.finished[event.Line])
 			time.Sleep(time.Until(p.began.Add(time.Duration(event.At))))
-			p.carryOut(ctx, event)
+			p.execute(ctx, event)
 		})
 	}
 	group.Wait()
@@ -156,11 +156,11 @@
 	}
 }
 
-// carryOut brings one event about and returns when it is over.
-func (p *player) carryOut(ctx context.Context, event trace.Event) {
+// execute executes one event and returns when it has finished.
+func (p *player) execute(ctx context.Context, event trace.Event) {
 	switch body := event.Body.(type) {
 	case trace.Create:
-		p.insist(ctx, event, body.Node, func(ctx context.Context, programs serving.Programs) error {
+		p.retry(ctx, event, body.Node, func(ctx context.Context, programs serving.Programs) error {
 			_, err := programs.Create(ctx, serving.CreateRequest{ID: body.Program, Tenant: body.Tenant, Class: body.Class})
 			return err
 		})
@@ -168,12 +168,12 @@
 		p.call(ctx, event, body)
 	case trace.End:
 		p.awaitCalls(event.Line, func(other trace.Call) bool { return other.Program == body.Program })
-		p.insist(ctx, event, body.Node, func(ctx context.Context, programs serving.Programs) error {
+		p.retry(ctx, event, body.Node, func(ctx context.Context, programs serving.Programs) error {
 			_, err := programs.End(ctx, body.Program)
 			return err
 		})
 	case trace.Cancel:
-		p.insist(ctx, event, body.Node, func(ctx context.Context, programs serving.Programs) error {
+		p.retry(ctx, event, body.Node, func(ctx context.Context, programs serving.Programs) error {
 			_, err := programs.Cancel(ctx, body.Program)
 			return err
 		})
@@ -186,14 +186,14 @@
 	}
 }
 
-// awaitCalls waits for the calls on lines before line that match.
+// awaitCalls waits for the matching calls on earlier lines to finish.
 func (p *player) awaitCalls(line int, matches func(trace.Call) bool) {
 	for _, event := range p.trace.Events {
 		if event.Line >= line {
 			return
 		}
 		if other, isCall := event.Body.(trace.Call); isCall && matches(other) {
-			<-p.concluded[event.Line]
+			<-p.finished[event.Line]
 		}
 	}
 }
--- a/internal/lab/simulated/failures.go
+++ b/internal/lab/simulated/failures.go
@@ -12,22 +12,23 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// drainTimeout bounds a planned stop.
+// drainTimeout bounds a graceful shutdown.
 const drainTimeout = time.Minute
 
-// checkWindow is how long before a freeze dispatches are held back that have
-// passed their checks. In a real process the freeze would have to hit the few
-// microseconds in between; here it does so often.
+// checkWindow is the time before a process pause in which dispatches that passed their
+// checks are delayed. It makes a pause between the checks and the send likely, which
+// on a real node is a race of microseconds.
 const checkWindow = 200 * time.Millisecond
 
-// Settle is longer than anything stays on its way in network and log.
+// Settle exceeds the longest time that a message or a log operation stays in flight.
 const Settle = time.Minute
 
-// KillNode ends the node name as SIGKILL would.
+// KillNode terminates the node name as SIGKILL does. It does nothing if the node is
+// down.
 func (s *Site) KillNode(name identity.NodeName) {
 	s.mutex.Lock()
-	ended := s.lives[name]
-	delete(s.lives, name)
+	ended := s.incarnations[name]
+	delete(s.incarnations, name)
 	s.mutex.Unlock()
 	if ended == nil {
 		return
@@ -37,7 +38,7 @@
 	ended.Node.Close(context.Background())
 }
 
-// DrainNode stops the node name as planned.
+// DrainNode shuts the node name down gracefully, after its callers' requests.
 func (s *Site) DrainNode(name identity.NodeName) error {
 	stopping := s.Life(name)
 	if stopping == nil {
@@ -51,8 +52,8 @@
 	return err
 }
 
-// FreezeNode stops a node between its last checks and its sends: what it was
-// about to dispatch leaves after ThawNode.
+// FreezeNode pauses a node's process between its last checks and the resulting sends:
+// the pending dispatches are sent after ThawNode.
 func (s *Site) FreezeNode(name identity.NodeName) {
 	frozen := s.Life(name)
 	if frozen == nil {
@@ -63,7 +64,7 @@
 	frozen.Endpoint.Freeze()
 }
 
-// ThawNode lets a frozen node go on.
+// ThawNode resumes a paused node.
 func (s *Site) ThawNode(name identity.NodeName) {
 	if frozen := s.Life(name); frozen != nil {
 		frozen.Endpoint.Thaw()
@@ -71,11 +72,11 @@
 	s.Stall(name, false)
 }
 
-// CutZone cuts a zone off from all others, their back ends included; with
-// withPlatform from the log and the machine list too. HealZone undoes it.
+// CutZone partitions a zone from all other zones and their back ends, and from the log
+// and the machine list if withPlatform is set. HealZone reverts it.
 func (s *Site) CutZone(zone identity.Zone, withPlatform bool) { s.setZoneCut(zone, withPlatform, true) }
 
-// HealZone undoes CutZone.
+// HealZone reverts CutZone.
 func (s *Site) HealZone(zone identity.Zone) { s.setZoneCut(zone, true, false) }
 
 func (s *Site) setZoneCut(cut identity.Zone, withPlatform, down bool) {
@@ -103,7 +104,7 @@
 	}
 }
 
-// CutBackends cuts a node off from the back ends of a zone, or heals the link.
+// CutBackends partitions a node from the back ends of a zone, or heals the partition.
 func (s *Site) CutBackends(from identity.NodeName, to identity.Zone, cut bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -122,15 +123,15 @@
 	return s.stalls[name]
 }
 
-// Stall holds back what the node sends to back ends after its checks, until it is
-// called again with false.
+// Stall delays the node's dispatches to back ends, after their checks, until it is
+// called with false.
 func (s *Site) Stall(name identity.NodeName, stalled bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stalls[name] = stalled
 }
 
-// HealAll undoes every failure and starts all nodes that do not run.
+// HealAll reverts all failures and starts the nodes that are down.
 func (s *Site) HealAll() error {
 	s.Network.HealAll()
 	s.Network.SetFaults(network.Faults{})
@@ -160,8 +161,8 @@
 	}
 }
 
-// Close ends everything that runs in the site. What is on its way then arrives
-// nowhere, within Settle; a synctest bubble has to wait for it.
+// Close stops all nodes and back ends. Messages in flight are dropped within Settle,
+// for which a synctest bubble has to wait.
 func (s *Site) Close() {
 	for _, name := range s.plan.Nodes {
 		s.ThawNode(name)
@@ -177,8 +178,8 @@
 	}
 }
 
-// Leave lets the back end name begin to leave: it refuses new work and reports
-// so at once, the machine list shows it after its lag.
+// Leave starts to drain the back end name: it rejects new requests and reports its
+// state immediately, and the machine list shows the change after its lag.
 func (s *Site) Leave(name string) {
 	if leaving := s.Engine(name); leaving != nil {
 		leaving.SetDraining(true)
--- a/internal/lab/simulated/outside.go
+++ b/internal/lab/simulated/outside.go
@@ -15,7 +15,7 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// endpointNetwork is the node.Network of one simulated life of a node.
+// endpointNetwork implements node.Network for one incarnation of a node.
 type endpointNetwork struct{ endpoint *network.Endpoint }
 
 func (n endpointNetwork) Client() peer.Client              { return n.endpoint }
@@ -24,7 +24,8 @@
 func (n endpointNetwork) Shutdown(_ context.Context) error { return nil }
 func (n endpointNetwork) Close()                           { n.endpoint.Kill() }
 
-// gatedLog is the log service as a node that can be frozen or killed sees it.
+// gatedLog is a node's log client. Its operations block while the node is paused and
+// fail once it was killed.
 type gatedLog struct {
 	endpoint *network.Endpoint
 	log      siteservices.Log
@@ -52,7 +53,8 @@
 	return result, err
 }
 
-// gatedMachines is the machine list as a node that can be frozen or killed sees it.
+// gatedMachines is a node's client of the machine list, with the same behaviour as
+// gatedLog.
 type gatedMachines struct {
 	endpoint *network.Endpoint
 	list     siteservices.MachineList
@@ -65,15 +67,15 @@
 	return g.list.Machines(ctx)
 }
 
-// noWeights is a weight store without a queue.
+// noWeights is a weight store whose queue is always empty.
 type noWeights struct{}
 
 func (noWeights) Wait(context.Context, string, string) (time.Duration, error) { return 0, nil }
 
-// errNoSuchBackend tells that nothing listens at an address.
+// errNoSuchBackend is returned for an address without a back end.
 var errNoSuchBackend = errors.New("simulated: nothing listens there")
 
-// directory gives a node its gated clients of the site's back ends.
+// directory creates a node's clients of the site's back ends.
 type directory struct {
 	site     *Site
 	endpoint *network.Endpoint
@@ -88,14 +90,14 @@
 	return gatedApplication{directory: d, address: address}
 }
 
-// stallPoll is the time between two looks at whether a stalled node goes on.
+// stallPoll is the interval at which a stalled request checks whether it may continue.
 const stallPoll = 10 * time.Millisecond
 
-// gated runs one request to a back end: it waits while the node is stalled or
-// frozen before it leaves, and while it is frozen before its answer is taken in;
-// it fails where the link from the node to the back end's zone is cut. A request
-// that was held back leaves whatever became of its context, since a stopped
-// process notices nothing between its last check and its send.
+// gated sends one request to a back end. It blocks while the node is stalled or paused
+// before the send, and while the node is paused before the response is processed. It
+// fails if the node is partitioned from the back end's zone. A stalled request is sent
+// even if its context is cancelled meanwhile, because a paused process can't notice
+// that between its last check and the send.
 func (d directory) gated(ctx context.Context, zone identity.Zone, request func(context.Context) error) error {
 	for d.site.stalled(d.endpoint.Node().Name) {
 		ctx = context.WithoutCancel(ctx)
@@ -119,7 +121,7 @@
 	return err
 }
 
-// gatedEngine is one engine as one node sees it.
+// gatedEngine is a node's client of one engine.
 type gatedEngine struct {
 	directory directory
 	address   netip.AddrPort
@@ -133,8 +135,8 @@
 	return g.directory.gated(ctx, found.zone, func(ctx context.Context) error { return request(ctx, found.Engine) })
 }
 
-// gateTokens holds tokens back while the node is frozen, and breaks the stream
-// where the node was killed or its link cut.
+// gateTokens delays tokens while the node is paused, and fails the stream if the node
+// was killed or partitioned from the engine's zone.
 func (g gatedEngine) gateTokens(onToken func(backend.Token) error) func(backend.Token) error {
 	endpoint, zone := g.directory.endpoint, g.directory.site.engines[g.address].zone
 	return func(token backend.Token) error {
@@ -208,7 +210,7 @@
 	return g.with(ctx, func(ctx context.Context, engine backend.Engine) error { return engine.Order(ctx, order) })
 }
 
-// gatedApplication is one application replica as one node sees it.
+// gatedApplication is a node's client of one application replica.
 type gatedApplication struct {
 	directory directory
 	address   netip.AddrPort
--- a/internal/lab/simulated/site.go
+++ b/internal/lab/simulated/site.go
@@ -1,6 +1,6 @@
-// Package simulated builds whole sites in memory: real nodes wired by
-// internal/node on the in-memory network and the stand-ins of internal/emulator.
-// All time goes through package time, so that a site runs in a synctest bubble.
+// Package simulated builds complete sites in memory: real nodes wired by internal/node
+// with the in-memory network and the emulators of internal/emulator. All delays use
+// package time, so that a site can run in a synctest bubble.
 package simulated
 
 import (
@@ -30,7 +30,7 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// Plan says what a site consists of.
+// Plan describes a site.
 type Plan struct {
 	Seed         uint64
 	Zones        []identity.Zone
@@ -38,39 +38,39 @@
 	Engines      []Engine
 	Applications []Application
 	Shards       int
-	// ZoneLatency and BackendLatency are one way, between two zones and from a
-	// node to a back end.
+	// ZoneLatency and BackendLatency are the one-way latencies between two zones and
+	// between a node and a back end.
 	ZoneLatency    time.Duration
 	BackendLatency time.Duration
 	MachineListLag time.Duration
-	// AuditInterval is the time between two searches for orphaned cache memory, and
-	// LongestAnswer bounds the engines' answers in tokens; 0 takes the defaults.
+	// AuditInterval is the time between two searches for orphaned cache entries, and
+	// LongestAnswer bounds the engines' answers in tokens; 0 selects the defaults.
 	AuditInterval time.Duration
 	LongestAnswer int
 	// Table is the CSV of the first table.
 	Table []byte
-	// Logger takes the nodes' logs; nil drops them.
+	// Logger receives the nodes' logs; nil discards them.
 	Logger *slog.Logger
-	// Wrong replaces rules by wrong ones, for the proof that checkers notice.
+	// Wrong injects faulty rules, for tests that the checkers detect them.
 	Wrong Wrong
 }
 
-// Wrong is what is wrong with a site. The zero value is a sound one.
+// Wrong describes faulty rules of a site. The zero value changes nothing.
 type Wrong struct {
 	Hooks serving.Hooks
-	// Log and Directory wrap a node's clients of the log and of the back ends.
+	// Log and Directory wrap a node's clients of the log and of the back ends, if set.
 	Log       func(siteservices.Log) siteservices.Log
 	Directory func(backend.Directory) backend.Directory
 }
 
-// Engine is one engine of a plan.
+// Engine describes one engine.
 type Engine struct {
 	Name    string
 	Service string
 	Models  []string
 }
 
-// Application is one application replica of a plan.
+// Application describes one application replica.
 type Application struct {
 	Name    string
 	Service string
@@ -86,17 +86,18 @@
 	zone identity.Zone
 }
 
-// Life is one life of a node.
+// Life is one incarnation of a node.
 type Life struct {
 	Node     *node.Node
 	Endpoint *network.Endpoint
-	// Requests counts the callers' requests under way here; a planned stop waits
-	// for them as the gateway does.
+	// Requests counts the callers' requests in flight; a graceful shutdown waits for
+	// them as the gateway does.
 	Requests sync.WaitGroup
 	stop     context.CancelFunc
 }
 
-// Site is a running site. Its maps of back ends do not change.
+// Site is a running site. The maps engines and applications are not modified after the
+// start.
 type Site struct {
 	plan         Plan
 	Network      *network.Network
@@ -106,27 +107,27 @@
 	engines      map[netip.AddrPort]*engineReplica
 	applications map[netip.AddrPort]*applicationReplica
 
-	// starting is held while a life begins, so that a name has one life at a time
-	// however many failures end at once.
+	// starting serializes node starts, so that a node has at most one incarnation even
+	// if several failures end at once.
 	starting sync.Mutex
 
-	// mutex guards all below.
-	mutex sync.Mutex
-	lives map[identity.NodeName]*Life
-	cuts  map[backendLink]bool
-	// stalls holds the nodes whose requests to back ends wait after their checks.
+	// mutex guards the fields below.
+	mutex        sync.Mutex
+	incarnations map[identity.NodeName]*Life
+	cuts         map[backendLink]bool
+	// stalls has the nodes whose dispatches to back ends are delayed after their checks.
 	stalls map[identity.NodeName]bool
-	// starts counts the lives of all nodes, for incarnations and seeds.
+	// starts counts the incarnations of all nodes; it makes their seeds distinct.
 	starts uint64
 }
 
-// backendLink is the way from a node to the back ends of a zone.
+// backendLink is the network path from a node to the back ends of a zone.
 type backendLink struct {
 	from identity.NodeName
 	to   identity.Zone
 }
 
-// Blocks of the loopback network, one for each kind of address.
+// Blocks of the loopback network, one per kind of address.
 const (
 	peerBlock = iota + 1
 	engineBlock
@@ -139,8 +140,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(block), byte(index + 1)}), 7000)
 }
 
-// Start builds and starts a site, publishes its first table and waits until it
-// serves.
+// Start builds and starts a site, publishes its first table and waits until the site
+// serves requests.
 func Start(ctx context.Context, plan Plan) (*Site, error) {
 	s := build(plan)
 	if err := s.start(ctx); err != nil {
@@ -158,7 +159,7 @@
 		Machines:     machinelist.New(nil),
 		engines:      map[netip.AddrPort]*engineReplica{},
 		applications: map[netip.AddrPort]*applicationReplica{},
-		lives:        map[identity.NodeName]*Life{},
+		incarnations: map[identity.NodeName]*Life{},
 		cuts:         map[backendLink]bool{},
 		stalls:       map[identity.NodeName]bool{},
 	}
@@ -188,7 +189,8 @@
 	return s.awaitServing()
 }
 
-// Zone returns the zone of the node or back end at index; they are spread in turn.
+// Zone returns the zone of the node or back end at index; zones are assigned
+// round-robin.
 func (p Plan) Zone(index int) identity.Zone { return p.Zones[index%len(p.Zones)] }
 
 func (s *Site) startBackends() error {
@@ -231,7 +233,7 @@
 	}
 }
 
-// settingsOf are the settings of the node at index.
+// settingsOf returns the settings of the node at index.
 func (s *Site) settingsOf(index int) settings.Settings {
 	chosen := settings.Default()
 	chosen.Node = settings.Node{Name: s.plan.Nodes[index], Zone: s.plan.Zone(index), Region: "region"}
@@ -251,7 +253,7 @@
 	return chosen
 }
 
-// StartNode begins a life of the node name unless it runs.
+// StartNode starts the node name unless it is running.
 func (s *Site) StartNode(name identity.NodeName) error {
 	s.starting.Lock()
 	defer s.starting.Unlock()
@@ -296,7 +298,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lives[name] = &Life{Node: built, Endpoint: endpoint, stop: stop}
+	s.incarnations[name] = &Life{Node: built, Endpoint: endpoint, stop: stop}
 	return nil
 }
 
@@ -309,18 +311,18 @@
 	return 0, fmt.Errorf("simulated: no node %q", name)
 }
 
-// Life returns the present life of the node name, or nil.
+// Life returns the running incarnation of the node name, or nil if it is down.
 func (s *Site) Life(name identity.NodeName) *Life {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.lives[name]
+	return s.incarnations[name]
 }
 
-// Nodes returns the names of all nodes, live or not.
+// Nodes returns the names of all nodes, including those that are down.
 func (s *Site) Nodes() []identity.NodeName { return s.plan.Nodes }
 
-// OwnerOf returns the live node that serves program's shard. Of a frozen owner and
-// the next one it is the next one, whose epoch is higher.
+// OwnerOf returns the running node that owns program's shard. If a paused node still
+// considers itself the owner, the node with the higher epoch is returned.
 func (s *Site) OwnerOf(program identity.ProgramID) (identity.NodeName, bool) {
 	wanted := program.Shard(s.plan.Shards)
 	var owner identity.NodeName
@@ -338,7 +340,7 @@
 	return owner, highest > 0
 }
 
-// Engine returns the engine name, or nil.
+// Engine returns the engine with the given name, or nil.
 func (s *Site) Engine(name string) *engine.Engine {
 	for index, planned := range s.plan.Engines {
 		if planned.Name == name {
@@ -348,7 +350,7 @@
 	return nil
 }
 
-// Application returns the application replica name, or nil.
+// Application returns the application replica with the given name, or nil.
 func (s *Site) Application(name string) *application.Application {
 	for index, planned := range s.plan.Applications {
 		if planned.Name == name {
@@ -358,7 +360,7 @@
 	return nil
 }
 
-// Engines returns what all engines saw, in the plan's order.
+// Engines returns the recorded state of all engines, in the order of the plan.
 func (s *Site) Engines() []engine.Truth {
 	var truths []engine.Truth
 	for index := range s.plan.Engines {
@@ -367,7 +369,7 @@
 	return truths
 }
 
-// errNotServing tells that a site does not come into service.
+// errNotServing is returned if a site doesn't become ready in time.
 var errNotServing = errors.New("simulated: the site does not come into service")
 
 // awaitServing waits until every node has a table and every shard an owner.
