--- a/internal/lab/demo/check.go
+++ b/internal/lab/demo/check.go
@@ -47,9 +47,9 @@
 // arrivals returns the program's streams on all engines in order of arrival.
 func (e *enrolment) arrivals(ctx context.Context) ([]engine.Arrival, error) {
 	var found []engine.Arrival
-	for _, standIn := range e.demo.site.Engines {
+	for _, emulator := range e.demo.site.Engines {
 		var truth engine.Truth
-		if err := standIn.Get(ctx, engine.PathTruth, &truth); err != nil {
+		if err := emulator.Get(ctx, engine.PathTruth, &truth); err != nil {
 			return nil, err
 		}
 		for _, arrival := range truth.Arrivals {
@@ -89,9 +89,9 @@
 // executions counts the executions on all application replicas by operation and key.
 func (e *enrolment) executions(ctx context.Context) (map[string]int, error) {
 	total := map[string]int{}
-	for _, standIn := range e.demo.site.Applications {
+	for _, emulator := range e.demo.site.Applications {
 		var truth application.Truth
-		if err := standIn.Get(ctx, application.PathTruth, &truth); err != nil {
+		if err := emulator.Get(ctx, application.PathTruth, &truth); err != nil {
 			return nil, err
 		}
 		for _, execution := range truth.Executions {
@@ -119,14 +119,14 @@
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	return site.Eventually(ctx, "the program's cache to be released", func(ctx context.Context) error {
-		for _, standIn := range e.demo.site.Engines {
+		for _, emulator := range e.demo.site.Engines {
 			var truth engine.Truth
-			if err := standIn.Get(ctx, engine.PathTruth, &truth); err != nil {
+			if err := emulator.Get(ctx, engine.PathTruth, &truth); err != nil {
 				return err
 			}
 			for _, held := range truth.Held {
 				if string(held.Program) == e.id {
-					return fmt.Errorf("%s still caches %d tokens of branch %s", standIn.Name(), held.Tokens, held.Branch)
+					return fmt.Errorf("%s still caches %d tokens of branch %s", emulator.Name(), held.Tokens, held.Branch)
 				}
 			}
 		}
--- a/internal/lab/site/standin.go
+++ b/internal/lab/site/emulator.go
@@ -12,23 +12,24 @@
 	"stepseam.example/stepseam/internal/lab/process"
 )
 
-// StandIn is one stand-in as a process.
+// StandIn is the process of an emulator, which listens on Address.
 type StandIn struct {
 	*process.Process
 	Address netip.AddrPort
 }
 
-// Get reads the JSON document at path into answer.
+// Get decodes the JSON document at path into answer.
 func (s *StandIn) Get(ctx context.Context, path string, answer any) error {
 	return getJSON(ctx, "http://"+s.Address.String()+path, answer)
 }
 
-// Put sends body as JSON to path, for instance to switch faults.
+// Put sends body as JSON to path, for instance to set faults.
 func (s *StandIn) Put(ctx context.Context, path string, body any) error {
 	return sendJSON(ctx, http.MethodPut, "http://"+s.Address.String()+path, body, nil)
 }
 
-// Post sends body as JSON to path and reads the answer.
+// Post sends body as JSON to path and decodes the response into answer, unless answer
+// is nil.
 func (s *StandIn) Post(ctx context.Context, path string, body, answer any) error {
 	return sendJSON(ctx, http.MethodPost, "http://"+s.Address.String()+path, body, answer)
 }
@@ -54,8 +55,8 @@
 	return exchange(request, answer)
 }
 
-// answerLimit bounds what is read of an answer.
-const answerLimit = 64 << 20
+// maxResponseBytes bounds the length of a response body; the rest is not read.
+const maxResponseBytes = 64 << 20
 
 func exchange(request *http.Request, answer any) error {
 	response, err := httpClient.Do(request)
@@ -63,7 +64,7 @@
 		return fmt.Errorf("site: %w", err)
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, answerLimit))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("site: %s %s: %w", request.Method, request.URL, err)
 	}
--- a/internal/lab/site/node.go
+++ b/internal/lab/site/node.go
@@ -18,7 +18,7 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-// Node is one stepseamd process.
+// Node is a stepseamd process of the site. Process is nil until the node is started.
 type Node struct {
 	*process.Process
 	Name      identity.NodeName
@@ -26,7 +26,7 @@
 	Addresses settings.Addresses
 }
 
-// Running tells that the node was started and has not ended.
+// Running reports whether the node was started and has not ended.
 func (n *Node) Running() bool {
 	if n.Process == nil {
 		return false
@@ -39,13 +39,13 @@
 	}
 }
 
-// CallersURL is the base URL for callers.
+// CallersURL returns the base URL of the callers' API.
 func (n *Node) CallersURL() string { return "http://" + n.Addresses.Callers.String() }
 
-// OperatorsURL is the base URL for operators.
+// OperatorsURL returns the base URL of the operators' API.
 func (n *Node) OperatorsURL() string { return "http://" + n.Addresses.Operators.String() }
 
-// planNode chooses the addresses of the node at index.
+// planNode allocates the addresses of the node at index.
 func (s *Site) planNode(index int, plan NodePlan) (*Node, error) {
 	node := &Node{Name: plan.Name, Zone: plan.Zone}
 	own := host(firstNode + s.plan.Slot*nodesInSlot + index)
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// StartNode starts the node at index, or starts it again after its end.
+// StartNode starts the node at index, or restarts it after it has ended. It replaces
+// the entry in Nodes.
 func (s *Site) StartNode(index int) error {
 	former := s.Nodes[index]
 	started, err := process.Start(process.Command{
@@ -98,9 +99,9 @@
 		}
 	}
 	services := []struct {
-		name    string
-		target  *netip.AddrPort
-		standIn *StandIn
+		name     string
+		target   *netip.AddrPort
+		emulator *StandIn
 	}{
 		{"log", &chosen.Platform.LogService, s.LogService},
 		{"machines", &chosen.Platform.MachineList, s.MachineList},
@@ -108,11 +109,11 @@
 		{"tools", &chosen.Platform.Tools, s.Tools},
 	}
 	for _, service := range services {
-		*service.target = service.standIn.Address
+		*service.target = service.emulator.Address
 		if s.plan.Route == nil {
 			continue
 		}
-		routed, err := s.plan.Route(node.Name, service.name, service.standIn.Address)
+		routed, err := s.plan.Route(node.Name, service.name, service.emulator.Address)
 		if err != nil {
 			return fmt.Errorf("site: route from %s to %s: %w", node.Name, service.name, err)
 		}
@@ -125,8 +126,8 @@
 	return err
 }
 
-// awaitNodes waits until every node answers its health check and sees all
-// others as live.
+// awaitNodes waits until every node passes its health check and sees all members as
+// alive.
 func (s *Site) awaitNodes(ctx context.Context) error {
 	for _, node := range s.Nodes {
 		if err := s.AwaitNode(ctx, node, "/healthz"); err != nil {
@@ -136,9 +137,9 @@
 	return s.AwaitMembers(ctx, len(s.Nodes))
 }
 
-// AwaitMembers waits until every running node sees count live members.
+// AwaitMembers waits until every running node sees count alive members.
 func (s *Site) AwaitMembers(ctx context.Context, count int) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, node := range s.Nodes {
 		if !node.Running() {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// AwaitReady waits until every running node is ready to take work.
+// AwaitReady waits until every running node passes its readiness check.
 func (s *Site) AwaitReady(ctx context.Context) error {
 	for _, node := range s.Nodes {
 		if !node.Running() {
@@ -176,9 +177,9 @@
 	return nil
 }
 
-// AwaitNode waits until path of the node's operators' address answers 200.
+// AwaitNode waits until path on the node's operators' address returns a 2xx status.
 func (s *Site) AwaitNode(ctx context.Context, node *Node, path string) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	what := fmt.Sprintf("%s%s", node.Name, path)
 	err := Eventually(ctx, what, func(ctx context.Context) error {
@@ -193,14 +194,14 @@
 	return nil
 }
 
-// errEnded ends a wait for a process that will never come.
+// errEnded is the error of a wait for a process that has ended.
 var errEnded = errors.New("site: the process has ended")
 
-// pollInterval is the time between two tries of Eventually.
+// pollInterval is the delay between two attempts of Eventually.
 const pollInterval = 50 * time.Millisecond
 
-// Eventually repeats try until it returns nil, and reports the last error if
-// ctx ends before.
+// Eventually calls try until it returns nil. If ctx ends first, it returns the last
+// error of try.
 func Eventually(ctx context.Context, what string, try func(context.Context) error) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -217,15 +218,16 @@
 	}
 }
 
-// httpClient reaches stand-ins and nodes directly; each try is bounded by its context.
-var httpClient = &http.Client{Timeout: patience}
+// httpClient connects to emulators and nodes.
+var httpClient = &http.Client{Timeout: startTimeout}
 
-// GetOperators reads the JSON document at path of a node's operators' address.
+// GetOperators decodes the JSON document at path on a node's operators' address.
 func (s *Site) GetOperators(ctx context.Context, node *Node, path string, answer any) error {
 	return getJSON(ctx, node.OperatorsURL()+path, answer)
 }
 
-// PostOperators sends body as JSON to path of a node's operators' address.
+// PostOperators sends body as JSON to path on a node's operators' address and decodes
+// the response into answer, unless answer is nil.
 func (s *Site) PostOperators(ctx context.Context, node *Node, path string, body, answer any) error {
 	return sendJSON(ctx, http.MethodPost, node.OperatorsURL()+path, body, answer)
 }
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -1,6 +1,6 @@
-// Package site runs a whole laboratory site on one machine, as real processes
-// on 127.0.0.x: the platform's stand-ins, engines, applications and nodes. The
-// demo and the process tests drive it.
+// Package site runs a complete laboratory site on one machine, as processes on
+// 127.0.0.x: nodes, and emulators of the platform's services, engines and
+// applications. The demonstration and the process tests use it.
 package site
 
 import (
@@ -24,79 +24,79 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// The names of the programs a site needs.
+// File names of the executables that a site runs.
 const (
 	DaemonProgram   = "stepseamd"
 	OperatorProgram = "stepseamctl"
 	LabProgram      = "stepseam-lab"
 )
 
-// NodePlan says which node to run.
+// NodePlan describes a node to run.
 type NodePlan struct {
 	Name identity.NodeName
 	Zone identity.Zone
 }
 
-// EnginePlan says which engine to run.
+// EnginePlan describes an engine to run.
 type EnginePlan struct {
 	Zone       identity.Zone
 	Parameters engine.Parameters
 }
 
-// ApplicationPlan says which application replica to run.
+// ApplicationPlan describes an application replica to run.
 type ApplicationPlan struct {
 	Zone       identity.Zone
 	Parameters application.Parameters
 }
 
-// Plan says what a site consists of.
+// Plan describes a site.
 type Plan struct {
-	// Programs is the directory of the built programs, Directory takes settings,
-	// parameters and logs.
+	// Programs is the directory of the executables; settings, parameters and logs are
+	// written to Directory.
 	Programs  string
 	Directory string
 	Region    identity.Region
-	// EngineService and ApplicationService are the pools' names.
+	// EngineService and ApplicationService are the services of all engines and of all
+	// applications.
 	EngineService      string
 	ApplicationService string
 	Nodes              []NodePlan
 	Engines            []EnginePlan
 	Applications       []ApplicationPlan
-	// Slot keeps sites that run at once apart: each slot has IP numbers of its own
-	// for nodes and back ends. A site of up to eight nodes, four engines and four
-	// applications fits into a slot, four slots into 127.0.0.x.
+	// Slot selects a disjoint set of IP addresses for nodes and back ends, so that up
+	// to four sites can run at once. A slot is large enough for eight nodes, four
+	// engines and four applications.
 	Slot int
-	// MachineListLag is how long the machine list takes to show a change.
+	// MachineListLag is the delay after which the machine list shows a change.
 	MachineListLag time.Duration
-	// Adjust may change a node's settings before they are written.
+	// Adjust modifies a node's settings before they are written, if set.
 	Adjust func(*settings.Settings)
-	// Route may put a relay before a service that node reaches at address; it
-	// returns the address that the node is given. Only the platform's services
-	// go through it.
+	// Route returns the address at which node connects to a platform service that
+	// listens on address, for instance that of a relay.
 	Route func(node identity.NodeName, service string, address netip.AddrPort) (netip.AddrPort, error)
-	// RouteBackend does the same for a back end, for all nodes at once.
+	// RouteBackend returns the address at which all nodes connect to a back end.
 	RouteBackend func(backend string, address netip.AddrPort) (netip.AddrPort, error)
 }
 
 // Site is a running site.
 type Site struct {
 	plan Plan
-	// LogService, MachineList, WeightStore and Tools are the platform.
+	// LogService, MachineList, WeightStore and Tools are the platform's services.
 	LogService  *StandIn
 	MachineList *StandIn
 	WeightStore *StandIn
 	Tools       *StandIn
-	// Engines and Applications are in the plan's order.
+	// Engines and Applications are in the order of the plan.
 	Engines      []*StandIn
 	Applications []*StandIn
-	// Nodes are in the plan's order; a node that was restarted is replaced.
+	// Nodes are in the order of the plan. A restart replaces the entry.
 	Nodes []*Node
 }
 
-// patience bounds the start of one process.
-const patience = 20 * time.Second
+// startTimeout bounds the start of one process and each HTTP request.
+const startTimeout = 20 * time.Second
 
-// Addresses of a site's processes, one IP number each.
+// Last bytes of the processes' IP addresses, and the numbers of addresses per slot.
 const (
 	platformHost     = 1
 	firstNode        = 11
@@ -108,8 +108,8 @@
 
 func host(number int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 0, byte(number)}) }
 
-// Start starts everything and returns once all nodes answer. They are not ready
-// before a table is published. On an error everything is ended again.
+// Start starts all processes and returns when all nodes are healthy. They become ready
+// when a table is published. On an error all processes are killed.
 func Start(ctx context.Context, plan Plan) (*Site, error) {
 	site := &Site{plan: plan}
 	if err := site.start(ctx); err != nil {
@@ -137,7 +137,7 @@
 		subcommand string
 	}{{&s.LogService, "log"}, {&s.WeightStore, "weights"}, {&s.Tools, "tools"}}
 	for _, start := range starts {
-		started, err := s.startStandIn(ctx, start.subcommand, start.subcommand, platformHost, nil)
+		started, err := s.startEmulator(ctx, start.subcommand, start.subcommand, platformHost, nil)
 		if err != nil {
 			return err
 		}
@@ -148,14 +148,14 @@
 
 func (s *Site) startBackends(ctx context.Context) error {
 	for i, plan := range s.plan.Engines {
-		started, err := s.startStandIn(ctx, plan.Parameters.Name, "engine", firstEngine+s.plan.Slot*backendsInSlot+i, plan.Parameters)
+		started, err := s.startEmulator(ctx, plan.Parameters.Name, "engine", firstEngine+s.plan.Slot*backendsInSlot+i, plan.Parameters)
 		if err != nil {
 			return err
 		}
 		s.Engines = append(s.Engines, started)
 	}
 	for i, plan := range s.plan.Applications {
-		started, err := s.startStandIn(ctx, plan.Parameters.Name, "application", firstApplication+s.plan.Slot*backendsInSlot+i, plan.Parameters)
+		started, err := s.startEmulator(ctx, plan.Parameters.Name, "application", firstApplication+s.plan.Slot*backendsInSlot+i, plan.Parameters)
 		if err != nil {
 			return err
 		}
@@ -198,7 +198,7 @@
 			Address: node.Addresses.Peer, ProbeAddress: node.Addresses.Probe,
 		})
 	}
-	started, err := s.startStandIn(ctx, "machines", "machines", platformHost, file)
+	started, err := s.startEmulator(ctx, "machines", "machines", platformHost, file)
 	s.MachineList = started
 	return err
 }
@@ -222,9 +222,9 @@
 	}, nil
 }
 
-// startStandIn starts a stand-in on a free port of 127.0.0.number and waits
-// until it listens. parameters, if any, go into its parameter file.
-func (s *Site) startStandIn(ctx context.Context, name, subcommand string, number int, parameters any) (*StandIn, error) {
+// startEmulator starts an emulator on a free port of 127.0.0.number and waits until it
+// listens. Non-nil parameters are written to its parameter file.
+func (s *Site) startEmulator(ctx context.Context, name, subcommand string, number int, parameters any) (*StandIn, error) {
 	arguments := []string{subcommand, "--address", netip.AddrPortFrom(host(number), 0).String()}
 	if parameters != nil {
 		path, err := s.writeYAML(name, parameters)
@@ -240,7 +240,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	address, err := started.Ready(ctx)
 	if err != nil {
@@ -262,28 +262,29 @@
 	return path, nil
 }
 
-// StopNodes stops all running nodes by planned stop, one after the other.
-func (s *Site) StopNodes(patience time.Duration) error {
+// StopNodes shuts all running nodes down gracefully, one after the other. timeout
+// applies to each node.
+func (s *Site) StopNodes(timeout time.Duration) error {
 	var faults []error
 	for _, node := range s.Nodes {
 		if node.Running() {
-			faults = append(faults, node.Stop(patience))
+			faults = append(faults, node.Stop(timeout))
 		}
 	}
 	return errors.Join(faults...)
 }
 
-// Close ends every process that still runs, at once.
+// Close kills all running processes.
 func (s *Site) Close() {
 	for _, node := range s.Nodes {
 		if node.Process != nil {
 			node.Kill()
 		}
 	}
-	platformStandIns := []*StandIn{s.LogService, s.MachineList, s.WeightStore, s.Tools}
-	for _, standIn := range slices.Concat(s.Engines, s.Applications, platformStandIns) {
-		if standIn != nil {
-			standIn.Kill()
+	platformEmulators := []*StandIn{s.LogService, s.MachineList, s.WeightStore, s.Tools}
+	for _, emulator := range slices.Concat(s.Engines, s.Applications, platformEmulators) {
+		if emulator != nil {
+			emulator.Kill()
 		}
 	}
 }
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -15,7 +15,7 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-func TestWrittenSettingsAreWhatANodeReads(t *testing.T) {
+func TestWriteSettingsRoundTrip(t *testing.T) {
 	check := is.New(t)
 	routed := netip.MustParseAddrPort("127.0.0.1:9")
 	site := &Site{plan: Plan{
@@ -49,7 +49,7 @@
 	check.Equal(got.Shards.LeaseDuration, 7*time.Second)
 }
 
-func TestWrittenParametersAreWhatStandInsRead(t *testing.T) {
+func TestWrittenParametersRoundTrip(t *testing.T) {
 	check := is.New(t)
 	site := &Site{plan: Plan{Directory: t.TempDir()}}
 	wantedEngine := engine.DefaultParameters("engine-1", "asesor-8b")
