--- a/internal/lab/replay/failures.go
+++ b/internal/lab/replay/failures.go
@@ -55,7 +55,7 @@
 	case trace.Drain:
 		name := p.named(body.Node, event.Line)
 		if err := p.site.DrainNode(name); err != nil {
-			p.noteFailure(event.Line, fmt.Errorf("planned stop of %s: %w", name, err))
+			p.noteFailure(event.Line, fmt.Errorf("drain of %s: %w", name, err))
 		}
 		return restart(name)
 	case trace.Freeze:
--- a/internal/lab/simulated/outside.go
+++ b/internal/lab/simulated/outside.go
@@ -73,7 +73,7 @@
 func (noWeights) Wait(context.Context, string, string) (time.Duration, error) { return 0, nil }
 
 // errNoSuchBackend is returned for an address without a back end.
-var errNoSuchBackend = errors.New("simulated: nothing listens there")
+var errNoSuchBackend = errors.New("simulated: no back end at this address")
 
 // directory creates a node's clients of the site's back ends.
 type directory struct {
@@ -107,7 +107,7 @@
 		return fmt.Errorf("%w: %w", backend.ErrNotDelivered, err)
 	}
 	if d.site.backendCut(d.endpoint.Node().Name, zone) {
-		return fmt.Errorf("%w: link cut", backend.ErrNotDelivered)
+		return fmt.Errorf("%w: network partition", backend.ErrNotDelivered)
 	}
 	time.Sleep(d.site.plan.BackendLatency)
 	err := request(ctx)
@@ -116,7 +116,7 @@
 		return fmt.Errorf("%w: %w", backend.ErrBroken, gateErr)
 	}
 	if d.site.backendCut(d.endpoint.Node().Name, zone) {
-		return fmt.Errorf("%w: link cut", backend.ErrBroken)
+		return fmt.Errorf("%w: network partition", backend.ErrBroken)
 	}
 	return err
 }
@@ -144,7 +144,7 @@
 			return fmt.Errorf("%w: %w", backend.ErrBroken, err)
 		}
 		if g.directory.site.backendCut(endpoint.Node().Name, zone) {
-			return fmt.Errorf("%w: link cut", backend.ErrBroken)
+			return fmt.Errorf("%w: network partition", backend.ErrBroken)
 		}
 		return onToken(token)
 	}
--- a/internal/lab/simulated/site.go
+++ b/internal/lab/simulated/site.go
@@ -370,7 +370,7 @@
 }
 
 // errNotServing is returned if a site doesn't become ready in time.
-var errNotServing = errors.New("simulated: the site does not come into service")
+var errNotServing = errors.New("simulated: the site did not become ready in time")
 
 // awaitServing waits until every node has a table and every shard an owner.
 func (s *Site) awaitServing() error {
--- a/internal/lab/site/node.go
+++ b/internal/lab/site/node.go
@@ -145,7 +145,7 @@
 		if !node.Running() {
 			continue
 		}
-		what := fmt.Sprintf("%s to see %d live members", node.Name, count)
+		what := fmt.Sprintf("%s to see %d alive members", node.Name, count)
 		err := Eventually(ctx, what, func(ctx context.Context) error {
 			var status operator.SiteStatus
 			if err := s.GetOperators(ctx, node, "/v1/status", &status); err != nil {
@@ -153,7 +153,7 @@
 			}
 			live := lo.CountBy(status.Nodes, func(n operator.NodeStatus) bool { return n.Membership == "alive" })
 			if live != count {
-				return fmt.Errorf("it sees %d", live)
+				return fmt.Errorf("it sees %d alive members", live)
 			}
 			return nil
 		})
@@ -213,7 +213,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return fmt.Errorf("site: waited in vain for %s: %w", what, err)
+			return fmt.Errorf("site: timed out waiting for %s: %w", what, err)
 		}
 	}
 }
