--- a/cmd/stepseam-lab/compare.go
+++ b/cmd/stepseam-lab/compare.go
@@ -74,11 +74,11 @@
 		return nil, experiment.Options{}, fmt.Errorf("--load %g: want a share of capacity above 0 and up to 3", c.Load)
 	}
 	options := experiment.Options{
-		Site: site, Load: c.Load, Seed: c.Seed, Calm: c.Calm, Programs: experiment.Workload(&site, c.Load, c.Seed),
+		Site: site, Load: c.Load, Seed: c.Seed, NoFaults: c.Calm, Programs: experiment.Workload(&site, c.Load, c.Seed),
 	}
 	trace := &experiment.Trace{
 		Site: experiment.TraceSite{
-			Name: site.Name, Duration: site.Duration, Warmup: site.Warmup, Load: c.Load, Seed: c.Seed, Calm: c.Calm,
+			Name: site.Name, Duration: site.Duration, Warmup: site.Warmup, Load: c.Load, Seed: c.Seed, NoFaults: c.Calm,
 		},
 		Programs: options.Programs,
 	}
@@ -152,8 +152,8 @@
 		r := &results[i]
 		fmt.Fprintf(out, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.4f\t\n",
 			r.Policy, r.LatencyP50, r.LatencyP95, r.LatencyP99, r.LowerBoundP95, r.AdmittedP95,
-			r.WastedCacheShare, r.WastedEvictedShare, r.WastedDuplicateShare, r.WastedGoneShare,
-			r.MeanHeld, r.RecomputedTokens, r.Refused, r.GaveUp, r.Unfinished, r.Completed,
+			r.WastedCacheShare, r.WastedEvictedShare, r.WastedDuplicateShare, r.WastedAfterEndShare,
+			r.MeanCacheUse, r.RecomputedTokens, r.Refused, r.AbandonedPrograms, r.Unfinished, r.Completed,
 			r.WorstTenantSlowdown, r.StalledShare)
 	}
 	fmt.Fprintln(out)
--- a/cmd/stepseam-lab/knowledge.go
+++ b/cmd/stepseam-lab/knowledge.go
@@ -32,7 +32,7 @@
 	_, _ = fmt.Fprintln(table, "quantity\tchoices\tbelieved 50/95\treal 50/95\terror 50/95\ttoo low")
 	for _, row := range knowledge.Measure(requests) {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%.0f / %.0f\t%.0f / %.0f\t%.0f / %.0f\t%.0f%%\n", row.Quantity, row.Choices,
-			row.Believed.Middle, row.Believed.High, row.Real.Middle, row.Real.High, row.Error.Middle, row.Error.High,
+			row.Estimated.P50, row.Estimated.P95, row.Actual.P50, row.Actual.P95, row.Error.P50, row.Error.P95,
 			100*float64(row.Underestimated)/float64(row.Choices))
 	}
 	return table.Flush()
--- a/cmd/stepseam-lab/site.go
+++ b/cmd/stepseam-lab/site.go
@@ -13,5 +13,5 @@
 }
 
 func (c *siteCommand) run(ctx context.Context) error {
-	return demo.Run(ctx, demo.Options{Programs: c.Programs, Output: os.Stdout, Stay: true})
+	return demo.Run(ctx, demo.Options{Programs: c.Programs, Output: os.Stdout, KeepRunning: true})
 }
--- a/internal/aggregator/exchange_test.go
+++ b/internal/aggregator/exchange_test.go
@@ -35,13 +35,13 @@
 
 func newSite(t *testing.T) *site {
 	made := &site{t: t}
-	free, err := loopback.Free(loopback.Own())
+	free, err := loopback.FreeAddress(loopback.ProcessIP())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const nodes = 3
 	for number := range nodes {
-		address := netip.AddrPortFrom(loopback.Sibling(number), free.Port())
+		address := netip.AddrPortFrom(loopback.ExtraIP(number), free.Port())
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -28,9 +28,9 @@
 	Output io.Writer
 	// KeepFiles keeps settings and logs, which are always kept after a failure.
 	KeepFiles bool
-	// Stay starts the site, publishes its first table and leaves the site running
+	// KeepRunning starts the site, publishes its first table and leaves the site running
 	// until the context is cancelled. The enrolment is not run.
-	Stay bool
+	KeepRunning bool
 }
 
 const (
@@ -53,7 +53,7 @@
 
 // Run runs the demonstration and returns the first failed step or check.
 func Run(ctx context.Context, options Options) error {
-	if !options.Stay {
+	if !options.KeepRunning {
 		limited, cancel := context.WithTimeout(ctx, runTimeout)
 		defer cancel()
 		ctx = limited
@@ -98,8 +98,8 @@
 		{"Publish a changed table", d.publishChanged},
 		{"Stop every node as planned", d.stop},
 	}
-	if d.options.Stay {
-		steps = []step{steps[0], steps[1], {"Leave the site to you", d.stay}, steps[len(steps)-1]}
+	if d.options.KeepRunning {
+		steps = []step{steps[0], steps[1], {"Leave the site to you", d.keepRunning}, steps[len(steps)-1]}
 	}
 	began := time.Now()
 	for _, step := range steps {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// stay reports the addresses of the nodes and waits until the context is cancelled.
-func (d *demonstration) stay(ctx context.Context) error {
+// keepRunning reports the addresses of the nodes and waits until the context is cancelled.
+func (d *demonstration) keepRunning(ctx context.Context) error {
 	for _, node := range d.site.Nodes {
 		d.say("%s: callers at %s, operators at %s", node.Name, node.CallersURL(), node.OperatorsURL())
 	}
@@ -133,10 +133,10 @@
 		return err
 	}
 	d.site = started
-	for _, service := range []*site.StandIn{started.LogService, started.MachineList, started.WeightStore, started.Tools} {
+	for _, service := range []*site.Emulator{started.LogService, started.MachineList, started.WeightStore, started.Tools} {
 		d.say("%-22s process %-8d %s", service.Name(), service.ID(), service.Address)
 	}
-	for _, backend := range append(append([]*site.StandIn{}, started.Engines...), started.Applications...) {
+	for _, backend := range append(append([]*site.Emulator{}, started.Engines...), started.Applications...) {
 		d.say("%-22s process %-8d %s", backend.Name(), backend.ID(), backend.Address)
 	}
 	for _, node := range started.Nodes {
--- a/internal/lab/demo/plan.go
+++ b/internal/lab/demo/plan.go
@@ -44,7 +44,7 @@
 		Programs: programs, Directory: directory, Region: region,
 		EngineService: engineService, ApplicationService: applicationService,
 		MachineListLag: machineListLag,
-		Adjust:         func(s *settings.Settings) { s.Shards.Count = shardCount },
+		AdjustSettings: func(s *settings.Settings) { s.Shards.Count = shardCount },
 	}
 	for i, zone := range zones {
 		plan.Nodes = append(plan.Nodes, site.NodePlan{Name: identity.NodeName("node-" + string(zone)), Zone: zone})
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -39,7 +39,7 @@
 			is.True(r.Completed > 50)
 			is.True(r.LatencyP50 >= r.LowerBoundP50)
 			is.True(r.LatencyP95 >= r.LowerBoundP95)
-			is.True(r.WastedEvictedShare >= 0 && r.WastedDuplicateShare >= 0 && r.WastedGoneShare >= 0)
+			is.True(r.WastedEvictedShare >= 0 && r.WastedDuplicateShare >= 0 && r.WastedAfterEndShare >= 0)
 			is.True(r.WastedCacheShare <= 1)
 			is.True(r.WorstTenantSlowdown >= 1)
 		}
--- a/internal/lab/experiment/measure.go
+++ b/internal/lab/experiment/measure.go
@@ -31,7 +31,7 @@
 	WastedCacheShare     float64 `json:"wasted_cache_share"`
 	WastedEvictedShare   float64 `json:"wasted_evicted_share"`
 	WastedDuplicateShare float64 `json:"wasted_duplicate_share"`
-	WastedGoneShare      float64 `json:"wasted_gone_share"`
+	WastedAfterEndShare  float64 `json:"wasted_gone_share"`
 	RecomputedTokens     int64   `json:"recomputed_tokens"`
 	Refused              int     `json:"refused"`
 	Completed            int     `json:"completed"`
@@ -39,8 +39,8 @@
 
 	// Classes and the fields below are printed in tables but not in JSON.
 	Classes []ClassResult `json:"-"`
-	// GaveUp counts programs that their callers abandoned after refusals.
-	GaveUp int `json:"-"`
+	// AbandonedPrograms counts programs that their callers abandoned after refusals.
+	AbandonedPrograms int `json:"-"`
 	// Unfinished counts calls in flight and tool pauses within turns at the end of
 	// the run.
 	Unfinished int `json:"-"`
@@ -51,8 +51,8 @@
 	AdmittedP95 float64 `json:"-"`
 	// LowerBoundP50 is the median of the turns' lower bounds.
 	LowerBoundP50 float64 `json:"-"`
-	// MeanHeld is the mean cache in use as a fraction of the capacity.
-	MeanHeld float64 `json:"-"`
+	// MeanCacheUse is the mean cache in use as a fraction of the capacity.
+	MeanCacheUse float64 `json:"-"`
 }
 
 // ClassResult has the latencies of one class, in seconds.
@@ -145,7 +145,7 @@
 	m := &r.measures
 	result := Result{
 		Site: r.site.Name, Policy: r.strategy.Name, Load: options.Load, Seed: options.Seed,
-		RecomputedTokens: m.recomputed, Refused: m.refusals, GaveUp: m.lost, Unfinished: r.inFlight,
+		RecomputedTokens: m.recomputed, Refused: m.refusals, AbandonedPrograms: m.lost, Unfinished: r.inFlight,
 	}
 	var all []sample
 	for i := range r.site.Classes {
@@ -177,10 +177,10 @@
 	}
 	result.WastedEvictedShare = l.evicted / l.held
 	result.WastedDuplicateShare = l.duplicate / l.held
-	result.WastedGoneShare = l.afterEnd / l.held
+	result.WastedAfterEndShare = l.afterEnd / l.held
 	result.WastedCacheShare = (l.evicted + l.duplicate + l.afterEnd) / l.held
 	capacity := float64(r.site.Engines*r.site.Engine.CacheCapacityTokens) * (r.site.Duration - r.site.Warmup).Seconds()
-	result.MeanHeld = l.held / capacity
+	result.MeanCacheUse = l.held / capacity
 }
 
 // worstTenant returns the highest mean slowdown of a tenant's turns, relative to
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -42,8 +42,8 @@
 	Seed     uint64
 	// Programs replaces the generated workload, if set.
 	Programs []Program
-	// Calm disables the injected engine failure and slowdown.
-	Calm bool
+	// NoFaults disables the injected engine failure and slowdown.
+	NoFaults bool
 }
 
 // run is the state of one simulation.
@@ -109,7 +109,7 @@
 	for i := range site.Nodes {
 		r.nodes = append(r.nodes, newNode(r, i))
 	}
-	if !options.Calm {
+	if !options.NoFaults {
 		r.planFaults()
 	}
 	for i := range programs {
@@ -202,7 +202,7 @@
 			capacity += r.site.Engine.CacheCapacityTokens
 		}
 	}
-	return scheduling.BreakEvenInterval(r.strategy.Patience, used, capacity)
+	return scheduling.BreakEvenInterval(r.strategy.BreakEvenInterval, used, capacity)
 }
 
 // cacheChanged records a change of an engine's cache and publishes its events.
--- a/internal/lab/experiment/strategy.go
+++ b/internal/lab/experiment/strategy.go
@@ -18,10 +18,10 @@
 	// Priorities passes the policy's priorities to the engines; without it their
 	// queues are first in, first out.
 	Priorities bool
-	// KeepWarm evicts prefixes that are not expected to be reused soon; Patience is
-	// the break-even interval of that decision.
-	KeepWarm bool
-	Patience time.Duration
+	// KeepWarm evicts prefixes that are not expected to be reused soon.
+	// BreakEvenInterval is the parameter of that decision, as in package scheduling.
+	KeepWarm          bool
+	BreakEvenInterval time.Duration
 }
 
 // Strategies returns all strategies: the baselines, stepseam, and ablations of
@@ -29,7 +29,7 @@
 func Strategies() []Strategy {
 	full := Strategy{
 		Name: "stepseam", Policy: scheduling.NewStepseam(),
-		Release: true, Priorities: true, KeepWarm: true, Patience: scheduling.DefaultBreakEvenInterval,
+		Release: true, Priorities: true, KeepWarm: true, BreakEvenInterval: scheduling.DefaultBreakEvenInterval,
 	}
 	unlimited := scheduling.NewStepseam()
 	unlimited.Parameters.MaxNewProgramWait = 0
--- a/internal/lab/experiment/trace.go
+++ b/internal/lab/experiment/trace.go
@@ -34,8 +34,8 @@
 	Warmup   time.Duration `json:"warmup_ns,omitempty"`
 	Load     float64       `json:"load,omitempty"`
 	Seed     uint64        `json:"seed"`
-	// Calm disables the injected engine failure and slowdown.
-	Calm bool `json:"calm,omitempty"`
+	// NoFaults disables the injected engine failure and slowdown.
+	NoFaults bool `json:"calm,omitempty"`
 }
 
 // Outcome bounds the result of a replay with one policy. Fields that are nil are not
@@ -211,7 +211,7 @@
 	site, err := t.Site.site()
 	return Options{
 		Site: site, Strategy: strategy, Load: t.Site.Load, Seed: t.Site.Seed,
-		Programs: t.Programs, Calm: t.Site.Calm,
+		Programs: t.Programs, NoFaults: t.Site.NoFaults,
 	}, err
 }
 
--- a/internal/lab/knowledge/knowledge.go
+++ b/internal/lab/knowledge/knowledge.go
@@ -35,14 +35,15 @@
 	Sent, First, End float64
 	// UncachedTokens is the node's estimate of the prompt tokens to prefill.
 	UncachedTokens int
-	Believed       Belief
+	Estimated      Estimate
 }
 
-// Belief is a node's estimate of a replica's state at the dispatch of a request.
-type Belief struct {
-	// Others counts the other requests in flight, UnreadTokens their prompt tokens that
-	// were not yet prefilled, FirstMilliseconds is the time to the first event.
-	Others, UnreadTokens, FirstMilliseconds float64
+// Estimate is the state of a replica at the dispatch of a request, as estimated by the
+// node or as reconstructed.
+type Estimate struct {
+	// OtherRequests counts the other requests in flight, PendingTokens their prompt tokens
+	// that were not yet prefilled. FirstMilliseconds is the time to the first event.
+	OtherRequests, PendingTokens, FirstMilliseconds float64
 }
 
 // line is a log line; fields that it doesn't contain are zero.
@@ -107,7 +108,7 @@
 	return Request{
 		Replica: read.Replica, Sent: arrived + read.Ledger/milliseconds, First: arrived + read.First/milliseconds, End: end,
 		UncachedTokens: read.Uncached,
-		Believed:       Belief{Others: read.Beside, UnreadTokens: read.Unread, FirstMilliseconds: read.Expected},
+		Estimated:      Estimate{OtherRequests: read.Beside, PendingTokens: read.Unread, FirstMilliseconds: read.Expected},
 	}, true
 }
 
@@ -116,50 +117,50 @@
 // estimate was below the actual value.
 type Comparison struct {
 	Quantity                string
-	Believed, Real          Quantiles
+	Estimated, Actual       Quantiles
 	Error                   Quantiles
 	Underestimated, Choices int
 }
 
-// Quantiles are the median and the 95th percentile.
-type Quantiles struct{ Middle, High float64 }
+// Quantiles has the 50th and the 95th percentile.
+type Quantiles struct{ P50, P95 float64 }
 
 // Measure compares the estimates of all requests with the actual values: the other
 // requests in flight on the replica, their pending prompt tokens and the time to the
 // first event.
 func Measure(requests []Request) []Comparison {
-	var others, unread, first []pair
+	var others, pending, first []pair
 	for _, group := range lo.GroupBy(requests, func(request Request) string { return request.Replica }) {
 		for _, request := range group {
 			actual := actualState(group, request)
-			others = append(others, pair{request.Believed.Others, actual.Others})
-			unread = append(unread, pair{request.Believed.UnreadTokens, actual.UnreadTokens})
-			first = append(first, pair{request.Believed.FirstMilliseconds, actual.FirstMilliseconds})
+			others = append(others, pair{request.Estimated.OtherRequests, actual.OtherRequests})
+			pending = append(pending, pair{request.Estimated.PendingTokens, actual.PendingTokens})
+			first = append(first, pair{request.Estimated.FirstMilliseconds, actual.FirstMilliseconds})
 		}
 	}
 	return []Comparison{
-		compare("other requests", others), compare("unread tokens ahead", unread), compare("ms to the first event", first),
+		compare("other requests", others), compare("unread tokens ahead", pending), compare("ms to the first event", first),
 	}
 }
 
 // actualState returns the state of the replica that served group when request was sent.
-func actualState(group []Request, request Request) Belief {
+func actualState(group []Request, request Request) Estimate {
 	const milliseconds = 1000
-	actual := Belief{FirstMilliseconds: (request.First - request.Sent) * milliseconds}
+	actual := Estimate{FirstMilliseconds: (request.First - request.Sent) * milliseconds}
 	for _, other := range group {
 		if other.Sent >= request.Sent || other.End <= request.Sent {
 			continue
 		}
-		actual.Others++
+		actual.OtherRequests++
 		if other.First > request.Sent {
-			actual.UnreadTokens += float64(other.UncachedTokens)
+			actual.PendingTokens += float64(other.UncachedTokens)
 		}
 	}
 	return actual
 }
 
 // pair is an estimated and an actual value.
-type pair struct{ believed, real float64 }
+type pair struct{ estimated, actual float64 }
 
 func compare(quantity string, pairs []pair) Comparison {
 	values := func(of func(pair) float64) Quantiles {
@@ -167,10 +168,10 @@
 	}
 	return Comparison{
 		Quantity: quantity, Choices: len(pairs),
-		Believed:       values(func(one pair) float64 { return one.believed }),
-		Real:           values(func(one pair) float64 { return one.real }),
-		Error:          values(func(one pair) float64 { return math.Abs(one.believed - one.real) }),
-		Underestimated: lo.CountBy(pairs, func(one pair) bool { return one.believed < one.real }),
+		Estimated:      values(func(one pair) float64 { return one.estimated }),
+		Actual:         values(func(one pair) float64 { return one.actual }),
+		Error:          values(func(one pair) float64 { return math.Abs(one.estimated - one.actual) }),
+		Underestimated: lo.CountBy(pairs, func(one pair) bool { return one.estimated < one.actual }),
 	}
 }
 
@@ -180,5 +181,5 @@
 	}
 	slices.Sort(values)
 	const high = 0.95
-	return Quantiles{Middle: values[len(values)/2], High: values[int(high*float64(len(values)-1))]}
+	return Quantiles{P50: values[len(values)/2], P95: values[int(high*float64(len(values)-1))]}
 }
--- a/internal/lab/knowledge/knowledge_test.go
+++ b/internal/lab/knowledge/knowledge_test.go
@@ -27,15 +27,15 @@
 	is.Equal(len(requests), 3)
 	table := Measure(requests)
 	is.Equal(len(table), 3)
-	others, unread, first := table[0], table[1], table[2]
+	others, pending, first := table[0], table[1], table[2]
 	is.Equal(others.Choices, 3)
 	is.Equal(others.Underestimated, 1) // only the second request overlaps with another one
-	is.Equal(unread.Underestimated, 1)
-	is.Equal(others.Real, Quantiles{Middle: 0, High: 0})
+	is.Equal(pending.Underestimated, 1)
+	is.Equal(others.Actual, Quantiles{P50: 0, P95: 0})
 	is.Equal(first.Underestimated, 2)
 	actual := actualState(requests[:2], requests[1])
-	is.Equal(actual.Others, 1.0)
-	is.Equal(actual.UnreadTokens, 900.0)
+	is.Equal(actual.OtherRequests, 1.0)
+	is.Equal(actual.PendingTokens, 900.0)
 }
 
 func TestParseUsesNodeTimestampWithoutPrefix(t *testing.T) {
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -32,29 +32,29 @@
 	tried map[netip.Addr]int
 }{tried: map[netip.Addr]int{}}
 
-// Own returns a loopback IP address derived from the process ID. No other running
+// ProcessIP returns a loopback IP address derived from the process ID. No other running
 // process on this machine gets the same address, as long as process IDs are below 2^22.
-func Own() netip.Addr {
+func ProcessIP() netip.Addr {
 	const firstByte, upperHalf, upperMask = 127, 64, 63
 	number := os.Getpid()
 	return netip.AddrFrom4([4]byte{firstByte, byte(upperHalf + number>>16&upperMask), byte(number >> 8), byte(number)})
 }
 
-// maxSiblings is the number of distinct addresses that Sibling returns.
-const maxSiblings = 128
+// maxExtraIPs is the number of distinct addresses that ExtraIP returns.
+const maxExtraIPs = 128
 
-// Sibling returns a further IP address of this process, for a number from 0 to 127, for
+// ExtraIP returns a further IP address of this process, for a number from 0 to 127, for
 // sites whose nodes all use the same port. Only processes whose IDs differ by a multiple
 // of 65,536 share it; they start their search for free ports at different ports.
-func Sibling(number int) netip.Addr {
-	const firstSibling = 256 - maxSiblings
-	bytes := Own().As4()
-	bytes[1] = byte(firstSibling + number%maxSiblings)
+func ExtraIP(number int) netip.Addr {
+	const firstExtra = 256 - maxExtraIPs
+	bytes := ProcessIP().As4()
+	bytes[1] = byte(firstExtra + number%maxExtraIPs)
 	return netip.AddrFrom4(bytes)
 }
 
-// Free returns an address of host whose port is free for TCP and UDP.
-func Free(host netip.Addr) (netip.AddrPort, error) {
+// FreeAddress returns an address of host whose port is free for TCP and UDP.
+func FreeAddress(host netip.Addr) (netip.AddrPort, error) {
 	allocated.mutex.Lock()
 	defer allocated.mutex.Unlock()
 	last := errNoPort
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -13,11 +13,11 @@
 
 func TestFreeSkipsAllocatedAndBoundPorts(t *testing.T) {
 	is := is.New(t)
-	host := Own()
+	host := ProcessIP()
 	is.True(host.IsLoopback())
 	seen := map[netip.AddrPort]bool{}
 	for range 200 {
-		next, err := Free(host)
+		next, err := FreeAddress(host)
 		is.NoErr(err)
 		is.True(!seen[next])
 		seen[next] = true
@@ -44,16 +44,16 @@
 	is.True(firstPort+portCount <= lowest)
 }
 
-func TestSiblingsAreDistinct(t *testing.T) {
+func TestExtraIPsAreDistinct(t *testing.T) {
 	is := is.New(t)
-	seen := map[netip.Addr]bool{Own(): true}
-	for number := range maxSiblings {
-		sibling := Sibling(number)
-		is.True(sibling.IsLoopback())
-		is.True(!seen[sibling])
-		seen[sibling] = true
-		address, err := Free(sibling)
+	seen := map[netip.Addr]bool{ProcessIP(): true}
+	for number := range maxExtraIPs {
+		extra := ExtraIP(number)
+		is.True(extra.IsLoopback())
+		is.True(!seen[extra])
+		seen[extra] = true
+		address, err := FreeAddress(extra)
 		is.NoErr(err)
-		is.Equal(address.Addr(), sibling)
+		is.Equal(address.Addr(), extra)
 	}
 }
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -177,11 +177,11 @@
 	<-p.done
 }
 
-// Freeze suspends the process with SIGSTOP until Thaw.
-func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
+// Pause suspends the process with SIGSTOP until Resume.
+func (p *Process) Pause() error { return p.signal(syscall.SIGSTOP) }
 
-// Thaw resumes a suspended process with SIGCONT.
-func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT) }
+// Resume resumes a suspended process with SIGCONT.
+func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
 func (p *Process) signal(signal syscall.Signal) error {
 	select {
@@ -199,9 +199,9 @@
 // data race.
 var crashMarks = []string{"panic: ", "panic serving", "fatal error: ", "DATA RACE"}
 
-// Crash returns the first line of the process's output that reports a panic, a fatal
+// CrashLine returns the first line of the process's output that reports a panic, a fatal
 // error or a data race, or an empty string.
-func (p *Process) Crash() string {
+func (p *Process) CrashLine() string {
 	content, err := os.ReadFile(p.logPath)
 	if err != nil {
 		return ""
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -28,8 +28,8 @@
 	address, err := started.Ready(t.Context())
 	check.NoErr(err)
 	check.Equal(address, netip.MustParseAddrPort("127.0.0.9:80"))
-	check.NoErr(started.Freeze())
-	check.NoErr(started.Thaw())
+	check.NoErr(started.Pause())
+	check.NoErr(started.Resume())
 	check.NoErr(started.Stop(stopTimeout))
 	check.True(started.Stop(stopTimeout) != nil)
 }
@@ -50,7 +50,7 @@
 	} {
 		started := startShell(t, script)
 		<-started.Done()
-		check.Equal(started.Crash(), crash)
+		check.Equal(started.CrashLine(), crash)
 	}
 }
 
--- a/internal/lab/replay/caller.go
+++ b/internal/lab/replay/caller.go
@@ -56,7 +56,7 @@
 // through sends one request through the node. It returns errConnection if the node is
 // down, is killed during the request or doesn't respond within timeout.
 func (p *player) through(ctx context.Context, name identity.NodeName, timeout time.Duration, send request) error {
-	at := p.site.Life(name)
+	at := p.site.Incarnation(name)
 	if at == nil {
 		return errConnection
 	}
@@ -81,7 +81,7 @@
 	return errConnection
 }
 
-func (p *player) send(ctx context.Context, at *simulated.Life, name identity.NodeName, send request) error {
+func (p *player) send(ctx context.Context, at *simulated.Incarnation, name identity.NodeName, send request) error {
 	programs := at.Node.Programs()
 	if p.options.Record != nil {
 		programs = p.options.Record(name, programs)
@@ -149,7 +149,7 @@
 	for attempt := 0; ; attempt++ {
 		seen = p.attempt(ctx, body, p.resolve(body.Node, event.Line, attempt))
 		seen.Attempts = attempt + 1
-		if seen.Answer != nil || isFinal(seen.Err) || time.Since(began) >= time.Duration(body.Patience) || ctx.Err() != nil {
+		if seen.Answer != nil || isFinal(seen.Err) || time.Since(began) >= time.Duration(body.RetryTimeout) || ctx.Err() != nil {
 			break
 		}
 		time.Sleep(pauseAfter(seen.Err))
--- a/internal/lab/replay/compare.go
+++ b/internal/lab/replay/compare.go
@@ -88,8 +88,8 @@
 func (c *comparison) call(body trace.Call) {
 	seen, stated := c.found.Calls[c.line], body.Outcome
 	id := body.CallID()
-	if seen.Outcome.Is != stated.Is && (stated.Is != trace.OutcomeAnswered || seen.Outcome.Is != trace.OutcomeReplayed) {
-		c.differ("%s is %s (%v), stated is %s", id, seen.Outcome.Is, seen.Err, stated.Is)
+	if seen.Outcome.Kind != stated.Kind && (stated.Kind != trace.OutcomeAnswered || seen.Outcome.Kind != trace.OutcomeReplayed) {
+		c.differ("%s is %s (%v), stated is %s", id, seen.Outcome.Kind, seen.Err, stated.Kind)
 		return
 	}
 	if seen.Outcome.Code != stated.Code || seen.Outcome.NotRun != stated.NotRun {
@@ -158,7 +158,7 @@
 		c.winners[body.RaceOf]++
 		return
 	}
-	if seen.Outcome != trace.PublicationLost {
+	if seen.Outcome != trace.PublicationConflict {
 		c.differ("publication %s is %s (%v), stated is accepted or lost", body.ID, seen.Outcome, seen.Err)
 	}
 }
--- a/internal/lab/replay/failures.go
+++ b/internal/lab/replay/failures.go
@@ -21,14 +21,14 @@
 	if undo == nil {
 		return
 	}
-	lasting, timed := event.Body.(interface{ Lasts() trace.Duration })
-	if !timed || lasting.Lasts() == 0 {
+	lasting, timed := event.Body.(interface{ FailureDuration() trace.Duration })
+	if !timed || lasting.FailureDuration() == 0 {
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
 		p.undo = append(p.undo, undo)
 		return
 	}
-	time.Sleep(time.Duration(lasting.Lasts()))
+	time.Sleep(time.Duration(lasting.FailureDuration()))
 	undo()
 }
 
@@ -60,8 +60,8 @@
 		return restart(name)
 	case trace.Freeze:
 		name := p.named(body.Node, event.Line)
-		p.site.FreezeNode(name)
-		return func() { p.site.ThawNode(name) }
+		p.site.PauseNode(name)
+		return func() { p.site.ResumeNode(name) }
 	case trace.Cut:
 		from, to := p.named(body.From, event.Line), p.named(body.To, event.Line)
 		p.site.Network.Cut(from, to)
--- a/internal/lab/replay/observe.go
+++ b/internal/lab/replay/observe.go
@@ -16,7 +16,7 @@
 // publish publishes a table and records the result.
 func (p *player) publish(ctx context.Context, event trace.Event, body trace.Publish) {
 	seen := PublicationEvidence{Outcome: trace.PublicationUnknown, Err: errConnection}
-	if at := p.site.Life(p.resolve(body.Node, event.Line, 0)); at != nil {
+	if at := p.site.Incarnation(p.resolve(body.Node, event.Line, 0)); at != nil {
 		entry, err := at.Node.Tables().Publish(ctx, tables.Publication{
 			ID: body.ID, Base: body.Base, Author: body.Author, Note: "trace", CSV: trace.TableContent(body.Table),
 		})
@@ -35,7 +35,7 @@
 	case err == nil:
 		return trace.PublicationAccepted
 	case errors.As(err, &lost):
-		return trace.PublicationLost
+		return trace.PublicationConflict
 	case errors.As(err, &invalid):
 		return trace.PublicationInvalid
 	case errors.As(err, &base) || errors.Is(err, tables.ErrNotPublished) || errors.Is(err, tables.ErrIDReused):
@@ -63,7 +63,7 @@
 func (p *player) versions() map[identity.NodeName]table.Version {
 	versions := map[identity.NodeName]table.Version{}
 	for _, name := range p.site.Nodes() {
-		alive := p.site.Life(name)
+		alive := p.site.Incarnation(name)
 		if alive == nil {
 			continue
 		}
--- a/internal/lab/replay/replay.go
+++ b/internal/lab/replay/replay.go
@@ -23,8 +23,8 @@
 
 // Options configure a replay.
 type Options struct {
-	// Wrong injects faulty rules into the site.
-	Wrong simulated.Wrong
+	// Mutations injects faulty rules into the site.
+	Mutations simulated.Mutations
 	// Logger receives the nodes' logs; nil discards them.
 	Logger *slog.Logger
 	// Record wraps a node's programs, if set, to record the replay.
@@ -70,9 +70,9 @@
 	Executions application.Truth
 }
 
-// Run replays t at its event times and returns the observations. In a synctest bubble, the
-// caller must sleep for simulated.Settle afterwards, so that all goroutines of the
-// bubble end.
+// Run replays t at its event times and returns the observations. In a synctest bubble,
+// the caller must sleep for simulated.SettleTime afterwards, so that all goroutines of
+// the bubble end.
 func Run(ctx context.Context, t *trace.Trace, options Options) (*Evidence, error) {
 	site, err := simulated.Start(ctx, planOf(t.Header.Site, options))
 	if err != nil {
@@ -95,7 +95,7 @@
 		BackendLatency: time.Duration(site.Latency.Backends),
 		MachineListLag: time.Duration(site.MachineListLag),
 		Table:          trace.TableContent(site.Table),
-		Logger:         options.Logger, Wrong: options.Wrong,
+		Logger:         options.Logger, Mutations: options.Mutations,
 	}
 	for index := range site.Nodes {
 		plan.Nodes = append(plan.Nodes, trace.NodeName(index))
--- a/internal/lab/simulated/failures.go
+++ b/internal/lab/simulated/failures.go
@@ -20,8 +20,8 @@
 // on a real node is a race of microseconds.
 const checkWindow = 200 * time.Millisecond
 
-// Settle exceeds the longest time that a message or a log operation stays in flight.
-const Settle = time.Minute
+// SettleTime exceeds the longest time that a message or a log operation stays in flight.
+const SettleTime = time.Minute
 
 // KillNode terminates the node name as SIGKILL does. It does nothing if the node is
 // down.
@@ -40,7 +40,7 @@
 
 // DrainNode shuts the node name down gracefully, after its callers' requests.
 func (s *Site) DrainNode(name identity.NodeName) error {
-	stopping := s.Life(name)
+	stopping := s.Incarnation(name)
 	if stopping == nil {
 		return nil
 	}
@@ -52,10 +52,10 @@
 	return err
 }
 
-// FreezeNode pauses a node's process between its last checks and the resulting sends:
-// the pending dispatches are sent after ThawNode.
-func (s *Site) FreezeNode(name identity.NodeName) {
-	frozen := s.Life(name)
+// PauseNode pauses a node's process between its last checks and the resulting sends:
+// the pending dispatches are sent after ResumeNode.
+func (s *Site) PauseNode(name identity.NodeName) {
+	frozen := s.Incarnation(name)
 	if frozen == nil {
 		return
 	}
@@ -64,9 +64,9 @@
 	frozen.Endpoint.Freeze()
 }
 
-// ThawNode resumes a paused node.
-func (s *Site) ThawNode(name identity.NodeName) {
-	if frozen := s.Life(name); frozen != nil {
+// ResumeNode resumes a paused node.
+func (s *Site) ResumeNode(name identity.NodeName) {
+	if frozen := s.Incarnation(name); frozen != nil {
 		frozen.Endpoint.Thaw()
 	}
 	s.Stall(name, false)
@@ -144,7 +144,7 @@
 	for _, name := range s.plan.Nodes {
 		s.Log.ViewFor(string(name)).SetFaults(logservice.Faults{})
 		s.Machines.ViewFor(string(name)).SetDown(false)
-		s.ThawNode(name)
+		s.ResumeNode(name)
 		if err := s.StartNode(name); err != nil {
 			return err
 		}
@@ -161,11 +161,11 @@
 	}
 }
 
-// Close stops all nodes and back ends. Messages in flight are dropped within Settle,
+// Close stops all nodes and back ends. Messages in flight are dropped within SettleTime,
 // for which a synctest bubble has to wait.
 func (s *Site) Close() {
 	for _, name := range s.plan.Nodes {
-		s.ThawNode(name)
+		s.ResumeNode(name)
 		s.KillNode(name)
 	}
 	s.Network.Close()
--- a/internal/lab/simulated/site.go
+++ b/internal/lab/simulated/site.go
@@ -44,19 +44,19 @@
 	BackendLatency time.Duration
 	MachineListLag time.Duration
 	// AuditInterval is the time between two searches for orphaned cache entries, and
-	// LongestAnswer bounds the engines' answers in tokens; 0 selects the defaults.
-	AuditInterval time.Duration
-	LongestAnswer int
+	// MaxAnswerTokens bounds the engines' answers in tokens; 0 selects the defaults.
+	AuditInterval   time.Duration
+	MaxAnswerTokens int
 	// Table is the CSV of the first table.
 	Table []byte
 	// Logger receives the nodes' logs; nil discards them.
 	Logger *slog.Logger
-	// Wrong injects faulty rules, for tests that the checkers detect them.
-	Wrong Wrong
+	// Mutations injects faulty rules, for tests that the checkers detect them.
+	Mutations Mutations
 }
 
-// Wrong describes faulty rules of a site. The zero value changes nothing.
-type Wrong struct {
+// Mutations describes faulty rules of a site. The zero value changes nothing.
+type Mutations struct {
 	Hooks serving.Hooks
 	// Log and Directory wrap a node's clients of the log and of the back ends, if set.
 	Log       func(siteservices.Log) siteservices.Log
@@ -86,8 +86,8 @@
 	zone identity.Zone
 }
 
-// Life is one incarnation of a node.
-type Life struct {
+// Incarnation is one incarnation of a node.
+type Incarnation struct {
 	Node     *node.Node
 	Endpoint *network.Endpoint
 	// Requests counts the callers' requests in flight; a graceful shutdown waits for
@@ -113,7 +113,7 @@
 
 	// mutex guards the fields below.
 	mutex        sync.Mutex
-	incarnations map[identity.NodeName]*Life
+	incarnations map[identity.NodeName]*Incarnation
 	cuts         map[backendLink]bool
 	// stalls has the nodes whose dispatches to back ends are delayed after their checks.
 	stalls map[identity.NodeName]bool
@@ -159,7 +159,7 @@
 		Machines:     machinelist.New(nil),
 		engines:      map[netip.AddrPort]*engineReplica{},
 		applications: map[netip.AddrPort]*applicationReplica{},
-		incarnations: map[identity.NodeName]*Life{},
+		incarnations: map[identity.NodeName]*Incarnation{},
 		cuts:         map[backendLink]bool{},
 		stalls:       map[identity.NodeName]bool{},
 	}
@@ -183,7 +183,7 @@
 		}
 	}
 	publication := tables.Publication{ID: "first", CSV: s.plan.Table, Author: "marta", Note: "first"}
-	if _, err := s.Life(s.plan.Nodes[0]).Node.Tables().Publish(ctx, publication); err != nil {
+	if _, err := s.Incarnation(s.plan.Nodes[0]).Node.Tables().Publish(ctx, publication); err != nil {
 		return fmt.Errorf("simulated: first table: %w", err)
 	}
 	return s.awaitServing()
@@ -198,8 +198,8 @@
 	for index, planned := range s.plan.Engines {
 		parameters := engine.DefaultParameters(planned.Name, planned.Models...)
 		parameters.Seed = s.plan.Seed + uint64(index)
-		if s.plan.LongestAnswer > 0 {
-			parameters.LongestAnswer = s.plan.LongestAnswer
+		if s.plan.MaxAnswerTokens > 0 {
+			parameters.LongestAnswer = s.plan.MaxAnswerTokens
 		}
 		built, err := engine.New(parameters)
 		if err != nil {
@@ -258,7 +258,7 @@
 	s.starting.Lock()
 	defer s.starting.Unlock()
 	index, err := s.indexOf(name)
-	if err != nil || s.Life(name) != nil {
+	if err != nil || s.Incarnation(name) != nil {
 		return err
 	}
 	s.mutex.Lock()
@@ -273,12 +273,12 @@
 	self := do.MustInvoke[identity.Node](injector)
 	endpoint := s.Network.Join(self, do.MustInvoke[*peer.Registry](injector))
 	var log siteservices.Log = gatedLog{endpoint: endpoint, log: s.Log.ViewFor(string(name))}
-	if s.plan.Wrong.Log != nil {
-		log = s.plan.Wrong.Log(log)
+	if s.plan.Mutations.Log != nil {
+		log = s.plan.Mutations.Log(log)
 	}
 	var backends backend.Directory = directory{site: s, endpoint: endpoint, zone: self.Zone}
-	if s.plan.Wrong.Directory != nil {
-		backends = s.plan.Wrong.Directory(backends)
+	if s.plan.Mutations.Directory != nil {
+		backends = s.plan.Mutations.Directory(backends)
 	}
 	do.OverrideValue[node.Network](injector, endpointNetwork{endpoint: endpoint})
 	do.OverrideValue(injector, log)
@@ -286,7 +286,7 @@
 	do.OverrideValue[siteservices.WeightStore](injector, noWeights{})
 	do.OverrideValue(injector, backends)
 	do.OverrideValue(injector, node.Seed(s.plan.Seed*1000+start))
-	do.OverrideValue(injector, s.plan.Wrong.Hooks)
+	do.OverrideValue(injector, s.plan.Mutations.Hooks)
 	built, err := node.Build(injector)
 	if err != nil {
 		return fmt.Errorf("simulated: %s: %w", name, err)
@@ -298,7 +298,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.incarnations[name] = &Life{Node: built, Endpoint: endpoint, stop: stop}
+	s.incarnations[name] = &Incarnation{Node: built, Endpoint: endpoint, stop: stop}
 	return nil
 }
 
@@ -311,8 +311,8 @@
 	return 0, fmt.Errorf("simulated: no node %q", name)
 }
 
-// Life returns the running incarnation of the node name, or nil if it is down.
-func (s *Site) Life(name identity.NodeName) *Life {
+// Incarnation returns the running incarnation of the node name, or nil if it is down.
+func (s *Site) Incarnation(name identity.NodeName) *Incarnation {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.incarnations[name]
@@ -328,7 +328,7 @@
 	var owner identity.NodeName
 	var highest identity.Epoch
 	for _, name := range s.plan.Nodes {
-		alive := s.Life(name)
+		alive := s.Incarnation(name)
 		if alive == nil || !slices.Contains(alive.Node.Journal().Owned(), wanted) {
 			continue
 		}
@@ -378,7 +378,7 @@
 	for range tries {
 		owned, tabled := 0, 0
 		for _, name := range s.plan.Nodes {
-			alive := s.Life(name)
+			alive := s.Incarnation(name)
 			owned += len(alive.Node.Journal().Owned())
 			if alive.Node.Board().Table.Load() != nil {
 				tabled++
--- a/internal/lab/site/emulator.go
+++ b/internal/lab/site/emulator.go
@@ -12,25 +12,25 @@
 	"stepseam.example/stepseam/internal/lab/process"
 )
 
-// StandIn is the process of an emulator, which listens on Address.
-type StandIn struct {
+// Emulator is the process of an emulator, which listens on Address.
+type Emulator struct {
 	*process.Process
 	Address netip.AddrPort
 }
 
 // Get decodes the JSON document at path into answer.
-func (s *StandIn) Get(ctx context.Context, path string, answer any) error {
+func (s *Emulator) Get(ctx context.Context, path string, answer any) error {
 	return getJSON(ctx, "http://"+s.Address.String()+path, answer)
 }
 
 // Put sends body as JSON to path, for instance to set faults.
-func (s *StandIn) Put(ctx context.Context, path string, body any) error {
+func (s *Emulator) Put(ctx context.Context, path string, body any) error {
 	return sendJSON(ctx, http.MethodPut, "http://"+s.Address.String()+path, body, nil)
 }
 
 // Post sends body as JSON to path and decodes the response into answer, unless answer
 // is nil.
-func (s *StandIn) Post(ctx context.Context, path string, body, answer any) error {
+func (s *Emulator) Post(ctx context.Context, path string, body, answer any) error {
 	return sendJSON(ctx, http.MethodPost, "http://"+s.Address.String()+path, body, answer)
 }
 
--- a/internal/lab/site/node.go
+++ b/internal/lab/site/node.go
@@ -52,7 +52,7 @@
 	addresses := &node.Addresses
 	targets := []*netip.AddrPort{&addresses.Callers, &addresses.Operators, &addresses.Peer, &addresses.Probe}
 	for _, target := range targets {
-		chosen, err := loopback.Free(own)
+		chosen, err := loopback.FreeAddress(own)
 		if err != nil {
 			return nil, fmt.Errorf("site: port for %s: %w", plan.Name, err)
 		}
@@ -101,7 +101,7 @@
 	services := []struct {
 		name     string
 		target   *netip.AddrPort
-		emulator *StandIn
+		emulator *Emulator
 	}{
 		{"log", &chosen.Platform.LogService, s.LogService},
 		{"machines", &chosen.Platform.MachineList, s.MachineList},
@@ -119,8 +119,8 @@
 		}
 		*service.target = routed
 	}
-	if s.plan.Adjust != nil {
-		s.plan.Adjust(&chosen)
+	if s.plan.AdjustSettings != nil {
+		s.plan.AdjustSettings(&chosen)
 	}
 	_, err := s.writeYAML(string(node.Name), chosen)
 	return err
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -69,8 +69,8 @@
 	Slot int
 	// MachineListLag is the delay after which the machine list shows a change.
 	MachineListLag time.Duration
-	// Adjust modifies a node's settings before they are written, if set.
-	Adjust func(*settings.Settings)
+	// AdjustSettings modifies a node's settings before they are written, if set.
+	AdjustSettings func(*settings.Settings)
 	// Route returns the address at which node connects to a platform service that
 	// listens on address, for instance that of a relay.
 	Route func(node identity.NodeName, service string, address netip.AddrPort) (netip.AddrPort, error)
@@ -82,13 +82,13 @@
 type Site struct {
 	plan Plan
 	// LogService, MachineList, WeightStore and Tools are the platform's services.
-	LogService  *StandIn
-	MachineList *StandIn
-	WeightStore *StandIn
-	Tools       *StandIn
+	LogService  *Emulator
+	MachineList *Emulator
+	WeightStore *Emulator
+	Tools       *Emulator
 	// Engines and Applications are in the order of the plan.
-	Engines      []*StandIn
-	Applications []*StandIn
+	Engines      []*Emulator
+	Applications []*Emulator
 	// Nodes are in the order of the plan. A restart replaces the entry.
 	Nodes []*Node
 }
@@ -133,7 +133,7 @@
 
 func (s *Site) startPlatform(ctx context.Context) error {
 	starts := []struct {
-		target     **StandIn
+		target     **Emulator
 		subcommand string
 	}{{&s.LogService, "log"}, {&s.WeightStore, "weights"}, {&s.Tools, "tools"}}
 	for _, start := range starts {
@@ -203,7 +203,7 @@
 	return err
 }
 
-func (s *Site) backendMachine(backend *StandIn, role siteservices.MachineRole, zone identity.Zone) (siteservices.Machine, error) {
+func (s *Site) backendMachine(backend *Emulator, role siteservices.MachineRole, zone identity.Zone) (siteservices.Machine, error) {
 	service := s.plan.EngineService
 	if role == siteservices.RoleApplication {
 		service = s.plan.ApplicationService
@@ -224,7 +224,7 @@
 
 // startEmulator starts an emulator on a free port of 127.0.0.number and waits until it
 // listens. Non-nil parameters are written to its parameter file.
-func (s *Site) startEmulator(ctx context.Context, name, subcommand string, number int, parameters any) (*StandIn, error) {
+func (s *Site) startEmulator(ctx context.Context, name, subcommand string, number int, parameters any) (*Emulator, error) {
 	arguments := []string{subcommand, "--address", netip.AddrPortFrom(host(number), 0).String()}
 	if parameters != nil {
 		path, err := s.writeYAML(name, parameters)
@@ -247,7 +247,7 @@
 		started.Kill()
 		return nil, err
 	}
-	return &StandIn{Process: started, Address: address}, nil
+	return &Emulator{Process: started, Address: address}, nil
 }
 
 func (s *Site) writeYAML(name string, content any) (string, error) {
@@ -281,7 +281,7 @@
 			node.Kill()
 		}
 	}
-	platformEmulators := []*StandIn{s.LogService, s.MachineList, s.WeightStore, s.Tools}
+	platformEmulators := []*Emulator{s.LogService, s.MachineList, s.WeightStore, s.Tools}
 	for _, emulator := range slices.Concat(s.Engines, s.Applications, platformEmulators) {
 		if emulator != nil {
 			emulator.Kill()
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -19,10 +19,10 @@
 	check := is.New(t)
 	routed := netip.MustParseAddrPort("127.0.0.1:9")
 	site := &Site{plan: Plan{
-		Directory: t.TempDir(),
-		Region:    "sierra-norte",
-		Nodes:     []NodePlan{{"n1", "quito-centro"}, {"n2", "quito-norte"}},
-		Adjust:    func(s *settings.Settings) { s.Shards.LeaseDuration = 7 * time.Second },
+		Directory:      t.TempDir(),
+		Region:         "sierra-norte",
+		Nodes:          []NodePlan{{"n1", "quito-centro"}, {"n2", "quito-norte"}},
+		AdjustSettings: func(s *settings.Settings) { s.Shards.LeaseDuration = 7 * time.Second },
 		Route: func(_ identity.NodeName, service string, address netip.AddrPort) (netip.AddrPort, error) {
 			if service == "log" {
 				return routed, nil
@@ -30,8 +30,8 @@
 			return address, nil
 		},
 	}}
-	for _, target := range []**StandIn{&site.LogService, &site.MachineList, &site.WeightStore, &site.Tools} {
-		*target = &StandIn{Address: netip.MustParseAddrPort("127.0.0.1:8")}
+	for _, target := range []**Emulator{&site.LogService, &site.MachineList, &site.WeightStore, &site.Tools} {
+		*target = &Emulator{Address: netip.MustParseAddrPort("127.0.0.1:8")}
 	}
 	for index, plan := range site.plan.Nodes {
 		node, err := site.planNode(index, plan)
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -28,14 +28,14 @@
 
 // joinKeepers lets routers report to and ask each other's keepers.
 func joinKeepers(t *testing.T, routers ...*Router) {
-	free, err := loopback.Free(loopback.Own())
+	free, err := loopback.FreeAddress(loopback.ProcessIP())
 	if err != nil {
 		t.Fatal(err)
 	}
 	view := membership.View{}
 	placements := make([]*aggregator.Placement, 0, len(routers))
 	for number, router := range routers {
-		address := netip.AddrPortFrom(loopback.Sibling(number), free.Port())
+		address := netip.AddrPortFrom(loopback.ExtraIP(number), free.Port())
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/trace/check.go
+++ b/internal/trace/check.go
@@ -206,14 +206,14 @@
 }
 
 func (c *checker) outcome(expected Outcome) {
-	refused := expected.Is == OutcomeRefused
+	refused := expected.Kind == OutcomeRefused
 	switch {
 	case refused && !slices.Contains(api.Codes(), expected.Code):
 		c.add("outcome.code", "%q is not a problem code", expected.Code)
 	case !refused && (expected.Code != "" || expected.NotRun):
 		c.add("outcome", "code and not_run are allowed for a refusal only")
 	}
-	if answered := expected.Is == OutcomeAnswered || expected.Is == OutcomeReplayed; expected.Digest != "" && !answered {
+	if answered := expected.Kind == OutcomeAnswered || expected.Kind == OutcomeReplayed; expected.Digest != "" && !answered {
 		c.add("outcome.digest", "is allowed for an answer only")
 	}
 }
--- a/internal/trace/events.go
+++ b/internal/trace/events.go
@@ -45,11 +45,11 @@
 	// Timeout bounds one attempt, after which the caller closes the connection; 0
 	// selects the default of the replay.
 	Timeout Duration `json:"timeout,omitempty" validate:"min=0"`
-	// Patience is how long the caller retries retryable errors through other nodes;
+	// RetryTimeout is how long the caller retries retryable errors through other nodes;
 	// 0 allows one attempt.
-	Patience Duration        `json:"patience,omitempty" validate:"min=0"`
-	Call     api.CallRequest `json:"call"`
-	Outcome  Outcome         `json:"outcome"`
+	RetryTimeout Duration        `json:"patience,omitempty" validate:"min=0"`
+	Call         api.CallRequest `json:"call"`
+	Outcome      Outcome         `json:"outcome"`
 }
 
 // CallID returns the call's ID; an empty branch is the main branch.
@@ -75,13 +75,13 @@
 	// OutcomeUnknown is the problem outcome_unknown: an unrepeatable call was sent
 	// and its effect is not known.
 	OutcomeUnknown OutcomeKind = "outcome_unknown"
-	// OutcomeLost is a connection that ended without a response.
-	OutcomeLost OutcomeKind = "lost"
+	// OutcomeConnectionLost is a connection that ended without a response.
+	OutcomeConnectionLost OutcomeKind = "lost"
 )
 
 // Outcome is the expected result of a call.
 type Outcome struct {
-	Is OutcomeKind `json:"is" validate:"oneof=answered replayed refused outcome_unknown lost"`
+	Kind OutcomeKind `json:"is" validate:"oneof=answered replayed refused outcome_unknown lost"`
 	// Code and NotRun are set for OutcomeRefused only.
 	Code   api.Code `json:"code,omitempty"`
 	NotRun bool     `json:"not_run,omitempty"`
@@ -113,8 +113,8 @@
 	For Duration `json:"for,omitempty" validate:"min=0"`
 }
 
-// Lasts returns the duration of the failure.
-func (f For) Lasts() Duration { return f.For }
+// FailureDuration returns the duration of the failure.
+func (f For) FailureDuration() Duration { return f.For }
 
 // Kill terminates a node as SIGKILL does; after For it restarts with empty state.
 type Kill struct {
@@ -215,8 +215,8 @@
 // The outcomes of publications.
 const (
 	PublicationAccepted PublicationOutcome = "accepted"
-	// PublicationLost means that another version was accepted on the same base.
-	PublicationLost PublicationOutcome = "lost"
+	// PublicationConflict means that another version was accepted on the same base.
+	PublicationConflict PublicationOutcome = "lost"
 	// PublicationInvalid means that the table has findings.
 	PublicationInvalid PublicationOutcome = "invalid"
 	// PublicationRefused means that nothing was published.
--- a/internal/trace/outcome.go
+++ b/internal/trace/outcome.go
@@ -15,15 +15,15 @@
 	var problem *api.Problem
 	switch {
 	case err == nil && answer.Replayed:
-		return Outcome{Is: OutcomeReplayed, Digest: digestOf(answer)}
+		return Outcome{Kind: OutcomeReplayed, Digest: digestOf(answer)}
 	case err == nil:
-		return Outcome{Is: OutcomeAnswered, Digest: digestOf(answer)}
+		return Outcome{Kind: OutcomeAnswered, Digest: digestOf(answer)}
 	case !errors.As(err, &problem):
-		return Outcome{Is: OutcomeLost}
+		return Outcome{Kind: OutcomeConnectionLost}
 	case problem.Code == api.CodeOutcomeUnknown:
-		return Outcome{Is: OutcomeUnknown}
+		return Outcome{Kind: OutcomeUnknown}
 	}
-	return Outcome{Is: OutcomeRefused, Code: problem.Code, NotRun: problem.NotRun}
+	return Outcome{Kind: OutcomeRefused, Code: problem.Code, NotRun: problem.NotRun}
 }
 
 // digestOf hashes a model's text. It is empty for an application's output, which
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -132,7 +132,7 @@
 	event.Pause = p.recorder.send(branch)
 	answer, err := p.Programs.Call(ctx, request, onToken)
 	event.Outcome = OutcomeOf(answer, err)
-	if event.Outcome.Is == OutcomeLost {
+	if event.Outcome.Kind == OutcomeConnectionLost {
 		event.Timeout = Duration(time.Since(at))
 	}
 	p.recorder.finish(branch)
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -123,7 +123,7 @@
 	for _, event := range recorder.Events() {
 		kind := string(event.Body.Kind())
 		if recorded, isCall := event.Body.(trace.Call); isCall {
-			kind += " " + string(recorded.Outcome.Is)
+			kind += " " + string(recorded.Outcome.Kind)
 		}
 		kinds = append(kinds, kind)
 	}
--- a/test/process/main_test.go
+++ b/test/process/main_test.go
@@ -127,7 +127,7 @@
 		Programs: programs, Directory: directory, Region: "northplains",
 		EngineService: engineService, ApplicationService: applicationService,
 		MachineListLag: time.Second,
-		Adjust: func(s *settings.Settings) {
+		AdjustSettings: func(s *settings.Settings) {
 			s.Shards.Count = shardCount
 			s.Shards.LeaseDuration, s.Shards.LeaseRenewal = leaseDuration, leaseRenewal
 			s.Journal.DurableTimeout = 2 * time.Second
@@ -244,12 +244,12 @@
 // may have hidden by taking its work over.
 func (l *laboratory) findCrashes() {
 	for _, node := range l.Nodes {
-		if crash := node.Crash(); crash != "" {
+		if crash := node.CrashLine(); crash != "" {
 			l.t.Errorf("%s crashed: %s", node.Name, crash)
 		}
 	}
-	for _, standIn := range slices.Concat(l.Engines, l.Applications, []*site.StandIn{l.LogService, l.MachineList}) {
-		if crash := standIn.Crash(); crash != "" {
+	for _, standIn := range slices.Concat(l.Engines, l.Applications, []*site.Emulator{l.LogService, l.MachineList}) {
+		if crash := standIn.CrashLine(); crash != "" {
 			l.t.Errorf("%s crashed: %s", standIn.Name(), crash)
 		}
 	}
--- a/test/process/outside_test.go
+++ b/test/process/outside_test.go
@@ -66,7 +66,7 @@
 }
 
 // newest returns when the last stream was sent to an engine, refused or not.
-func (l *laboratory) newest(standIn *site.StandIn) time.Time {
+func (l *laboratory) newest(standIn *site.Emulator) time.Time {
 	l.t.Helper()
 	var truth engine.Truth
 	is.New(l.t).NoErr(standIn.Get(l.ctx, engine.PathTruth, &truth))
--- a/test/replay/mutate_test.go
+++ b/test/replay/mutate_test.go
@@ -96,21 +96,21 @@
 		change(&mutated.Outcome)
 		wrong = append(wrong, mutated)
 	}
-	switch stated.Outcome.Is {
+	switch stated.Outcome.Kind {
 	case trace.OutcomeAnswered, trace.OutcomeReplayed:
 		with(func(o *trace.Outcome) {
-			*o = trace.Outcome{Is: trace.OutcomeRefused, Code: api.CodeNoOwner, NotRun: true}
+			*o = trace.Outcome{Kind: trace.OutcomeRefused, Code: api.CodeNoOwner, NotRun: true}
 		})
-		with(func(o *trace.Outcome) { *o = trace.Outcome{Is: trace.OutcomeUnknown} })
+		with(func(o *trace.Outcome) { *o = trace.Outcome{Kind: trace.OutcomeUnknown} })
 		with(func(o *trace.Outcome) { o.Digest = "0" })
 	case trace.OutcomeRefused:
-		with(func(o *trace.Outcome) { *o = trace.Outcome{Is: trace.OutcomeAnswered} })
+		with(func(o *trace.Outcome) { *o = trace.Outcome{Kind: trace.OutcomeAnswered} })
 		with(func(o *trace.Outcome) { o.NotRun = !o.NotRun })
 		with(func(o *trace.Outcome) { o.Code = api.CodeInternal })
 	default:
-		with(func(o *trace.Outcome) { *o = trace.Outcome{Is: trace.OutcomeAnswered} })
+		with(func(o *trace.Outcome) { *o = trace.Outcome{Kind: trace.OutcomeAnswered} })
 		with(func(o *trace.Outcome) {
-			*o = trace.Outcome{Is: trace.OutcomeRefused, Code: api.CodeNoOwner, NotRun: true}
+			*o = trace.Outcome{Kind: trace.OutcomeRefused, Code: api.CodeNoOwner, NotRun: true}
 		})
 	}
 	with(func(o *trace.Outcome) { o.Within = 1 })
@@ -122,7 +122,7 @@
 	case stated.RaceOf != "":
 		stated.RaceOf += ", held by one alone"
 	case stated.Outcome == trace.PublicationAccepted:
-		stated.Outcome = trace.PublicationLost
+		stated.Outcome = trace.PublicationConflict
 	default:
 		stated.Outcome = trace.PublicationAccepted
 	}
--- a/test/replay/replay_test.go
+++ b/test/replay/replay_test.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var err error
 		found, err = replay.Run(t.Context(), played, options)
-		time.Sleep(simulated.Settle)
+		time.Sleep(simulated.SettleTime)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test/replay/variants_test.go
+++ b/test/replay/variants_test.go
@@ -24,7 +24,7 @@
 	trace string
 	name  string
 	shows trace.Kind
-	wrong simulated.Wrong
+	wrong simulated.Mutations
 	// change makes the wrong thing happen to the site; nil changes nothing.
 	change func(trace.Event) trace.Event
 }
@@ -37,19 +37,19 @@
 )
 
 func variants() []variant {
-	runsAgain := simulated.Wrong{Hooks: serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}}
-	notDurable := simulated.Wrong{Hooks: serving.Hooks{Durable: func(identity.CallID, bool) bool { return false }}}
-	noReservation := simulated.Wrong{Hooks: serving.Hooks{Reserve: func(int64, int64) int64 { return 0 }}}
-	noLease := simulated.Wrong{Hooks: serving.Hooks{CheckLease: func(journal.Shard) error { return nil }}}
-	forgets := simulated.Wrong{Directory: wrongly(wrongBackends{forget: true})}
-	keepsMemory := simulated.Wrong{Directory: wrongly(wrongBackends{keepMemory: true})}
-	hidesLeaving := simulated.Wrong{Directory: wrongly(wrongBackends{hideLeaving: true})}
-	sendsTwice := simulated.Wrong{Directory: wrongly(wrongBackends{sendTwice: true})}
-	noFence := simulated.Wrong{Hooks: serving.Hooks{
+	runsAgain := simulated.Mutations{Hooks: serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}}
+	notDurable := simulated.Mutations{Hooks: serving.Hooks{Durable: func(identity.CallID, bool) bool { return false }}}
+	noReservation := simulated.Mutations{Hooks: serving.Hooks{Reserve: func(int64, int64) int64 { return 0 }}}
+	noLease := simulated.Mutations{Hooks: serving.Hooks{CheckLease: func(journal.Shard) error { return nil }}}
+	forgets := simulated.Mutations{Directory: wrongly(wrongBackends{forget: true})}
+	keepsMemory := simulated.Mutations{Directory: wrongly(wrongBackends{keepMemory: true})}
+	hidesLeaving := simulated.Mutations{Directory: wrongly(wrongBackends{hideLeaving: true})}
+	sendsTwice := simulated.Mutations{Directory: wrongly(wrongBackends{sendTwice: true})}
+	noFence := simulated.Mutations{Hooks: serving.Hooks{
 		Fence:      func(identity.StreamID) error { return nil },
 		CheckLease: func(journal.Shard) error { return nil },
 	}}
-	deafToTables := simulated.Wrong{Log: func(log siteservices.Log) siteservices.Log { return firstTableLog{Log: log} }}
+	deafToTables := simulated.Mutations{Log: func(log siteservices.Log) siteservices.Log { return firstTableLog{Log: log} }}
 	return []variant{
 		{trace: "quito-deadline-night", name: "the oldest turn is forgotten", shows: conversation, wrong: forgets},
 		{trace: "quito-deadline-night", name: "engines are not told to release", shows: memory, wrong: keepsMemory},
@@ -94,7 +94,7 @@
 					played.Events[index] = wrong.change(event)
 				}
 			}
-			differences := replay.Compare(played, run(t, played, replay.Options{Wrong: wrong.wrong}))
+			differences := replay.Compare(played, run(t, played, replay.Options{Mutations: wrong.wrong}))
 			for _, event := range played.Events {
 				if event.Body.Kind() != wrong.shows {
 					continue
--- a/test/simulation/caller_test.go
+++ b/test/simulation/caller_test.go
@@ -137,7 +137,7 @@
 }
 
 // somewhere returns a live node; callers do not know which are frozen.
-func (c *caller) somewhere() *simulated.Life {
+func (c *caller) somewhere() *simulated.Incarnation {
 	for {
 		if found := c.site.life(c.random.IntN(c.site.plan.nodes)); found != nil {
 			return found
--- a/test/simulation/schedule_test.go
+++ b/test/simulation/schedule_test.go
@@ -170,8 +170,8 @@
 }
 
 func (s *site) freeze(index int) func() {
-	s.FreezeNode(nodeName(index))
-	return func() { s.ThawNode(nodeName(index)) }
+	s.PauseNode(nodeName(index))
+	return func() { s.ResumeNode(nodeName(index)) }
 }
 
 // cutZone cuts a zone off from the others, and for odd choices from the platform.
--- a/test/simulation/site_test.go
+++ b/test/simulation/site_test.go
@@ -103,9 +103,9 @@
 	whole := simulated.Plan{
 		Seed: p.seed, Zones: p.zones, Shards: p.shards,
 		ZoneLatency: p.zoneLatency, BackendLatency: p.backendLatency, MachineListLag: machineListLag,
-		AuditInterval: p.auditInterval, LongestAnswer: longestAnswer,
-		Table: table.Format(p.firstTable()),
-		Wrong: simulated.Wrong{Hooks: p.hooks, Log: p.wrapLog, Directory: p.wrapDirectory},
+		AuditInterval: p.auditInterval, MaxAnswerTokens: longestAnswer,
+		Table:     table.Format(p.firstTable()),
+		Mutations: simulated.Mutations{Hooks: p.hooks, Log: p.wrapLog, Directory: p.wrapDirectory},
 	}
 	for index := range p.nodes {
 		whole.Nodes = append(whole.Nodes, nodeName(index))
@@ -147,7 +147,7 @@
 func (s *site) zone(index int) identity.Zone { return s.plan.zones[index%len(s.plan.zones)] }
 
 // life returns the present life of the node at index, or nil.
-func (s *site) life(index int) *simulated.Life { return s.Life(nodeName(index)) }
+func (s *site) life(index int) *simulated.Incarnation { return s.Incarnation(nodeName(index)) }
 
 // engine returns the engine at index, counted round.
 func (s *site) engine(index int) *engine.Engine {
@@ -174,7 +174,7 @@
 // close ends everything that runs in the bubble.
 func (s *site) close() {
 	s.Close()
-	time.Sleep(simulated.Settle)
+	time.Sleep(simulated.SettleTime)
 }
 
 func (p plan) firstTable() *table.Table {
