--- a/internal/lab/replay/failures.go
+++ b/internal/lab/replay/failures.go
@@ -16,7 +16,7 @@
 func (p *player) fail(event trace.Event) {
 	undo := p.failNode(event)
 	if undo == nil {
-		undo = p.failOutside(event)
+		undo = p.failDependency(event)
 	}
 	if undo == nil {
 		return
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// failOutside injects a failure of the platform or of a back end. It returns the
+// failDependency injects a failure of the platform or of a back end. It returns the
 // function that reverts it, nil for other events and for permanent changes.
-func (p *player) failOutside(event trace.Event) func() {
+func (p *player) failDependency(event trace.Event) func() {
 	switch body := event.Body.(type) {
 	case trace.Log:
 		p.site.Log.SetFaults(logservice.Faults{
@@ -84,17 +84,17 @@
 		})
 		return func() { p.site.Log.SetFaults(logservice.Faults{}) }
 	case trace.Engine:
-		struck := p.site.Engine(body.Name)
-		struck.SetFaults(engine.Faults{Down: body.Down, Frozen: body.Frozen, Slow: body.Slow, LoseNext: body.LoseNext})
-		return func() { struck.SetFaults(engine.Faults{}) }
+		target := p.site.Engine(body.Name)
+		target.SetFaults(engine.Faults{Down: body.Down, Frozen: body.Frozen, Slow: body.Slow, LoseNext: body.LoseNext})
+		return func() { target.SetFaults(engine.Faults{}) }
 	case trace.RestartEngine:
 		p.site.Engine(body.Name).Restart()
 	case trace.Application:
-		struck := p.site.Application(body.Name)
-		struck.SetFaults(application.Faults{
+		target := p.site.Application(body.Name)
+		target.SetFaults(application.Faults{
 			Down: body.Down, HangBefore: body.HangBefore, HangAfter: body.HangAfter, Slow: body.Slow, LoseNext: body.LoseNext,
 		})
-		return func() { struck.SetFaults(application.Faults{}) }
+		return func() { target.SetFaults(application.Faults{}) }
 	case trace.Leave:
 		p.site.Leave(body.Name)
 	}
