--- a/internal/lab/demo/check.go
+++ b/internal/lab/demo/check.go
@@ -12,10 +12,10 @@
 	"stepseam.example/stepseam/internal/lab/site"
 )
 
-// freeLimit bounds the time from a program's end to the freeing of its memory.
-const freeLimit = 10 * time.Second
+// releaseTimeout bounds the time from a program's end to the release of its cache.
+const releaseTimeout = 10 * time.Second
 
-// check compares what the back ends saw with what the program asked for.
+// check compares the requests that the back ends received with the program's calls.
 func (e *enrolment) check(ctx context.Context) error {
 	arrivals, err := e.arrivals(ctx)
 	if err != nil {
@@ -37,19 +37,19 @@
 	}
 	e.demo.say("the applications ran %q once and the enrolment %q once", readOperation, enrolKey)
 	began := time.Now()
-	if err := e.awaitFree(ctx); err != nil {
+	if err := e.awaitRelease(ctx); err != nil {
 		return err
 	}
 	e.demo.say("the engines hold nothing for the program %.1f s after its end", time.Since(began).Seconds())
 	return nil
 }
 
-// arrivals returns the program's streams at all engines in order of arrival.
+// arrivals returns the program's streams on all engines in order of arrival.
 func (e *enrolment) arrivals(ctx context.Context) ([]engine.Arrival, error) {
 	var found []engine.Arrival
-	for _, standIn := range e.demo.site.Engines {
+	for _, emulator := range e.demo.site.Engines {
 		var truth engine.Truth
-		if err := standIn.Get(ctx, engine.PathTruth, &truth); err != nil {
+		if err := emulator.Get(ctx, engine.PathTruth, &truth); err != nil {
 			return nil, err
 		}
 		for _, arrival := range truth.Arrivals {
@@ -62,8 +62,8 @@
 	return found, nil
 }
 
-// checkArrivals checks one branch: each call once, in order, run to its end,
-// and on a prompt that continues the one before.
+// checkArrivals checks that the calls of a branch arrived once each, in order, that
+// all of them finished and that each prompt extends the previous one.
 func checkArrivals(arrivals []engine.Arrival, branch identity.BranchID, wanted []identity.Sequence) error {
 	var sequences []identity.Sequence
 	var before []engine.Digest
@@ -72,26 +72,26 @@
 			continue
 		}
 		if arrival.Outcome != engine.OutcomeFinished {
-			return fmt.Errorf("the engine's stream %s is %s: %s", arrival.Stream, arrival.Outcome, arrival.Reason)
+			return fmt.Errorf("engine stream %s ended as %s: %s", arrival.Stream, arrival.Outcome, arrival.Reason)
 		}
 		if len(arrival.Messages) <= len(before) || !slices.Equal(arrival.Messages[:len(before)], before) {
-			return fmt.Errorf("the engine's stream %s does not continue the history of the call before it", arrival.Stream)
+			return fmt.Errorf("engine stream %s does not extend the history of the previous call", arrival.Stream)
 		}
 		before = arrival.Messages
 		sequences = append(sequences, arrival.Stream.Call.Sequence)
 	}
 	if !slices.Equal(sequences, wanted) {
-		return fmt.Errorf("the engines saw the calls %v of branch %s, want %v", sequences, branch, wanted)
+		return fmt.Errorf("the engines received the calls %v of branch %s, want %v", sequences, branch, wanted)
 	}
 	return nil
 }
 
-// executions adds up the executions at all application replicas by operation and key.
+// executions counts the executions on all application replicas by operation and key.
 func (e *enrolment) executions(ctx context.Context) (map[string]int, error) {
 	total := map[string]int{}
-	for _, standIn := range e.demo.site.Applications {
+	for _, emulator := range e.demo.site.Applications {
 		var truth application.Truth
-		if err := standIn.Get(ctx, application.PathTruth, &truth); err != nil {
+		if err := emulator.Get(ctx, application.PathTruth, &truth); err != nil {
 			return nil, err
 		}
 		for _, execution := range truth.Executions {
@@ -105,28 +105,28 @@
 	wanted := map[string]int{readOperation + " ": 1, enrolOperation + " " + enrolKey: 1}
 	for key, count := range wanted {
 		if executions[key] != count {
-			return fmt.Errorf("the applications ran %q %d times, want %d", key, executions[key], count)
+			return fmt.Errorf("the applications executed %q %d times, want %d", key, executions[key], count)
 		}
 	}
 	if len(executions) != len(wanted) {
-		return fmt.Errorf("the applications ran more than was asked for: %v", executions)
+		return fmt.Errorf("the applications executed unexpected operations: %v", executions)
 	}
 	return nil
 }
 
-// awaitFree waits until no engine holds memory for the program.
-func (e *enrolment) awaitFree(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, freeLimit)
+// awaitRelease waits until no engine caches a prefix of the program.
+func (e *enrolment) awaitRelease(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	return site.Eventually(ctx, "the program's memory to be freed", func(ctx context.Context) error {
-		for _, standIn := range e.demo.site.Engines {
+	return site.Eventually(ctx, "the program's cache to be released", func(ctx context.Context) error {
+		for _, emulator := range e.demo.site.Engines {
 			var truth engine.Truth
-			if err := standIn.Get(ctx, engine.PathTruth, &truth); err != nil {
+			if err := emulator.Get(ctx, engine.PathTruth, &truth); err != nil {
 				return err
 			}
 			for _, held := range truth.Held {
 				if string(held.Program) == e.id {
-					return fmt.Errorf("%s holds %d tokens of branch %s", standIn.Name(), held.Tokens, held.Branch)
+					return fmt.Errorf("%s still caches %d tokens of branch %s", emulator.Name(), held.Tokens, held.Branch)
 				}
 			}
 		}
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -11,13 +11,13 @@
 	"github.com/matryer/is"
 )
 
-func TestNoAddressIsGivenOutTwiceOrWhileTaken(t *testing.T) {
+func TestFreeSkipsAllocatedAndBoundPorts(t *testing.T) {
 	is := is.New(t)
-	host := Own()
+	host := ProcessIP()
 	is.True(host.IsLoopback())
 	seen := map[netip.AddrPort]bool{}
 	for range 200 {
-		next, err := Free(host)
+		next, err := FreeAddress(host)
 		is.NoErr(err)
 		is.True(!seen[next])
 		seen[next] = true
@@ -31,29 +31,29 @@
 	}
 }
 
-// TestPortsLieBelowThoseThatTheSystemGivesOut: a port that the system may hand to any
-// process, at any moment, can't be promised to one.
-func TestPortsLieBelowThoseThatTheSystemGivesOut(t *testing.T) {
+// TestPortsAreBelowEphemeralRange guards against allocating a port that the kernel may
+// assign to another process at any time.
+func TestPortsAreBelowEphemeralRange(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		t.Skip("the system does not tell")
+		t.Skip("the ephemeral port range is not readable on this system")
 	}
 	lowest, err := strconv.Atoi(strings.Fields(string(text))[0])
 	is.NoErr(err)
 	is.True(firstPort+portCount <= lowest)
 }
 
-func TestSiblingsAreAllDifferent(t *testing.T) {
+func TestExtraIPsAreDistinct(t *testing.T) {
 	is := is.New(t)
-	seen := map[netip.Addr]bool{Own(): true}
-	for number := range maxSiblings {
-		sibling := Sibling(number)
-		is.True(sibling.IsLoopback())
-		is.True(!seen[sibling])
-		seen[sibling] = true
-		address, err := Free(sibling)
+	seen := map[netip.Addr]bool{ProcessIP(): true}
+	for number := range maxExtraIPs {
+		extra := ExtraIP(number)
+		is.True(extra.IsLoopback())
+		is.True(!seen[extra])
+		seen[extra] = true
+		address, err := FreeAddress(extra)
 		is.NoErr(err)
-		is.Equal(address.Addr(), sibling)
+		is.Equal(address.Addr(), extra)
 	}
 }
--- a/internal/lab/replay/failures.go
+++ b/internal/lab/replay/failures.go
@@ -11,34 +11,34 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// fail brings a failure about and ends it after its time. One without a time ends
-// after the trace's last event.
+// fail injects a failure and reverts it after its duration, or after all events if it
+// has none.
 func (p *player) fail(event trace.Event) {
 	undo := p.failNode(event)
 	if undo == nil {
-		undo = p.failOutside(event)
+		undo = p.failDependency(event)
 	}
 	if undo == nil {
 		return
 	}
-	lasting, timed := event.Body.(interface{ Lasts() trace.Duration })
-	if !timed || lasting.Lasts() == 0 {
+	lasting, timed := event.Body.(interface{ FailureDuration() trace.Duration })
+	if !timed || lasting.FailureDuration() == 0 {
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
 		p.undo = append(p.undo, undo)
 		return
 	}
-	time.Sleep(time.Duration(lasting.Lasts()))
+	time.Sleep(time.Duration(lasting.FailureDuration()))
 	undo()
 }
 
-// named resolves a reference that is not empty.
+// named resolves a non-empty reference.
 func (p *player) named(reference trace.NodeReference, line int) identity.NodeName {
 	return p.resolve(reference, line, 0)
 }
 
-// failNode begins a failure of a node or of a link between nodes and returns what
-// ends it, nil for other events.
+// failNode injects a failure of a node or of the network between nodes. It returns the
+// function that reverts it, nil for other events.
 func (p *player) failNode(event trace.Event) func() {
 	restart := func(name identity.NodeName) func() {
 		return func() {
@@ -55,13 +55,13 @@
 	case trace.Drain:
 		name := p.named(body.Node, event.Line)
 		if err := p.site.DrainNode(name); err != nil {
-			p.noteFailure(event.Line, fmt.Errorf("planned stop of %s: %w", name, err))
+			p.noteFailure(event.Line, fmt.Errorf("drain of %s: %w", name, err))
 		}
 		return restart(name)
 	case trace.Freeze:
 		name := p.named(body.Node, event.Line)
-		p.site.FreezeNode(name)
-		return func() { p.site.ThawNode(name) }
+		p.site.PauseNode(name)
+		return func() { p.site.ResumeNode(name) }
 	case trace.Cut:
 		from, to := p.named(body.From, event.Line), p.named(body.To, event.Line)
 		p.site.Network.Cut(from, to)
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// failOutside begins a failure of the platform or of a back end and returns what
-// ends it, nil for other events and for those that nothing ends.
-func (p *player) failOutside(event trace.Event) func() {
+// failDependency injects a failure of the platform or of a back end. It returns the
+// function that reverts it, nil for other events and for permanent changes.
+func (p *player) failDependency(event trace.Event) func() {
 	switch body := event.Body.(type) {
 	case trace.Log:
 		p.site.Log.SetFaults(logservice.Faults{
@@ -84,17 +84,17 @@
 		})
 		return func() { p.site.Log.SetFaults(logservice.Faults{}) }
 	case trace.Engine:
-		struck := p.site.Engine(body.Name)
-		struck.SetFaults(engine.Faults{Down: body.Down, Frozen: body.Frozen, Slow: body.Slow, LoseNext: body.LoseNext})
-		return func() { struck.SetFaults(engine.Faults{}) }
+		target := p.site.Engine(body.Name)
+		target.SetFaults(engine.Faults{Down: body.Down, Frozen: body.Frozen, Slow: body.Slow, LoseNext: body.LoseNext})
+		return func() { target.SetFaults(engine.Faults{}) }
 	case trace.RestartEngine:
 		p.site.Engine(body.Name).Restart()
 	case trace.Application:
-		struck := p.site.Application(body.Name)
-		struck.SetFaults(application.Faults{
+		target := p.site.Application(body.Name)
+		target.SetFaults(application.Faults{
 			Down: body.Down, HangBefore: body.HangBefore, HangAfter: body.HangAfter, Slow: body.Slow, LoseNext: body.LoseNext,
 		})
-		return func() { struck.SetFaults(application.Faults{}) }
+		return func() { target.SetFaults(application.Faults{}) }
 	case trace.Leave:
 		p.site.Leave(body.Name)
 	}
