--- a/internal/lab/experiment/trace.go
+++ b/internal/lab/experiment/trace.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// ErrTrace is wrapped by every fault found in a trace.
-var ErrTrace = errors.New("experiment: bad trace")
+// ErrTrace is wrapped by every error that ReadTrace finds in a trace.
+var ErrTrace = errors.New("experiment: invalid trace")
 
 // maximumTraceLine bounds one line of a trace.
 const maximumTraceLine = 4 << 20
 
-// Trace is a recorded workload with the outcomes that its replay must have. In
-// its file form each line is one JSON object with the field kind: first the
-// site, then programs in order of arrival, then outcomes.
+// Trace is a recorded workload with the expected outcomes of its replay. In a file,
+// each line is a JSON object with the field kind: first the site, then programs in
+// order of arrival, then outcomes.
 type Trace struct {
 	Site     TraceSite
 	Programs []Program
 	Outcomes []Outcome
 }
 
-// TraceSite names the site and what of it the trace changes.
+// TraceSite names a site and overrides some of its parameters.
 type TraceSite struct {
 	Name string `json:"site"`
-	// Engines and Nodes replace the site's counts, if set.
+	// Engines and Nodes override the site's counts unless they are 0.
 	Engines  int           `json:"engines,omitempty"`
 	Nodes    int           `json:"nodes,omitempty"`
 	Duration time.Duration `json:"duration_ns"`
 	Warmup   time.Duration `json:"warmup_ns,omitempty"`
 	Load     float64       `json:"load,omitempty"`
 	Seed     uint64        `json:"seed"`
-	// Calm leaves out the lost and the slow engine.
-	Calm bool `json:"calm,omitempty"`
+	// NoFaults disables the injected engine failure and slowdown.
+	NoFaults bool `json:"calm,omitempty"`
 }
 
-// Outcome states what the replay with one policy must give. Fields that are not
-// set state nothing.
+// Outcome bounds the result of a replay with one policy. Fields that are nil are not
+// checked.
 type Outcome struct {
 	Policy            string   `json:"policy"`
 	Completed         *int     `json:"completed,omitempty"`
@@ -57,7 +57,7 @@
 	kindOutcome = "outcome"
 )
 
-// Write writes the trace, a line for each part.
+// Write writes the trace in its file format.
 func (t *Trace) Write(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	write := func(line any) error {
@@ -151,13 +151,13 @@
 		err = errors.Join(err, fmt.Errorf("duration_ns %d: want more than 0", s.Duration))
 	}
 	if s.Engines < 0 || s.Nodes < 0 {
-		err = errors.Join(err, fmt.Errorf("engines %d, nodes %d: want no negative count", s.Engines, s.Nodes))
+		err = errors.Join(err, fmt.Errorf("engines %d, nodes %d: want 0 or more", s.Engines, s.Nodes))
 	}
 	return err
 }
 
-// checkProgram makes sure that a program can be run: its class is known and its
-// calls wait only for earlier ones.
+// checkProgram validates a program: its class must exist and its calls may depend on
+// earlier calls only.
 func (s *TraceSite) checkProgram(program *Program) error {
 	site, err := s.site()
 	if err != nil {
@@ -169,28 +169,28 @@
 	}
 	var faults []error
 	if !known {
-		faults = append(faults, fmt.Errorf("program %s: class %q is not of site %s", program.ID, program.Class, site.Name))
+		faults = append(faults, fmt.Errorf("program %s: class %q is not defined for site %s", program.ID, program.Class, site.Name))
 	}
 	if len(program.Calls) == 0 {
 		faults = append(faults, fmt.Errorf("program %s: no calls", program.ID))
 	}
 	for i, call := range program.Calls {
 		if call.NewTokens < 1 || call.AnswerTokens < 1 || call.Turn < 0 || call.Pause < 0 {
-			faults = append(faults, fmt.Errorf("program %s: call %d: counts and times must be positive", program.ID, i))
+			faults = append(faults, fmt.Errorf("program %s: call %d: token counts must be positive, turn and pause must not be negative", program.ID, i))
 		}
 		if len(call.After) == 0 && i > 0 {
-			faults = append(faults, fmt.Errorf("program %s: call %d: only the first call waits for none", program.ID, i))
+			faults = append(faults, fmt.Errorf("program %s: call %d: only the first call may have no predecessor", program.ID, i))
 		}
 		for _, before := range call.After {
 			if before < 0 || before >= i {
-				faults = append(faults, fmt.Errorf("program %s: call %d waits for call %d, which is not before it", program.ID, i, before))
+				faults = append(faults, fmt.Errorf("program %s: call %d waits for call %d, which is not an earlier call", program.ID, i, before))
 			}
 		}
 	}
 	return errors.Join(faults...)
 }
 
-// site returns the site as the trace changes it.
+// site returns the named site with the overrides applied.
 func (s *TraceSite) site() (Site, error) {
 	site, err := SiteByName(s.Name)
 	if err != nil {
@@ -206,16 +206,17 @@
 	return site, nil
 }
 
-// Options returns the options to replay the trace with a strategy.
+// Options returns the options for a replay of the trace with a strategy.
 func (t *Trace) Options(strategy Strategy) (Options, error) {
 	site, err := t.Site.site()
 	return Options{
 		Site: site, Strategy: strategy, Load: t.Site.Load, Seed: t.Site.Seed,
-		Programs: t.Programs, Calm: t.Site.Calm,
+		Programs: t.Programs, NoFaults: t.Site.NoFaults,
 	}, err
 }
 
-// Check returns what in result is not as stated, all of it together.
+// Check returns all deviations of result from the expected outcome, joined into one
+// error.
 func (o *Outcome) Check(result *Result) error {
 	var faults []error
 	state := func(measure string, holds bool, got, want any) {
--- a/internal/lab/replay/compare.go
+++ b/internal/lab/replay/compare.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// Difference is one stated outcome that did not come.
+// Difference is a deviation from one expected outcome.
 type Difference struct {
 	File    string
 	Line    int
@@ -23,8 +23,8 @@
 // String returns "file:line: message".
 func (d Difference) String() string { return fmt.Sprintf("%s:%d: %s", d.File, d.Line, d.Message) }
 
-// Compare returns every stated outcome of t that found does not show, in the
-// order of the lines. It is pure.
+// Compare returns the deviations of found from the expected outcomes of t, in order of
+// the lines.
 func Compare(t *trace.Trace, found *Evidence) []Difference {
 	c := &comparison{trace: t, found: found, winners: map[string]int{}}
 	for _, event := range t.Events {
@@ -88,8 +88,8 @@
 func (c *comparison) call(body trace.Call) {
 	seen, stated := c.found.Calls[c.line], body.Outcome
 	id := body.CallID()
-	if seen.Outcome.Is != stated.Is && (stated.Is != trace.OutcomeAnswered || seen.Outcome.Is != trace.OutcomeReplayed) {
-		c.differ("%s is %s (%v), stated is %s", id, seen.Outcome.Is, seen.Err, stated.Is)
+	if seen.Outcome.Kind != stated.Kind && (stated.Kind != trace.OutcomeAnswered || seen.Outcome.Kind != trace.OutcomeReplayed) {
+		c.differ("%s is %s (%v), stated is %s", id, seen.Outcome.Kind, seen.Err, stated.Kind)
 		return
 	}
 	if seen.Outcome.Code != stated.Code || seen.Outcome.NotRun != stated.NotRun {
@@ -109,7 +109,7 @@
 	c.notRun(id)
 }
 
-// answer checks that an answer is the caller's own and the one it was streamed.
+// answer checks that an answer belongs to the call and equals the streamed text.
 func (c *comparison) answer(id identity.CallID, seen CallEvidence) {
 	if seen.Answer == nil {
 		return
@@ -123,8 +123,8 @@
 	}
 }
 
-// notRun checks that a call which every one of its lines says did not run
-// reached no back end.
+// notRun checks that a call reached no back end if all of its lines expect that it did
+// not run.
 func (c *comparison) notRun(id identity.CallID) {
 	for _, event := range c.trace.Events {
 		other, isCall := event.Body.(trace.Call)
@@ -158,12 +158,12 @@
 		c.winners[body.RaceOf]++
 		return
 	}
-	if seen.Outcome != trace.PublicationLost {
+	if seen.Outcome != trace.PublicationConflict {
 		c.differ("publication %s is %s (%v), stated is accepted or lost", body.ID, seen.Outcome, seen.Err)
 	}
 }
 
-// races checks that exactly one publication of each race won.
+// races checks that exactly one publication of each race was accepted.
 func (c *comparison) races() {
 	for _, event := range c.trace.Events {
 		body, isPublication := event.Body.(trace.Publish)
--- a/internal/trace/check.go
+++ b/internal/trace/check.go
@@ -11,8 +11,9 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// check returns what is wrong with a trace beyond single fields: names that
-// nothing has, programs without a creation, outcomes that contradict themselves.
+// check validates a trace across fields and events: references to undefined
+// names, programs used before their creation, times out of order and
+// contradictory outcomes.
 func check(t *Trace) []Finding {
 	c := &checker{trace: t, programs: map[identity.ProgramID]bool{}, publications: map[string]bool{}}
 	c.classes = c.table(1, "site.table", t.Header.Site.Table)
@@ -21,10 +22,10 @@
 	for _, event := range t.Events {
 		c.line = event.Line
 		if event.At < 0 {
-			c.add("at", "lies before the start")
+			c.add("at", "is before the start of the trace")
 		}
 		if event.At < last {
-			c.add("at", "lies before the time of the line before")
+			c.add("at", "is earlier than the previous event")
 		}
 		last = max(last, event.At)
 		c.event(event.Body)
@@ -45,7 +46,8 @@
 	c.findings = append(c.findings, Finding{File: c.trace.File, Line: c.line, Field: field, Message: fmt.Sprintf(format, arguments...)})
 }
 
-// table checks a table and returns its classes.
+// table parses a table, reports its findings and returns its classes, nil if it
+// is invalid.
 func (c *checker) table(line int, field string, lines []string) map[string]table.Class {
 	c.line = line
 	parsed, err := table.Parse(TableContent(lines))
@@ -63,7 +65,7 @@
 	return parsed.Classes
 }
 
-// TableContent joins the lines of a table's CSV.
+// TableContent joins the lines of a table into CSV with a final newline.
 func TableContent(lines []string) []byte { return []byte(strings.Join(lines, "\n") + "\n") }
 
 func (c *checker) backends(site Site) {
@@ -151,7 +153,7 @@
 
 func (c *checker) program(program identity.ProgramID) {
 	if !c.programs[program] {
-		c.add("program", "no line before creates %q", program)
+		c.add("program", "no earlier line creates %q", program)
 	}
 }
 
@@ -161,7 +163,7 @@
 	}
 	if program, named := reference.OwnerOf(); named {
 		if !c.programs[program] {
-			c.add(field, "no line before creates %q", program)
+			c.add(field, "no earlier line creates %q", program)
 		}
 		return
 	}
@@ -175,7 +177,7 @@
 
 func (c *checker) backend(name string, lists ...[]Backend) {
 	if !slices.ContainsFunc(slices.Concat(lists...), func(one Backend) bool { return one.Name == name }) {
-		c.add("name", "the site has no such back end as %q", name)
+		c.add("name", "the site has no back end %q", name)
 	}
 }
 
@@ -183,7 +185,7 @@
 	c.program(event.Program)
 	c.node("node", event.Node)
 	if event.Pause != nil && *event.Pause < 0 {
-		c.add("pause", "is below 0")
+		c.add("pause", "is negative")
 	}
 	switch event.Call.Kind {
 	case api.CallModel:
@@ -192,7 +194,7 @@
 		}
 	case api.CallApplication:
 		if event.Call.Application == "" || event.Call.Operation == "" {
-			c.add("call", "an application call names application and operation")
+			c.add("call", "an application call needs application and operation")
 		}
 	default:
 		c.add("call.kind", "is %q, want model or application", event.Call.Kind)
@@ -203,16 +205,16 @@
 	c.outcome(event.Outcome)
 }
 
-func (c *checker) outcome(stated Outcome) {
-	refused := stated.Is == OutcomeRefused
+func (c *checker) outcome(expected Outcome) {
+	refused := expected.Kind == OutcomeRefused
 	switch {
-	case refused && !slices.Contains(api.Codes(), stated.Code):
-		c.add("outcome.code", "%q is no code of a problem", stated.Code)
-	case !refused && (stated.Code != "" || stated.NotRun):
-		c.add("outcome", "code and not_run belong to a refusal")
+	case refused && !slices.Contains(api.Codes(), expected.Code):
+		c.add("outcome.code", "%q is not a problem code", expected.Code)
+	case !refused && (expected.Code != "" || expected.NotRun):
+		c.add("outcome", "code and not_run are allowed for a refusal only")
 	}
-	if answered := stated.Is == OutcomeAnswered || stated.Is == OutcomeReplayed; stated.Digest != "" && !answered {
-		c.add("outcome.digest", "belongs to an answer")
+	if answered := expected.Kind == OutcomeAnswered || expected.Kind == OutcomeReplayed; expected.Digest != "" && !answered {
+		c.add("outcome.digest", "is allowed for an answer only")
 	}
 }
 
@@ -223,7 +225,7 @@
 	c.publications[event.ID] = true
 	c.node("node", event.Node)
 	if (event.Outcome == "") == (event.RaceOf == "") {
-		c.add("outcome", "either this or race_of is given")
+		c.add("outcome", "exactly one of outcome and race_of is required")
 	}
 	if event.Outcome != PublicationInvalid {
 		c.table(c.line, "table", event.Table)
