--- a/internal/serving/follow.go
+++ b/internal/serving/answer.go
@@ -10,29 +10,29 @@
 	"stepseam.example/stepseam/internal/program"
 )
 
-// errWithdrawn is the cause of a run's end when its last caller gave up before
-// it was dispatched.
+// errWithdrawn is the cancellation cause of a run whose last caller reached its deadline
+// before the call was dispatched.
 var errWithdrawn = errors.New("serving: call withdrawn")
 
-// errProgramEnded is the cause of a run's end when its program ended.
+// errProgramEnded is the cancellation cause of a run whose program ended.
 var errProgramEnded = errors.New("serving: program ended")
 
-// deadlineRetry is when a caller whose deadline passed while the call runs on
-// should come back for the answer.
+// deadlineRetry is the delay after which a caller whose deadline passed should fetch the
+// answer of the call.
 const deadlineRetry = time.Second
 
-// callerOptions is what one caller wants of a call.
+// callerOptions are the options of one caller of a call.
 type callerOptions struct {
-	// from is the next token that the caller lacks.
+	// from is the index of the first token to deliver.
 	from     int
 	wait     time.Duration
 	deadline time.Time
 	onToken  TokenFunc
 }
 
-// follow hands the run's tokens to the caller and returns the outcome. The run
-// goes on when the caller leaves.
-func (s *shard) follow(ctx context.Context, r *run, options callerOptions) (api.Answer, error) {
+// awaitOutcome delivers the tokens of the run to the caller and returns the outcome. The
+// run continues when the caller leaves.
+func (s *shard) awaitOutcome(ctx context.Context, r *run, options callerOptions) (api.Answer, error) {
 	timer := time.NewTimer(time.Until(options.deadline))
 	defer timer.Stop()
 	next, generation := options.from, -1
@@ -49,14 +49,14 @@
 			return api.Answer{}, err
 		}
 		if seen.outcome != nil {
-			return s.conclude(r, seen.outcome)
+			return s.deliverOutcome(r, seen.outcome)
 		}
 		select {
 		case <-seen.changed:
 		case <-ctx.Done():
 			return api.Answer{}, s.interrupted(ctx, ctx.Err())
 		case <-timer.C:
-			return api.Answer{}, s.giveUp(r)
+			return api.Answer{}, s.deadlinePassed(r)
 		}
 	}
 }
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// conclude returns the outcome if this node may still speak for the shard.
-func (s *shard) conclude(r *run, result *outcome) (api.Answer, error) {
+// deliverOutcome returns the outcome if this node still owns the shard.
+func (s *shard) deliverOutcome(r *run, result *outcome) (api.Answer, error) {
 	if result.err != nil {
 		if IsNotOwner(result.err) {
 			return api.Answer{}, result.err
@@ -90,10 +90,10 @@
 	return result.answer, result.err
 }
 
-// giveUp answers a caller whose deadline passed. A call that nobody else waits
-// for and that was not dispatched is taken back: it never runs, and its sequence
-// may be sent again.
-func (s *shard) giveUp(r *run) error {
+// deadlinePassed returns the error of a caller whose deadline passed. A call that was not
+// dispatched and that no other caller waits for is withdrawn: it never runs, and its
+// sequence may be sent again.
+func (s *shard) deadlinePassed(r *run) error {
 	s.machine.mutex.Lock()
 	notRun := r.withdrawn
 	if !r.dispatched && !r.withdrawn && !r.deadline.After(time.Now()) {
@@ -106,7 +106,7 @@
 	}
 	s.machine.mutex.Unlock()
 	problem := api.NewProblem(api.CodeDeadline, "call %s had no answer by its deadline", r.id)
-	return s.certain(problem.WithNotRun(notRun).WithRetryAfter(deadlineRetry))
+	return s.ifStillOwner(problem.WithNotRun(notRun).WithRetryAfter(deadlineRetry))
 }
 
 // replay returns a stored answer.
@@ -128,7 +128,7 @@
 	return answer, nil
 }
 
-// publicAnswer returns a stored answer in the form that callers get.
+// publicAnswer converts a stored answer to its API representation.
 func publicAnswer(id identity.CallID, stored *program.Answer) api.Answer {
 	return api.Answer{
 		Program:       string(id.Program),
--- a/internal/serving/assign.go
+++ b/internal/serving/assign.go
@@ -16,21 +16,22 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// assignment is the back end that was chosen for one attempt.
+// assignment is the back end selected for one attempt. It counts as in flight there until
+// release.
 type assignment struct {
 	backend  blackboard.Backend
 	tracker  *inFlightTracker
 	attempt  *inFlightAttempt
 	priority int
-	// request and prompt are what to send, set by load.
+	// request and prompt are the content to send, set by prepare.
 	request program.Request
 	prompt  []backend.Message
 }
 
-func (a *assignment) leave() { a.tracker.leave(a.attempt) }
+func (a *assignment) release() { a.tracker.remove(a.attempt) }
 
-// load takes what the back end is to get; the caller holds the shard's mutex.
-func (a *assignment) load(state *program.Program, request program.Request) {
+// prepare sets the content to send. The caller holds the shard's mutex.
+func (a *assignment) prepare(state *program.Program, request program.Request) {
 	a.request = request
 	if request.Kind != api.CallModel {
 		return
@@ -42,36 +43,37 @@
 	}
 }
 
-// schedulingQuery is one call as the scheduler sees it.
+// schedulingQuery is the input of a scheduling decision on one call.
 type schedulingQuery struct {
 	call  scheduling.Call
 	class table.Class
 	role  siteservices.MachineRole
-	// adapter is what the model is to run with, empty for none.
+	// adapter is the adapter that the model must run with, empty for none.
 	adapter string
-	// holder is the back end of the branch's last call, which counted settled
-	// tokens. answeredHere is true if this owner saw that call's answer.
-	holder       string
-	settled      int
-	answeredHere bool
+	// lastBackend served the last call of the branch, which counted countedTokens.
+	// answeredByOwner is true if this owner received the answer of that call.
+	lastBackend     string
+	countedTokens   int
+	answeredByOwner bool
 }
 
-// cachedAt returns how many tokens of the call's prompt the back end is expected
-// to hold. Beliefs begin with the calls that went through this node: for a call
-// that another node answered, the journal's word goes before no belief.
-func (o *Owner) cachedAt(backend string, query *schedulingQuery) int {
+// expectedCachedTokens returns how many tokens of the call's prompt the back end is
+// expected to have cached. The estimate of Config.CachedTokens covers only calls that
+// went through this node, so at the back end of a call that another owner answered, the
+// count in the journal replaces an estimate of 0.
+func (o *Owner) expectedCachedTokens(backend string, query *schedulingQuery) int {
 	believed := 0
 	if o.config.CachedTokens != nil && query.call.Model != "" {
 		believed = o.config.CachedTokens(backend, query.call.ID.Program, query.call.ID.Branch)
 	}
-	if backend != query.holder || believed > 0 || (query.answeredHere && o.config.CachedTokens != nil) {
+	if backend != query.lastBackend || believed > 0 || (query.answeredByOwner && o.config.CachedTokens != nil) {
 		return min(believed, query.call.PromptTokens)
 	}
-	return query.settled
+	return query.countedTokens
 }
 
-// assign chooses a back end, holding the call while the policy says so. An
-// outcome is a refusal.
+// assign selects a back end and blocks while the policy holds the call. A non-nil outcome
+// means that the call is refused.
 func (d *driver) assign() (*assignment, *outcome) {
 	waiting := ""
 	defer func() {
@@ -85,9 +87,9 @@
 			return nil, result
 		}
 		chosen, decision, changed := d.owner().choose(query)
-		if chosen == nil && decision.Action == scheduling.Refuse && len(query.call.Excluded) > 0 && d.lost > 0 {
-			// A back end that lost the call is better than none.
-			query.call.Excluded = d.refusedBy
+		if chosen == nil && decision.Action == scheduling.Refuse && len(query.call.Excluded) > 0 && d.lostAttempts > 0 {
+			// A back end that lost the call before is better than none.
+			query.call.Excluded = d.rejectedBy
 			chosen, decision, changed = d.owner().choose(query)
 		}
 		d.owner().explained.add(Explanation{Call: d.run.id, At: time.Now(), Decision: decision, Attempt: query.call.Attempt})
@@ -96,17 +98,17 @@
 			d.reason = decision.Reason
 			return chosen, nil
 		case decision.Action == scheduling.Refuse:
-			return nil, failed(d.shard.certain(d.refusal(query, decision)))
+			return nil, failed(d.shard.ifStillOwner(d.refusal(query, decision)))
 		}
 		waiting = query.call.Class
-		if result := d.hold(decision, changed); result != nil {
+		if result := d.waitForDecision(decision, changed); result != nil {
 			return nil, result
 		}
 	}
 }
 
-// hold waits until the decision is to be looked at again.
-func (d *driver) hold(decision scheduling.Decision, changed <-chan struct{}) *outcome {
+// waitForDecision blocks until the decision is to be made again.
+func (d *driver) waitForDecision(decision scheduling.Decision, changed <-chan struct{}) *outcome {
 	left := time.Until(d.deadline())
 	if left <= 0 {
 		return failed(api.NewProblem(api.CodeDeadline, "call %s found no place by its deadline: %s", d.run.id, decision.Reason).
@@ -138,7 +140,7 @@
 		WithNotRun(!d.mayHaveRun()).WithRetryAfter(retryAfter)
 }
 
-// modelWait returns how long it takes until an engine has the query's model.
+// modelWait returns the expected time until an engine has the query's model loaded.
 func (o *Owner) modelWait(query schedulingQuery) (time.Duration, bool) {
 	if o.config.ModelWait == nil || query.call.Model == "" {
 		return 0, false
@@ -146,7 +148,7 @@
 	return o.config.ModelWait(query.call.Model, query.adapter)
 }
 
-// query describes the call to the scheduler.
+// query builds the scheduling query of the call.
 func (d *driver) query() (schedulingQuery, *outcome) {
 	published := d.owner().config.Board.Table.Load()
 	s := d.shard
@@ -154,7 +156,7 @@
 	defer s.machine.mutex.Unlock()
 	p := s.machine.set.Get(d.run.id.Program)
 	if p == nil || d.run.context.Err() != nil {
-		return schedulingQuery{}, d.ended()
+		return schedulingQuery{}, d.contextOutcome()
 	}
 	request := d.run.request
 	query := schedulingQuery{role: siteservices.RoleApplication}
@@ -173,7 +175,7 @@
 		CallsSoFar:     p.Calls(),
 		Weight:         query.class.Weight,
 		Priority:       query.class.Priority,
-		Attempt:        d.lost,
+		Attempt:        d.lostAttempts,
 		Excluded:       d.excluded,
 		LastBackend:    p.LastBackend(d.run.id.Branch),
 	}
@@ -183,7 +185,7 @@
 	return query, nil
 }
 
-// queryModel fills in what only model calls have.
+// queryModel sets the fields that only model calls have.
 func (d *driver) queryModel(query *schedulingQuery, p *program.Program, published *table.Table) {
 	request := d.run.request
 	if !d.open {
@@ -191,9 +193,9 @@
 	}
 	size := p.PromptSize(request)
 	query.role = siteservices.RoleEngine
-	query.holder = query.call.LastBackend
-	query.settled = int(size.Counted)
-	query.answeredHere = !p.LastAnswered(d.run.id.Branch).Before(d.shard.opened)
+	query.lastBackend = query.call.LastBackend
+	query.countedTokens = int(size.Counted)
+	query.answeredByOwner = !p.LastAnswered(d.run.id.Branch).Before(d.shard.opened)
 	query.call.Service = ""
 	query.call.Model = request.Model
 	query.adapter = request.Adapter
@@ -204,19 +206,20 @@
 	}
 }
 
-// choose asks the policy and, if it says run, enters the attempt in the same
-// step, so that no two calls take one back end's trial.
+// choose runs the policy and, if it selects a back end, registers the attempt under the
+// same lock, so that no two calls take the single probe of a back end on probation. The
+// channel is closed when a held call should be decided again.
 func (o *Owner) choose(query schedulingQuery) (*assignment, scheduling.Decision, <-chan struct{}) {
 	now := time.Now()
-	backends := o.candidates.of(query.role, now)
+	backends := o.candidates.withRole(query.role, now)
 	limit := o.classLimit(query.class.MaxConcurrent)
 	o.inFlight.mutex.Lock()
 	defer o.inFlight.mutex.Unlock()
 	if decision := o.admit(now, query, limit); decision.Action != scheduling.Run {
 		return nil, decision, o.inFlight.awaitChange()
 	}
-	o.inFlight.turn++
-	query.call.DecisionNumber = o.inFlight.turn
+	o.inFlight.decisions++
+	query.call.DecisionNumber = o.inFlight.decisions
 	snapshot := o.snapshot(now, query, backends)
 	decision := o.config.Policy.Choose(now, query.call, snapshot)
 	if decision.Action != scheduling.Run {
@@ -228,17 +231,17 @@
 		return nil, decision, o.inFlight.awaitChange()
 	}
 	chosen := &assignment{backend: backends[at], tracker: o.inFlight, priority: decision.Priority}
-	chosen.attempt = o.inFlight.enter(now, query, backends[at].Name, snapshot[at].CachedTokens)
+	chosen.attempt = o.inFlight.add(now, query, backends[at].Name, snapshot[at].CachedTokens)
 	return chosen, decision, nil
 }
 
-// admit applies the class's limits: a new program's first call is refused at
-// once, a later call waits for a place in order of urgency: it runs once there is
-// one beyond those of the calls ahead of it. The caller holds the tracker's mutex.
+// admit applies the limits of the class. The first call of a new program is refused at
+// once; a later call waits in order of urgency and runs once there is capacity beyond
+// that of the more urgent calls. The caller holds the tracker's mutex.
 func (o *Owner) admit(now time.Time, query schedulingQuery, limit int) scheduling.Decision {
 	running := o.inFlight.classes[query.call.Class]
 	if limit > 0 {
-		running += o.inFlight.ahead(now, &query.call)
+		running += o.inFlight.countMoreUrgent(now, &query.call)
 	}
 	decision := scheduling.Admit(now, scheduling.Admission{
 		Call:            query.call,
@@ -246,22 +249,22 @@
 		TenantShare:     query.class.TenantShare,
 		ClassRunning:    running,
 		TenantRunning:   o.inFlight.tenants[tenantKey{query.call.Class, query.call.Tenant}],
-		ProgramDuration: o.durations.of(query.call.Class),
+		ProgramDuration: o.durations.mean(query.call.Class),
 	})
 	if decision.Action != scheduling.Run || limit == 0 || running < limit {
 		return decision
 	}
-	o.inFlight.await(query.call)
+	o.inFlight.addWaiting(query.call)
 	return scheduling.Decision{Action: scheduling.Hold, RetryAfter: holdRetry, Reason: "class at its limit of calls"}
 }
 
-// holdRetry is when a call that waits for a place of its class looks again, if
-// no place was announced before.
+// holdRetry is the longest interval between decisions on a call that waits for capacity
+// of its class.
 const holdRetry = time.Second
 
-// classLimit is this node's part of a limit that holds for the site: an equal
-// part for each live node, at least one. With fewer places than nodes the site
-// can run more than the limit.
+// classLimit returns this node's quota of a limit that applies to the site: an equal
+// quota for each live node, at least one. With a limit below the number of nodes, the
+// site can exceed it.
 func (o *Owner) classLimit(limit int) int {
 	if limit <= 0 {
 		return 0
@@ -285,9 +288,9 @@
 	return max(part, 1)
 }
 
-// anyEligible tells that some back end serves the query's model or service.
+// anyEligible reports whether some back end serves the query's model or service.
 func (o *Owner) anyEligible(query schedulingQuery) bool {
-	for _, b := range o.candidates.of(query.role, time.Now()) {
+	for _, b := range o.candidates.withRole(query.role, time.Now()) {
 		if !b.Leaving && b.Health != scheduling.Ejected && serves(&b, query) &&
 			!slices.Contains(query.call.Excluded, b.Name) {
 			return true
@@ -296,7 +299,7 @@
 	return false
 }
 
-// serves tells that the back end is of the call's service and has its model and
+// serves reports whether the back end belongs to the call's service and has its model and
 // adapter loaded.
 func serves(b *blackboard.Backend, query schedulingQuery) bool {
 	if query.call.Service != "" && b.Service != query.call.Service {
@@ -309,10 +312,10 @@
 	return adapted && slices.Contains(b.Report.Models, query.call.Model)
 }
 
-// tenantKey counts the calls of one tenant in one class.
+// tenantKey identifies one tenant within one class.
 type tenantKey struct{ class, tenant string }
 
-// Explanation is one decision on a call, kept for operators.
+// Explanation is one scheduling decision on a call, kept for operators.
 type Explanation struct {
 	Call     identity.CallID
 	At       time.Time
--- a/internal/serving/audit.go
+++ b/internal/serving/audit.go
@@ -14,31 +14,30 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// suspect is a program that an engine holds and that no owner knew at the last
-// audit.
+// suspect is a program with memory at an engine that was not alive at the last audit.
 type suspect struct {
 	engine  netip.AddrPort
 	program identity.ProgramID
 }
 
-// auditor remembers suspects from one audit to the next: what is released was
-// gone twice, an audit apart, which leaves time for a program that was being
-// created.
+// auditor keeps the suspects from one audit to the next. Memory is released only if the
+// program was not alive in two consecutive audits, since a program may be in creation
+// during the first.
 type auditor struct {
 	mutex    sync.Mutex
 	suspects map[suspect]struct{}
 }
 
-// audit compares the memory of the engines that this node is responsible for
-// with the programs that live, and frees what nobody owns. It releases nothing
-// where the answer is not certain.
+// audit compares the memory of the engines that this node is responsible for with the
+// live programs and releases orphaned memory. It releases nothing without an
+// authoritative answer about the program.
 func (o *Owner) audit(ctx context.Context) {
 	if o.config.ProgramAlive == nil {
 		return
 	}
 	view := o.config.Board.Members.Load()
 	var group sync.WaitGroup
-	for _, engine := range o.candidates.of(siteservices.RoleEngine, time.Now()) {
+	for _, engine := range o.candidates.withRole(siteservices.RoleEngine, time.Now()) {
 		if !responsible(o.config.Self, engine.Name, view) {
 			continue
 		}
@@ -47,8 +46,8 @@
 	group.Wait()
 }
 
-// responsible tells that self ranks first among the live members for the engine.
-// Two nodes with different views may both audit it, which does no harm.
+// responsible reports whether self ranks first among the live members for the engine.
+// Nodes with different views may audit the same engine, which is harmless.
 func responsible(self identity.NodeName, engine string, view membership.View) bool {
 	own := xxhash.Sum64String(engine + "\x00" + string(self))
 	for _, member := range view.Members {
@@ -83,15 +82,15 @@
 			o.logger.Warn("audit: release failed", "program", id, "backend", engine.Name, "error", err)
 		}
 	}
-	o.auditor.keep(engine.Address, programs)
+	o.auditor.retain(engine.Address, programs)
 }
 
-// orphaned tells that the program was found gone in this audit and the last.
+// orphaned reports whether the program was not alive in this audit and the previous one.
 func (o *Owner) orphaned(ctx context.Context, found suspect) bool {
 	ctx, cancel := context.WithTimeout(ctx, o.config.Timing.RequestTimeout)
 	defer cancel()
 	alive, known, err := o.config.ProgramAlive(ctx, found.program)
-	return o.auditor.note(found, err == nil && known && !alive)
+	return o.auditor.update(found, err == nil && known && !alive)
 }
 
 func (o *Owner) releaseOrphan(ctx context.Context, engine blackboard.Backend, id identity.ProgramID) error {
@@ -105,8 +104,8 @@
 	return nil
 }
 
-// note returns true if found was gone before too and is gone now.
-func (a *auditor) note(found suspect, gone bool) bool {
+// update records whether found is a suspect and returns true if it was one before, too.
+func (a *auditor) update(found suspect, gone bool) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if !gone {
@@ -118,8 +117,8 @@
 	return before
 }
 
-// keep drops the suspects of engine that it does not hold any more.
-func (a *auditor) keep(engine netip.AddrPort, held map[identity.ProgramID]struct{}) {
+// retain drops the suspects of an engine that no longer holds memory for them.
+func (a *auditor) retain(engine netip.AddrPort, held map[identity.ProgramID]struct{}) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for found := range a.suspects {
--- a/internal/serving/benchmark_test.go
+++ b/internal/serving/benchmark_test.go
@@ -18,7 +18,7 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// instantEngine answers at once with a fixed number of tokens.
+// instantEngine responds immediately with a fixed number of tokens.
 type instantEngine struct {
 	backend.Engine
 	tokens int
@@ -44,7 +44,7 @@
 func (d instantDirectory) Engine(netip.AddrPort) backend.Engine           { return d.engine }
 func (d instantDirectory) Application(netip.AddrPort) backend.Application { return nil }
 
-// instantShard holds records at once and keeps none.
+// instantShard acknowledges records immediately and discards them.
 type instantShard struct {
 	id   identity.ShardID
 	lost chan struct{}
@@ -55,12 +55,12 @@
 func (s instantShard) CheckLease() error     { return nil }
 func (s instantShard) Lost() <-chan struct{} { return s.lost }
 
-func held(context.Context) error { return nil }
+func replicated(context.Context) error { return nil }
 
-func (s instantShard) Enqueue(...[]byte) (func(context.Context) error, error) { return held, nil }
+func (s instantShard) Enqueue(...[]byte) (func(context.Context) error, error) { return replicated, nil }
 
 func (s instantShard) EnqueueDurable(...[]byte) (func(context.Context) error, error) {
-	return held, nil
+	return replicated, nil
 }
 
 func benchmarkOwner(engines, shards int) *serving.Owner {
@@ -89,8 +89,8 @@
 	return owner
 }
 
-// BenchmarkCall is programs of ten model calls of 32 tokens on one owner, with
-// engines and a journal that answer at once.
+// BenchmarkCall measures programs of ten model calls of 32 tokens on one owner, with an
+// engine and a journal that respond immediately.
 func BenchmarkCall(b *testing.B) {
 	for _, engines := range []int{14, 600} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/internal/serving/config.go
+++ b/internal/serving/config.go
@@ -17,29 +17,30 @@
 	"stepseam.example/stepseam/internal/scheduling"
 )
 
-// Config is what an Owner needs. Self, ShardCount, Board, Directory and Policy
-// are required; zero durations and counts take the defaults.
+// Config configures an Owner. Self, ShardCount, Board, Directory and Policy are required;
+// zero durations and counts take their defaults.
 type Config struct {
 	Self       identity.NodeName
 	ShardCount int
 	Board      *blackboard.Board
 	Directory  backend.Directory
 	Policy     scheduling.Policy
-	// Logger may be nil, Registerer too.
+	// Logger and Registerer may be nil.
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
-	// ProgramAlive asks the site whether a program runs; the audit releases
-	// nothing without it. known is false where nobody could say for certain.
+	// ProgramAlive queries the site for whether a program runs. known is false if no
+	// authoritative answer is available. Without this function, the audit releases
+	// nothing.
 	ProgramAlive func(ctx context.Context, program identity.ProgramID) (alive, known bool, err error)
 
-	// CachedTokens is what is believed of a prefix at an engine, 0 also where
-	// nothing is; it steers choices only. Without it, the engine of the branch's
-	// last call counts as holding the whole conversation.
+	// CachedTokens estimates the cached tokens of a branch at an engine; 0 if nothing is
+	// known. It only influences the choice of an engine. Without this function, the
+	// engine of the branch's last call is assumed to have the whole conversation cached.
 	CachedTokens func(backend string, program identity.ProgramID, branch identity.BranchID) int
 
-	// ModelWait returns how long it takes until some engine has a model and its
-	// adapter, false where one has them already or none will. Without it callers
-	// are told the policy's time to come back.
+	// ModelWait returns the expected time until an engine has a model and its adapter
+	// loaded, and false if one has them already or none is going to. Without this
+	// function, refused callers get the retry delay of the policy.
 	ModelWait func(model, adapter string) (time.Duration, bool)
 
 	Timing Timing
@@ -47,70 +48,73 @@
 	Hooks  Hooks
 }
 
-// Timing holds the owner's times.
+// Timing holds the timeouts and intervals of an Owner.
 type Timing struct {
-	// GapWait is how long a call waits for an earlier one that nobody has sent.
+	// GapWait is how long a call waits for an earlier call of its branch that has not
+	// arrived.
 	GapWait time.Duration
-	// MaxCall bounds one call where its class sets no bound.
+	// MaxCall is the time limit of a call whose class sets none.
 	MaxCall time.Duration
-	// AttemptRetry is the first pause between attempts; it grows with jitter.
+	// AttemptRetry is the initial interval of the exponential backoff between attempts.
 	AttemptRetry time.Duration
-	// Stall is how long an attempt may make no progress at a back end that is
-	// ejected, gone or has not reported for as long.
+	// Stall is how long an attempt may make no progress at a back end that is ejected,
+	// unknown or has not reported for as long.
 	Stall time.Duration
-	// FenceLimit is how long a stream whose fate is unknown is cancelled before
-	// the call runs again elsewhere without the confirmation.
+	// FenceLimit is how long cancelling a stream of unknown outcome is retried before the
+	// call runs elsewhere without a confirmation.
 	FenceLimit time.Duration
-	// ReleaseRetry and ReleaseRetryMax bound the pauses between tries to release
-	// cache; GoneAfter is how long an engine must be off the machine list until
-	// its memory counts as gone with it.
+	// ReleaseRetry and ReleaseRetryMax bound the backoff between attempts to release
+	// cache. GoneAfter is how long releases are retried before an engine that is missing
+	// from the machine list counts as removed, with its memory.
 	ReleaseRetry    time.Duration
 	ReleaseRetryMax time.Duration
 	GoneAfter       time.Duration
-	// RequestTimeout bounds one cancel, release or held request.
+	// RequestTimeout bounds one cancel, release or listing request to an engine.
 	RequestTimeout time.Duration
-	// Sweep is the time between looks for programs that are idle or over age.
+	// Sweep is the interval between checks for idle and over-age programs.
 	Sweep time.Duration
-	// Tombstone is how long an ended program answers repeats.
+	// Tombstone is how long an ended program is retained to answer repeated requests.
 	Tombstone time.Duration
-	// Audit is the time between comparisons of an engine's memory with the owners.
+	// Audit is the interval between audits of the engines' memory.
 	Audit time.Duration
-	// Evict is the time between looks for paused branches whose cache is not worth
-	// its memory any more.
+	// Evict is the interval between searches for paused branches whose cache is no longer
+	// worth its memory.
 	Evict time.Duration
-	// CloseWait bounds the wait for application calls at a planned hand-over.
+	// CloseWait bounds the wait for application calls during a planned handover.
 	CloseWait time.Duration
 }
 
-// Bounds holds the owner's limits of memory and retries.
+// Bounds holds the limits on memory and retries of an Owner.
 type Bounds struct {
-	// Attempts bounds the dispatches of one call that may have run.
+	// Attempts limits the attempts of one call that may have run.
 	Attempts int
-	// RetryRate and RetryBurst are the node's budget of such retries.
+	// RetryRate and RetryBurst limit the retries of such attempts on this node.
 	RetryRate  float64
 	RetryBurst int
-	// EarlyCalls is how far ahead of its branch a call may arrive.
+	// EarlyCalls limits how far the sequence of an arriving call may be ahead of its
+	// branch.
 	EarlyCalls int
-	// Tombstones bounds the ended programs kept for each shard.
+	// Tombstones limits the ended programs retained per shard.
 	Tombstones int
-	// Explanations bounds the decisions kept for Explain.
+	// Explanations limits the decisions retained for Explain.
 	Explanations int
 }
 
-// Hooks replace single rules by wrong ones, so that checkers can show that they
-// notice. All are nil in a daemon.
+// Hooks replace single rules by incorrect ones, so that a test can verify that its checks
+// detect the violation. All are nil in a daemon.
 type Hooks struct {
 	// Reserve replaces program.WorstCase.
 	Reserve func(prompt, answer int64) int64
-	// CheckLease replaces the look at the lease.
+	// CheckLease replaces the check of the shard's lease.
 	CheckLease func(shard journal.Shard) error
-	// Durable tells whether a call's intent must stand in the log.
+	// Durable reports whether the intent of a call must be durable in the log before
+	// dispatch.
 	Durable func(call identity.CallID, unrepeatable bool) bool
-	// RunsAgain tells whether a call with a lost attempt may run again.
+	// RunsAgain reports whether a call with a lost attempt may run again.
 	RunsAgain func(call identity.CallID, unrepeatable bool) bool
-	// Fence replaces the cancelling of a lost stream.
+	// Fence replaces the cancellation of a lost stream.
 	Fence func(stream identity.StreamID) error
-	// Release tells whether the outbox is worked off.
+	// Release reports whether the outbox of a program is processed.
 	Release func(program identity.ProgramID) bool
 }
 
@@ -172,13 +176,13 @@
 	defaults.Set(&b.Explanations, fallback.Explanations)
 }
 
-// notOwnerRetry is when a caller who met no owner should come back.
+// notOwnerRetry is the retry delay of a caller that reached a node which does not own the
+// shard.
 const notOwnerRetry = 500 * time.Millisecond
 
-// NotOwnerError tells that this node does not own the program's shard, or not
-// any more. It is journal.ErrNotOwner and an *api.Problem with
-// api.CodeNoOwner. A request that fails with it is to be repeated, unchanged,
-// at the next owner, who joins it, replays it or runs it.
+// NotOwnerError reports that this node does not own, or no longer owns, the shard of the
+// program. It wraps journal.ErrNotOwner and an *api.Problem with api.CodeNoOwner. The
+// request is to be repeated unchanged at the next owner, which joins, replays or runs it.
 type NotOwnerError struct {
 	Shard   identity.ShardID
 	Problem *api.Problem
@@ -190,8 +194,8 @@
 	return &NotOwnerError{Shard: shard, Problem: problem}
 }
 
-// neverOwner is notOwner for a request that this node did nothing with.
-func neverOwner(shard identity.ShardID) error {
+// notOwnerNotRun is notOwner for a request that this node has not accepted.
+func notOwnerNotRun(shard identity.ShardID) error {
 	problem := api.NewProblem(api.CodeNoOwner, "shard %d has no owner here", shard).WithRetryAfter(notOwnerRetry)
 	return &NotOwnerError{Shard: shard, Problem: problem}
 }
@@ -199,8 +203,9 @@
 // Error implements error.
 func (e *NotOwnerError) Error() string { return "serving: " + e.Problem.Error() }
 
-// Unwrap makes errors.Is and errors.As see both sides.
+// Unwrap returns journal.ErrNotOwner and the problem.
 func (e *NotOwnerError) Unwrap() []error { return []error{journal.ErrNotOwner, e.Problem} }
 
-// IsNotOwner tells that err asks for the next owner of the shard.
+// IsNotOwner reports whether err means that the request must go to the next owner of the
+// shard.
 func IsNotOwner(err error) bool { return errors.Is(err, journal.ErrNotOwner) }
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -19,23 +19,23 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// attemptStatus is what is known of an attempt once it is over.
+// attemptStatus is how an attempt ended.
 type attemptStatus uint8
 
 const (
 	// attemptAnswered: the back end answered.
 	attemptAnswered attemptStatus = iota + 1
-	// attemptNotRun: it certainly did not run.
+	// attemptNotRun: the attempt did not run, for certain.
 	attemptNotRun
-	// attemptLost: it may have run, and no answer is to be had.
+	// attemptLost: the attempt may have run, and its answer cannot be obtained.
 	attemptLost
-	// attemptStopped: the run's context ended.
+	// attemptStopped: the context of the run ended.
 	attemptStopped
-	// attemptTimedOut: the back end took longer than a call may.
+	// attemptTimedOut: the time limit of the call passed.
 	attemptTimedOut
 )
 
-// attemptResult is how an attempt ended.
+// attemptResult is the result of one attempt; err is set unless a back end answered.
 type attemptResult struct {
 	status attemptStatus
 	answer program.Answer
@@ -62,7 +62,8 @@
 
 func (d *driver) owner() *Owner { return d.shard.owner }
 
-// classify turns the end of a context into its reason.
+// classify sets the status of a failed attempt whose context ended, from the cause of
+// that end.
 func (d *driver) classify(ctx context.Context, result attemptResult) attemptResult {
 	if result.status == attemptAnswered || result.status == attemptNotRun {
 		return result
@@ -87,7 +88,7 @@
 		IdempotencyKey: assigned.request.IdempotencyKey,
 	})
 	if err != nil {
-		return d.failedWith(err)
+		return d.errorResult(err)
 	}
 	return attemptResult{status: attemptAnswered, answer: program.Answer{Output: output}}
 }
@@ -104,31 +105,31 @@
 		Seed:      Seed(d.run.id),
 	}, d.onToken)
 	if err == nil {
-		return d.answered(result)
+		return d.answerResult(result)
 	}
-	end := d.failedWith(err)
+	end := d.errorResult(err)
 	if end.status == attemptNotRun || errors.Is(err, backend.ErrStreamCancelled) {
 		return end
 	}
 	return d.resume(ctx, client, err)
 }
 
-// Seed returns the seed of a call. Every attempt of a call has the same one, so
-// that it gives the same tokens wherever it runs.
+// Seed returns the sampling seed of a call. All attempts of a call share it, so that they
+// produce the same tokens on any engine.
 func Seed(id identity.CallID) uint64 { return xxhash.Sum64String(id.String()) }
 
-// errTokenGap tells that an engine left tokens out.
+// errTokenGap reports a stream that skips tokens.
 var errTokenGap = errors.New("serving: the engine's stream has a gap")
 
 func (d *driver) onToken(token backend.Token) error {
-	d.reached = d.attempt.Stream
-	if !d.run.token(token.Index, token.Text) {
+	d.receivedStream = d.attempt.Stream
+	if !d.run.addToken(token.Index, token.Text) {
 		return errTokenGap
 	}
 	return nil
 }
 
-func (d *driver) answered(result backend.GenerateResult) attemptResult {
+func (d *driver) answerResult(result backend.GenerateResult) attemptResult {
 	tokens := d.run.received()
 	answer := program.Answer{
 		Text:         result.Text,
@@ -142,8 +143,8 @@
 	return attemptResult{status: attemptAnswered, answer: answer}
 }
 
-// failedWith sorts an error of a back end.
-func (d *driver) failedWith(err error) attemptResult {
+// errorResult classifies an error of a back end.
+func (d *driver) errorResult(err error) attemptResult {
 	if errors.Is(err, backend.ErrDraining) {
 		d.owner().markLeaving(d.attempt.Backend)
 	}
@@ -153,26 +154,27 @@
 	return attemptResult{status: attemptLost, err: err}
 }
 
-// markLeaving notes a back end's refusal for every reader of the blackboard.
+// markLeaving marks a back end that rejected a request because it drains, for every
+// reader of the blackboard.
 func (o *Owner) markLeaving(name string) {
 	o.config.Board.Backends.Update(name, func(b blackboard.Backend, found bool) (blackboard.Backend, bool) {
 		b.Leaving = true
 		return b, found
 	})
-	o.candidates.expire()
+	o.candidates.invalidate()
 }
 
-// resumeTries bounds how often a broken stream is attached to again.
-const resumeTries = 4
+// maxResumeAttempts limits how often a broken stream is resumed.
+const maxResumeAttempts = 4
 
-// resume attaches to the pending attempt's stream until it ends or the engine
-// does not know it.
+// resume reattaches to the stream of the pending attempt until it ends or the engine no
+// longer knows it.
 func (d *driver) resume(ctx context.Context, client backend.Engine, cause error) attemptResult {
 	pause := d.owner().backoff()
-	for range resumeTries {
+	for range maxResumeAttempts {
 		result, err := client.Resume(ctx, d.attempt.Stream, len(d.run.received()), d.onToken)
 		if err == nil {
-			return d.answered(result)
+			return d.answerResult(result)
 		}
 		cause = err
 		if errors.Is(err, backend.ErrStreamUnknown) || errors.Is(err, backend.ErrStreamCancelled) {
@@ -185,7 +187,7 @@
 	return attemptResult{status: attemptLost, err: cause}
 }
 
-// backoff returns the pauses between attempts, growing with jitter.
+// backoff returns the exponential backoff between attempts, with jitter.
 func (o *Owner) backoff() *backoff.ExponentialBackOff {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = o.config.Timing.AttemptRetry
@@ -193,24 +195,24 @@
 	return pause
 }
 
-// settle records how the attempt ended. It returns false if the call is to be
-// placed again.
+// settle records how the attempt ended. It returns false if the call needs another
+// attempt.
 func (d *driver) settle(end attemptResult) (*outcome, bool) {
 	switch end.status {
 	case attemptAnswered:
 		return d.recordAnswer(end.answer), true
 	case attemptNotRun:
-		return d.placeAgain(end)
+		return d.retryElsewhere(end)
 	case attemptStopped:
-		return d.stopped(), true
+		return d.stoppedOutcome(), true
 	case attemptTimedOut:
-		return d.timedOut(), true
+		return d.timeoutOutcome(), true
 	default:
 		return d.retryLost(end)
 	}
 }
 
-// recordAnswer makes the answer last and returns it.
+// recordAnswer commits the answer and returns it as the outcome.
 func (d *driver) recordAnswer(answer program.Answer) *outcome {
 	s := d.shard
 	now := time.Now()
@@ -239,13 +241,14 @@
 	return &outcome{answer: publicAnswer(d.run.id, &answer)}
 }
 
-// placeAgain looks for another back end after an attempt that did not run.
-func (d *driver) placeAgain(end attemptResult) (*outcome, bool) {
+// retryElsewhere excludes the back end of an attempt that did not run, so that the next
+// attempt uses another one.
+func (d *driver) retryElsewhere(end attemptResult) (*outcome, bool) {
 	d.logFailure("attempt did not run", end.err)
-	if result := d.notRun(); result != nil {
+	if result := d.recordNotRun(); result != nil {
 		return result, true
 	}
-	d.refusedBy = append(d.refusedBy, d.attempt.Backend)
+	d.rejectedBy = append(d.rejectedBy, d.attempt.Backend)
 	d.excluded = lo.Uniq(append(d.excluded, d.attempt.Backend))
 	return nil, false
 }
@@ -256,8 +259,8 @@
 		"shard", d.shard.journal.ID(), "epoch", d.shard.journal.Epoch(), "error", err)
 }
 
-// mayRunAgain tells whether a call with a lost attempt may be sent again.
-func (d *driver) mayRunAgain() bool {
+// mayRetry reports whether a call with a lost attempt may be sent again.
+func (d *driver) mayRetry() bool {
 	unrepeatable := d.run.request.Unrepeatable
 	if rule := d.owner().config.Hooks.RunsAgain; rule != nil {
 		return rule(d.run.id, unrepeatable)
@@ -265,39 +268,40 @@
 	return !unrepeatable
 }
 
-// retryLost runs a call again whose attempt was lost, if that is allowed and
-// within the budget of retries.
+// retryLost prepares another attempt of a call whose attempt was lost, if the call may
+// run again and the retry limits allow it.
 func (d *driver) retryLost(end attemptResult) (*outcome, bool) {
 	d.logFailure("attempt lost", end.err)
-	if !d.mayRunAgain() {
+	if !d.mayRetry() {
 		return d.outcomeUnknown(fmt.Sprintf("the answer of %s is lost: %s", d.attempt.Backend, end.err)), true
 	}
-	d.lost++
+	d.lostAttempts++
 	if result := d.fence(); result != nil {
 		return result, true
 	}
-	if d.lost >= d.owner().config.Bounds.Attempts || !d.owner().retries.Allow() {
-		return d.abandon(failed(api.NewProblem(api.CodeBackendFailed, "call %s failed at %s: %s",
+	if d.lostAttempts >= d.owner().config.Bounds.Attempts || !d.owner().retries.Allow() {
+		return d.withdraw(failed(api.NewProblem(api.CodeBackendFailed, "call %s failed at %s: %s",
 			d.run.id, d.attempt.Backend, end.err).WithRetryAfter(deadlineRetry))), true
 	}
 	d.excluded = lo.Uniq(append(d.excluded, d.attempt.Backend))
 	pause := d.owner().backoff()
 	if result := d.sleep(pause.NextBackOff(), nil); result != nil {
-		return d.stopped(), true
+		return d.stoppedOutcome(), true
 	}
 	return nil, false
 }
 
-// outcomeUnknown answers an unrepeatable call for ever.
+// outcomeUnknown records a permanent answer with code outcome unknown, since the call may
+// have run and must not run again.
 func (d *driver) outcomeUnknown(detail string) *outcome {
 	return d.recordAnswer(program.Answer{Code: api.CodeOutcomeUnknown, Detail: detail})
 }
 
-// fence cancels the pending attempt's stream, so that it cannot run behind the
-// calls that follow. It goes on without the engine's confirmation once the engine
-// is off the machine list or the limit has passed. A stream of which a token came
-// reached its engine before anything that is sent from now on: it is cancelled
-// only to stop its work, and nobody waits for that.
+// fence cancels the stream of the pending attempt, so that a delayed request cannot run
+// after later calls of the branch. It proceeds without the engine's confirmation once the
+// engine is not in the machine list or FenceLimit has passed. A stream that has delivered
+// a token has already reached its engine and cannot arrive late; it is cancelled in the
+// background, only to stop its work.
 func (d *driver) fence() *outcome {
 	if d.run.request.Kind != api.CallModel {
 		return nil
@@ -309,7 +313,7 @@
 		return nil
 	}
 	client := d.owner().config.Directory.Engine(d.attempt.Address)
-	if d.reached == d.attempt.Stream {
+	if d.receivedStream == d.attempt.Stream {
 		go d.shard.cancelOnce(client, d.attempt.Stream)
 		return nil
 	}
@@ -323,20 +327,20 @@
 			return nil
 		}
 		if d.run.context.Err() != nil {
-			return d.stopped()
+			return d.stoppedOutcome()
 		}
 		if time.Now().After(limit) {
 			d.logFailure("stream not confirmed as cancelled", err)
 			return nil
 		}
 		if result := d.sleep(pause.NextBackOff(), nil); result != nil {
-			return d.stopped()
+			return d.stoppedOutcome()
 		}
 	}
 }
 
-// cancelOnce tries to stop a stream whose answer nobody waits for. If it fails,
-// the release of the branch's cache there stops it later.
+// cancelOnce makes one attempt to stop a stream whose answer is not needed. If it fails,
+// the release of the branch's cache at that engine stops the stream later.
 func (s *shard) cancelOnce(client backend.Engine, stream identity.StreamID) {
 	ctx, cancel := context.WithTimeout(s.context, s.owner.config.Timing.RequestTimeout)
 	defer cancel()
@@ -345,29 +349,29 @@
 	}
 }
 
-// stopped returns the outcome of a call whose run was ended. With the shard
-// gone nothing is recorded: the next owner takes the call up. With the program
-// ended, the outbox cancels the stream.
-func (d *driver) stopped() *outcome {
-	result := d.ended()
+// stoppedOutcome returns the outcome of a run whose context ended. If the shard was lost,
+// nothing is recorded and the next owner recovers the call. If the program ended, the
+// outbox cancels the stream.
+func (d *driver) stoppedOutcome() *outcome {
+	result := d.contextOutcome()
 	if result == nil || d.shard.context.Err() != nil {
 		return failed(d.shard.notOwner())
 	}
-	if d.run.request.Kind == api.CallApplication && d.pending && !d.mayRunAgain() {
+	if d.run.request.Kind == api.CallApplication && d.pending && !d.mayRetry() {
 		return d.outcomeUnknown("the program ended while the call ran")
 	}
-	return d.abandon(result)
+	return d.withdraw(result)
 }
 
-// timedOut gives up a call that ran for longer than its class allows.
-func (d *driver) timedOut() *outcome {
-	if !d.mayRunAgain() {
+// timeoutOutcome returns the outcome of a call that exceeded the time limit of its class.
+func (d *driver) timeoutOutcome() *outcome {
+	if !d.mayRetry() {
 		return d.outcomeUnknown(fmt.Sprintf("%s gave no answer in %s", d.attempt.Backend, d.timeout))
 	}
-	d.lost++
+	d.lostAttempts++
 	if result := d.fence(); result != nil {
 		return result
 	}
-	return d.abandon(failed(api.NewProblem(api.CodeDeadline, "call %s ran for longer than the %s that its class allows",
+	return d.withdraw(failed(api.NewProblem(api.CodeDeadline, "call %s ran for longer than the %s that its class allows",
 		d.run.id, d.timeout).WithRetryAfter(deadlineRetry)))
 }
--- a/internal/serving/drive.go
+++ b/internal/serving/drive.go
@@ -10,34 +10,35 @@
 	"stepseam.example/stepseam/internal/program"
 )
 
-// driver takes one run from its arrival to its outcome. Only its own goroutine
-// touches it.
+// driver executes one run from its arrival to its outcome. Only the goroutine of drive
+// modifies it.
 type driver struct {
 	shard *shard
 	run   *run
 	// attempt is the open attempt while pending is true.
 	attempt program.Attempt
 	pending bool
-	// open is true while the journalled state has the call open.
+	// open is true while the call is open in the journalled state.
 	open bool
-	// lost counts the attempts that may have run without a result; ranBefore tells
-	// that an earlier run of the call had some.
-	lost      int
-	ranBefore bool
-	// excluded are back ends that failed this call, refusedBy those of them that
-	// did not take it.
-	excluded  []string
-	refusedBy []string
-	// dispatchedAt is when the first attempt was sent; all of them together may take
-	// timeout.
+	// lostAttempts counts the attempts that may have run without a result. ranBefore is
+	// true if an earlier run of the call had such attempts.
+	lostAttempts int
+	ranBefore    bool
+	// excluded are the back ends that failed this call; rejectedBy is the subset that did
+	// not accept it.
+	excluded   []string
+	rejectedBy []string
+	// dispatchedAt is when the first attempt was sent. timeout bounds all attempts
+	// together.
 	dispatchedAt time.Time
-	// reached is the last stream of which a token came: its engine took it in.
-	reached identity.StreamID
-	timeout time.Duration
-	reason  string
+	// receivedStream is the last stream that delivered a token, which proves that its
+	// engine had accepted it.
+	receivedStream identity.StreamID
+	timeout        time.Duration
+	reason         string
 }
 
-// drive runs r and leaves its outcome to the followers.
+// drive executes r and publishes its outcome to the callers that wait for it.
 func (s *shard) drive(r *run) {
 	defer s.drivers.Done()
 	d := &driver{shard: s, run: r}
@@ -48,7 +49,7 @@
 	if e := s.entries[r.id.Program]; e != nil {
 		e.runs--
 	}
-	s.changed(r.id.Program)
+	s.notifyChanged(r.id.Program)
 	s.machine.mutex.Unlock()
 	r.finish(result)
 	r.cancel(nil)
@@ -62,26 +63,25 @@
 	}
 	for {
 		if !d.open {
-			if result := d.awaitTurn(); result != nil {
+			if result := d.awaitPredecessors(); result != nil {
 				return result
 			}
 		}
-		result, settled := d.try()
+		result, settled := d.attemptOnce()
 		if settled {
 			return result
 		}
 	}
 }
 
-// try places the call once and runs it there. It returns false if the call is to
-// be placed again.
-func (d *driver) try() (*outcome, bool) {
+// attemptOnce makes one attempt. It returns false if the call needs another.
+func (d *driver) attemptOnce() (*outcome, bool) {
 	assigned, result := d.assign()
 	if result != nil {
-		return d.abandon(result), true
+		return d.withdraw(result), true
 	}
-	defer assigned.leave()
-	again, result := d.record(assigned)
+	defer assigned.release()
+	again, result := d.recordIntent(assigned)
 	if result != nil {
 		return result, true
 	}
@@ -89,22 +89,23 @@
 		return nil, false
 	}
 	if err := d.shard.checkLease(); err != nil {
-		d.noteUnsent()
+		d.recordUnsent()
 		return failed(err), true
 	}
 	return d.settle(d.dispatch(assigned))
 }
 
-// noteUnsent remembers that the pending attempt was not sent, for the run that
-// takes the call up again if the lease comes back to this node.
-func (d *driver) noteUnsent() {
+// recordUnsent records that the pending attempt was not sent, for the run that recovers
+// the call if this node renews its lease.
+func (d *driver) recordUnsent() {
 	d.shard.machine.mutex.Lock()
 	defer d.shard.machine.mutex.Unlock()
 	d.shard.unsent[d.attempt.Stream] = struct{}{}
 }
 
-// ended returns the outcome of a run whose context ended, nil while it goes on.
-func (d *driver) ended() *outcome {
+// contextOutcome returns the outcome of a run whose context ended, and nil while it is
+// active.
+func (d *driver) contextOutcome() *outcome {
 	if d.run.context.Err() == nil {
 		return nil
 	}
@@ -120,30 +121,30 @@
 	}
 }
 
-func (d *driver) mayHaveRun() bool { return d.pending || d.lost > 0 || d.ranBefore }
+func (d *driver) mayHaveRun() bool { return d.pending || d.lostAttempts > 0 || d.ranBefore }
 
-// awaitTurn waits until every earlier call of the branch is answered. A call
-// that nobody has sent is waited for up to the gap limit.
-func (d *driver) awaitTurn() *outcome {
+// awaitPredecessors waits until every earlier call of the branch is answered. It waits at
+// most GapWait for an earlier call that has not arrived.
+func (d *driver) awaitPredecessors() *outcome {
 	gap := d.shard.owner.config.Timing.GapWait
 	var missingSince time.Time
 	for {
 		verdict, changed, missing := d.evaluate()
-		if result := d.ended(); result != nil {
+		if result := d.contextOutcome(); result != nil {
 			return result
 		}
 		switch {
 		case verdict.Action == program.ActionRun:
 			return nil
 		case verdict.Action == program.ActionRepeat:
-			if result := d.repeat(); result != nil {
+			if result := d.answerDuplicate(); result != nil {
 				return result
 			}
 			continue
 		case verdict.Action == program.ActionReplay:
 			return &outcome{answer: publicAnswer(d.run.id, &verdict.Call.Answer)}
 		case verdict.Problem != nil:
-			return failed(d.shard.certain(verdict.Problem))
+			return failed(d.shard.ifStillOwner(verdict.Problem))
 		}
 		now := time.Now()
 		until := d.deadline()
@@ -157,7 +158,7 @@
 			until = missingSince.Add(gap)
 		}
 		if !now.Before(until) {
-			return d.tooEarly(missing)
+			return d.predecessorTimeout(missing)
 		}
 		if result := d.sleep(until.Sub(now), changed); result != nil {
 			return result
@@ -165,7 +166,7 @@
 	}
 }
 
-func (d *driver) tooEarly(missing bool) *outcome {
+func (d *driver) predecessorTimeout(missing bool) *outcome {
 	if missing {
 		return failed(api.NewProblem(api.CodeSequenceGap, "the call before %s did not arrive", d.run.id).
 			WithRetryAfter(d.shard.owner.config.Timing.GapWait))
@@ -174,8 +175,8 @@
 		WithNotRun(!d.mayHaveRun()).WithRetryAfter(deadlineRetry))
 }
 
-// evaluate asks the state what to do with the call now. missing tells that the
-// call which the branch waits for has not arrived.
+// evaluate returns the next action for the call in the current state. missing reports
+// whether the call that the branch waits for has not arrived.
 func (d *driver) evaluate() (verdict program.Evaluation, changed <-chan struct{}, missing bool) {
 	s := d.shard
 	s.machine.mutex.Lock()
@@ -196,7 +197,7 @@
 	return verdict, s.awaitChange(awaited.Program), !runs
 }
 
-// sleep waits for a change or the time to pass; it returns an outcome if the run
+// sleep waits for a change or until duration has passed. It returns an outcome if the run
 // ended meanwhile. changed may be nil.
 func (d *driver) sleep(duration time.Duration, changed <-chan struct{}) *outcome {
 	timer := time.NewTimer(duration)
@@ -205,20 +206,20 @@
 	case <-changed:
 	case <-timer.C:
 	case <-d.run.context.Done():
-		return d.ended()
+		return d.contextOutcome()
 	}
 	return nil
 }
 
-// repeat answers the call with the answer of the earlier call that carried its
-// key. It returns nil if the state changed meanwhile.
-func (d *driver) repeat() *outcome {
+// answerDuplicate answers the call with the answer of the earlier call that had the same
+// idempotency key. It returns nil if the state changed meanwhile.
+func (d *driver) answerDuplicate() *outcome {
 	s := d.shard
 	s.machine.mutex.Lock()
 	p := s.machine.set.Get(d.run.id.Program)
 	if p == nil || d.run.withdrawn {
 		s.machine.mutex.Unlock()
-		return d.ended()
+		return d.contextOutcome()
 	}
 	verdict := p.Evaluate(time.Now(), d.run.request)
 	if verdict.Action != program.ActionRepeat {
@@ -245,9 +246,9 @@
 	return &outcome{answer: answer}
 }
 
-// record makes the intent of the call's next attempt last. again is true if the
-// call lost its turn meanwhile.
-func (d *driver) record(assigned *assignment) (again bool, result *outcome) {
+// recordIntent commits the intent of the call's next attempt. again is true if the call
+// must wait for earlier calls again.
+func (d *driver) recordIntent(assigned *assignment) (again bool, result *outcome) {
 	s := d.shard
 	unrepeatable := d.run.request.Unrepeatable
 	durable := unrepeatable
@@ -257,20 +258,20 @@
 	s.machine.mutex.Lock()
 	if d.run.withdrawn || d.run.context.Err() != nil {
 		s.machine.mutex.Unlock()
-		return false, d.abandon(d.ended())
+		return false, d.withdraw(d.contextOutcome())
 	}
 	if s.closing {
 		s.machine.mutex.Unlock()
-		return false, failed(s.notOwner()) // what is sent now could be cut off
+		return false, failed(s.notOwner()) // the handover could interrupt an attempt that starts now
 	}
-	record, again, problem := d.intent(assigned)
+	record, again, problem := d.newIntent(assigned)
 	if again || problem != nil {
 		s.machine.mutex.Unlock()
 		if again {
 			return true, nil
 		}
-		problem.WithNotRun(problem.NotRun && !d.mayHaveRun()) // an earlier attempt may have
-		return false, d.abandon(failed(s.certain(problem)))
+		problem.WithNotRun(problem.NotRun && !d.mayHaveRun()) // an earlier attempt may have run
+		return false, d.withdraw(failed(s.ifStillOwner(problem)))
 	}
 	wait, err := s.commit(durable, record)
 	if err == nil {
@@ -284,9 +285,9 @@
 	return false, d.awaitIntent(durable, wait)
 }
 
-// intent returns the record that opens the call's next attempt; the caller holds
-// the mutex.
-func (d *driver) intent(assigned *assignment) (record program.Record, again bool, problem *api.Problem) {
+// newIntent returns the record that opens the call's next attempt. The caller holds the
+// mutex.
+func (d *driver) newIntent(assigned *assignment) (record program.Record, again bool, problem *api.Problem) {
 	s := d.shard
 	p := s.machine.set.Get(d.run.id.Program)
 	dispatch := program.Dispatch{
@@ -302,7 +303,7 @@
 			return nil, false, problem
 		}
 		d.attempt = retry.Attempt
-		assigned.load(p, call.Request)
+		assigned.prepare(p, call.Request)
 		return retry, false, nil
 	}
 	verdict := p.Evaluate(time.Now(), d.run.request)
@@ -315,14 +316,14 @@
 	}
 	d.attempt = intent.Attempt
 	if intent.Request.Kind == api.CallModel {
-		s.owner.noteReturn(p, d.run.id.Branch, intent.Attempt.At)
+		s.owner.recordReturn(p, d.run.id.Branch, intent.Attempt.At)
 	}
-	assigned.load(p, intent.Request)
+	assigned.prepare(p, intent.Request)
 	return intent, false, nil
 }
 
-// awaitIntent waits until the intent is held. An intent that could not be made
-// durable is taken back: it was not sent.
+// awaitIntent waits until the intent is replicated. An intent that could not be made
+// durable is withdrawn, as its attempt was not sent.
 func (d *driver) awaitIntent(durable bool, wait waitFunc) *outcome {
 	err := wait(d.shard.context)
 	switch {
@@ -333,19 +334,19 @@
 	}
 	d.shard.owner.logger.Warn("unrepeatable call refused: its intent is not durable", "call", d.run.id,
 		"shard", d.shard.journal.ID(), "epoch", d.shard.journal.Epoch(), "error", err)
-	if result := d.notRun(); result != nil {
+	if result := d.recordNotRun(); result != nil {
 		return result
 	}
-	return d.abandon(failed(api.NewProblem(api.CodeLogUnavailable,
+	return d.withdraw(failed(api.NewProblem(api.CodeLogUnavailable,
 		"the intent of call %s could not be made durable", d.run.id).
 		WithNotRun(!d.mayHaveRun()).WithRetryAfter(logRetry)))
 }
 
-// logRetry is when a caller should come back whose call needs the log.
+// logRetry is the retry delay of a call that requires the log.
 const logRetry = 5 * time.Second
 
-// notRun records that the pending attempt did not run.
-func (d *driver) notRun() *outcome {
+// recordNotRun records that the pending attempt did not run.
+func (d *driver) recordNotRun() *outcome {
 	s := d.shard
 	s.machine.mutex.Lock()
 	_, err := s.commit(false, program.NotRun{Stream: d.attempt.Stream})
@@ -358,9 +359,9 @@
 	return nil
 }
 
-// abandon takes an open call back, so that its sequence may be sent again, and
-// returns result. What an attempt may have spent stays charged.
-func (d *driver) abandon(result *outcome) *outcome {
+// withdraw closes an open call without an answer, so that its sequence may be sent again,
+// and returns result. Tokens that an attempt may have spent stay charged.
+func (d *driver) withdraw(result *outcome) *outcome {
 	if !d.open || IsNotOwner(result.err) {
 		return result
 	}
--- a/internal/serving/evict.go
+++ b/internal/serving/evict.go
@@ -11,34 +11,35 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// pauses keeps, for each kind of branch, how long its pauses last.
-type pauses struct {
-	mutex sync.Mutex
-	book  *scheduling.PauseHistories
+// pauseTracker records the durations of pauses by kind of branch. It is safe for
+// concurrent use.
+type pauseTracker struct {
+	mutex     sync.Mutex
+	histories *scheduling.PauseHistories
 }
 
-func newPauses() *pauses { return &pauses{book: scheduling.NewPauseHistories()} }
+func newPauses() *pauseTracker { return &pauseTracker{histories: scheduling.NewPauseHistories()} }
 
-func (p *pauses) returned(kind string, pause time.Duration) {
+func (p *pauseTracker) returned(kind string, pause time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.book.History(kind).Returned(pause)
+	p.histories.History(kind).Returned(pause)
 }
 
-func (p *pauses) abandoned(kind string, pause time.Duration) {
+func (p *pauseTracker) abandoned(kind string, pause time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.book.History(kind).Abandoned(pause)
+	p.histories.History(kind).Abandoned(pause)
 }
 
-func (p *pauses) keepWarm(now time.Time, paused []scheduling.Paused, patience time.Duration) []scheduling.Eviction {
+func (p *pauseTracker) selectEvictions(now time.Time, paused []scheduling.Paused, breakEven time.Duration) []scheduling.Eviction {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.book.SelectEvictions(now, paused, patience)
+	return p.histories.SelectEvictions(now, paused, breakEven)
 }
 
-// pauseKind is the kind of pause history that a branch belongs to: people pause
-// differently from tools.
+// pauseKind returns the kind of pause history of a branch. Main branches and sub-agents
+// pause for different reasons, so they have separate histories.
 func pauseKind(class string, branch identity.BranchID) string {
 	if branch == identity.MainBranch {
 		return class
@@ -46,49 +47,48 @@
 	return class + "/sub-agent"
 }
 
-// noteReturn counts the pause that a call ends; the caller holds the mutex of
-// the program's shard.
-func (o *Owner) noteReturn(p *program.Program, branch identity.BranchID, now time.Time) {
+// recordReturn records the pause that a call ends. The caller holds the mutex of the
+// program's shard.
+func (o *Owner) recordReturn(p *program.Program, branch identity.BranchID, now time.Time) {
 	if answered := p.LastAnswered(branch); !answered.IsZero() {
 		o.pauses.returned(pauseKind(p.Class(), branch), now.Sub(answered))
 	}
 }
 
-// noteEnd counts the pauses that no call will end; the caller holds the mutex of
-// the program's shard.
-func (o *Owner) noteEnd(p *program.Program, now time.Time) {
+// recordEnd records the pauses of a program that ends without further calls. The caller
+// holds the mutex of the program's shard.
+func (o *Owner) recordEnd(p *program.Program, now time.Time) {
 	for _, paused := range p.Paused() {
 		o.pauses.abandoned(pauseKind(p.Class(), paused.Branch), now.Sub(paused.Since))
 	}
 }
 
-// evictIdle gives up the cache of paused branches that are not worth their
-// memory any more, by the same rule that the experiments measure.
+// evictIdle evicts the cache of paused branches that are no longer worth their memory.
 func (o *Owner) evictIdle(context.Context) {
 	now := time.Now()
 	var paused []scheduling.Paused
 	for _, s := range o.allShards() {
 		paused = append(paused, s.paused()...)
 	}
-	for _, release := range o.pauses.keepWarm(now, paused, o.patience(now)) {
+	for _, release := range o.pauses.selectEvictions(now, paused, o.breakEven(now)) {
 		if s, err := o.shardOf(release.Program); err == nil {
 			s.evictBranch(release)
 		}
 	}
 }
 
-// patience is how long holding a token is worth prefilling it again, by how full
-// the engines last said they are.
-func (o *Owner) patience(now time.Time) time.Duration {
+// breakEven returns the idle time at which keeping a cached token costs as much as
+// prefilling it again, given the cache utilization in the engines' last reports.
+func (o *Owner) breakEven(now time.Time) time.Duration {
 	used, capacity := 0, 0
-	for _, engine := range o.candidates.of(siteservices.RoleEngine, now) {
+	for _, engine := range o.candidates.withRole(siteservices.RoleEngine, now) {
 		used += engine.Report.CacheUsedTokens
 		capacity += engine.Report.CacheCapacityTokens
 	}
 	return scheduling.BreakEvenInterval(scheduling.DefaultBreakEvenInterval, used, capacity)
 }
 
-// paused returns the shard's branches that wait for their programs' next calls.
+// paused returns the branches of the shard that wait for their programs' next calls.
 func (s *shard) paused() []scheduling.Paused {
 	published := s.owner.config.Board.Table.Load()
 	s.machine.mutex.Lock()
@@ -99,7 +99,7 @@
 	var all []scheduling.Paused
 	for p := range s.machine.set.All {
 		if !s.idle(p) {
-			continue // a call waits or runs, so some branch is about to go on
+			continue // a branch with a waiting or running call is not paused
 		}
 		for _, branch := range p.Paused() {
 			all = append(all, scheduling.Paused{
@@ -111,7 +111,7 @@
 	return all
 }
 
-// evictBranch queues the release of a branch unless a call came meanwhile.
+// evictBranch queues the release of a branch unless a call has arrived meanwhile.
 func (s *shard) evictBranch(release scheduling.Eviction) {
 	s.machine.mutex.Lock()
 	defer s.machine.mutex.Unlock()
--- a/internal/serving/explain.go
+++ b/internal/serving/explain.go
@@ -6,11 +6,11 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// explanations keeps the last decision of each of the last calls.
+// explanations keeps the last decision on each of the most recent calls.
 type explanations struct {
 	mutex sync.Mutex
 	limit int
-	// order holds the calls in the order in which they were first decided.
+	// order lists the calls in the order of their first decision.
 	order []identity.CallID
 	last  map[identity.CallID]Explanation
 }
@@ -32,8 +32,8 @@
 	e.last[explanation.Call] = explanation
 }
 
-// Explain returns the last decision on a call; false if it was not made here or
-// is too long ago.
+// Explain returns the last decision on a call, and false if this node made none or no
+// longer keeps it.
 func (o *Owner) Explain(call identity.CallID) (Explanation, bool) {
 	o.explained.mutex.Lock()
 	defer o.explained.mutex.Unlock()
--- a/internal/serving/inflight.go
+++ b/internal/serving/inflight.go
@@ -14,19 +14,19 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// inFlightTracker counts this node's attempts that are at back ends now.
+// inFlightTracker counts the attempts of this node that are in flight at back ends.
 type inFlightTracker struct {
 	mutex sync.Mutex
-	// The mutex guards the rest.
+	// mutex guards the rest.
 	backends map[string]map[*inFlightAttempt]struct{}
 	classes  map[string]int
 	tenants  map[tenantKey]int
 	// waiting are the calls that are held because their class is at its limit.
 	waiting map[string]map[identity.CallID]scheduling.Call
 	scratch []scheduling.Backend
-	// turn counts decisions, for policies that take back ends in turn.
-	turn    uint64
-	changed chan struct{}
+	// decisions counts the decisions, for policies that rotate through the back ends.
+	decisions uint64
+	changed   chan struct{}
 }
 
 // inFlightAttempt is one attempt at one back end.
@@ -47,9 +47,9 @@
 	}
 }
 
-// ahead counts the waiting calls of the class that are more urgent than call;
-// the caller holds the mutex.
-func (f *inFlightTracker) ahead(now time.Time, call *scheduling.Call) int {
+// countMoreUrgent counts the waiting calls of the class that are more urgent than call.
+// The caller holds the mutex.
+func (f *inFlightTracker) countMoreUrgent(now time.Time, call *scheduling.Call) int {
 	count := 0
 	for id, other := range f.waiting[call.Class] {
 		if id != call.ID && scheduling.Score(now, &other) > scheduling.Score(now, call) {
@@ -59,16 +59,16 @@
 	return count
 }
 
-// await notes that call waits for a place of its class; the caller holds the mutex.
-func (f *inFlightTracker) await(call scheduling.Call) {
+// addWaiting adds a call that waits for capacity of its class. The caller holds the
+// mutex.
+func (f *inFlightTracker) addWaiting(call scheduling.Call) {
 	if f.waiting[call.Class] == nil {
 		f.waiting[call.Class] = map[identity.CallID]scheduling.Call{}
 	}
 	f.waiting[call.Class][call.ID] = call
 }
 
-// stopWaiting takes a call out that waits no more, and lets those behind it look
-// again.
+// stopWaiting removes a waiting call and notifies the held calls.
 func (f *inFlightTracker) stopWaiting(class string, id identity.CallID) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -79,19 +79,19 @@
 	if len(f.waiting[class]) == 0 {
 		delete(f.waiting, class)
 	}
-	f.wake()
+	f.notifyChange()
 }
 
-// wake lets all held calls look again; the caller holds the mutex.
-func (f *inFlightTracker) wake() {
+// notifyChange wakes all held calls for another decision. The caller holds the mutex.
+func (f *inFlightTracker) notifyChange() {
 	if f.changed != nil {
 		close(f.changed)
 		f.changed = nil
 	}
 }
 
-// enter adds an attempt; the caller holds the mutex.
-func (f *inFlightTracker) enter(now time.Time, query schedulingQuery, backend string, cached int) *inFlightAttempt {
+// add registers an attempt. The caller holds the mutex.
+func (f *inFlightTracker) add(now time.Time, query schedulingQuery, backend string, cached int) *inFlightAttempt {
 	entered := &inFlightAttempt{
 		backend: backend,
 		tenant:  tenantKey{query.call.Class, query.call.Tenant},
@@ -107,8 +107,8 @@
 	return entered
 }
 
-// leave takes an attempt out and wakes the calls that are held.
-func (f *inFlightTracker) leave(left *inFlightAttempt) {
+// remove deregisters an attempt and wakes the held calls.
+func (f *inFlightTracker) remove(left *inFlightAttempt) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	delete(f.backends[left.backend], left)
@@ -120,11 +120,11 @@
 	if f.tenants[left.tenant] == 0 {
 		delete(f.tenants, left.tenant)
 	}
-	f.wake()
+	f.notifyChange()
 }
 
-// awaitChange returns a channel that is closed when an attempt leaves; the
-// caller holds the mutex.
+// awaitChange returns a channel that is closed when an attempt ends or a waiting call is
+// removed. The caller holds the mutex.
 func (f *inFlightTracker) awaitChange() <-chan struct{} {
 	if f.changed == nil {
 		f.changed = make(chan struct{})
@@ -132,8 +132,8 @@
 	return f.changed
 }
 
-// snapshot returns backends as the policy sees them. The result is used until
-// the next call only; the caller holds the tracker's mutex.
+// snapshot converts the back ends to the input of the policy. The result is valid only
+// until the next call. The caller holds the tracker's mutex.
 func (o *Owner) snapshot(now time.Time, query schedulingQuery, backends []blackboard.Backend) []scheduling.Backend {
 	f := o.inFlight
 	f.scratch = f.scratch[:0]
@@ -158,16 +158,17 @@
 		if !b.ReportedAt.IsZero() {
 			seen.ReportAge = now.Sub(b.ReportedAt)
 		}
-		seen.OwnInFlight, seen.OwnPrefillTokens = f.unreported(b)
-		seen.CachedTokens = o.cachedAt(b.Name, &query)
+		seen.OwnInFlight, seen.OwnPrefillTokens = f.unreportedLoad(b)
+		seen.CachedTokens = o.expectedCachedTokens(b.Name, &query)
 		f.scratch = append(f.scratch, seen)
 	}
 	return f.scratch
 }
 
-// unreported counts the attempts that the back end's report cannot know. A back
-// end on probation counts all, since it takes one call at a time.
-func (f *inFlightTracker) unreported(b *blackboard.Backend) (count, prefill int) {
+// unreportedLoad returns the attempts at a back end, and their prefill tokens, that its
+// last report cannot include. For a back end that is not healthy it counts all attempts,
+// since such a back end gets one probe at a time.
+func (f *inFlightTracker) unreportedLoad(b *blackboard.Backend) (count, prefill int) {
 	asOf := b.Report.AsOf
 	if asOf.IsZero() {
 		asOf = b.ReportedAt
@@ -181,14 +182,14 @@
 	return count, prefill
 }
 
-// candidateAge bounds how old the copy of the blackboard's back ends may be.
-const candidateAge = 20 * time.Millisecond
+// candidateTTL bounds the age of the copied back ends.
+const candidateTTL = 20 * time.Millisecond
 
-// candidates keeps a copy of the blackboard's back ends for a moment, so that
-// each choice does not copy all of them.
+// candidates caches a copy of the blackboard's back ends, so that not every decision has
+// to copy all of them.
 type candidates struct {
 	board *blackboard.Board
-	// mutex guards the rest; the slices are replaced whole.
+	// mutex guards the rest. The slices are never modified, only replaced.
 	mutex  sync.Mutex
 	copied time.Time
 	byRole map[siteservices.MachineRole][]blackboard.Backend
@@ -196,12 +197,12 @@
 
 func newCandidates(board *blackboard.Board) *candidates { return &candidates{board: board} }
 
-// of returns the back ends of role by name, so that equal costs are decided the
-// same way each time.
-func (c *candidates) of(role siteservices.MachineRole, now time.Time) []blackboard.Backend {
+// withRole returns the back ends of a role in order of name, which makes ties between
+// equal costs deterministic.
+func (c *candidates) withRole(role siteservices.MachineRole, now time.Time) []blackboard.Backend {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.byRole == nil || now.Sub(c.copied) > candidateAge || now.Before(c.copied) {
+	if c.byRole == nil || now.Sub(c.copied) > candidateTTL || now.Before(c.copied) {
 		all := lo.Values(c.board.Backends.Copy())
 		slices.SortFunc(all, func(a, b blackboard.Backend) int { return cmp.Compare(a.Name, b.Name) })
 		c.byRole = lo.GroupBy(all, func(b blackboard.Backend) siteservices.MachineRole { return b.Role })
@@ -210,20 +211,20 @@
 	return c.byRole[role]
 }
 
-// expire makes the next choice read the blackboard.
-func (c *candidates) expire() {
+// invalidate makes the next decision read the blackboard.
+func (c *candidates) invalidate() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.byRole = nil
 }
 
-// durations keeps how long the programs of each class take, as a moving average.
+// durations tracks the moving average of program durations by class.
 type durations struct {
 	mutex sync.Mutex
 	means map[string]time.Duration
 }
 
-// durationWeight is the weight of one more program in the moving average.
+// durationWeight is the weight of a new sample in the moving average.
 const durationWeight = 0.1
 
 func newDurations() *durations { return &durations{means: map[string]time.Duration{}} }
@@ -239,7 +240,7 @@
 	d.means[class] = mean + time.Duration(durationWeight*float64(duration-mean))
 }
 
-func (d *durations) of(class string) time.Duration {
+func (d *durations) mean(class string) time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.means[class]
--- a/internal/serving/list.go
+++ b/internal/serving/list.go
@@ -2,9 +2,9 @@
 
 import "stepseam.example/stepseam/api"
 
-// List returns all programs of the shards that this node serves, for operators.
-// It takes one shard's lock after the other; what it shows may not be held by
-// the replicas yet.
+// List returns all programs of the shards that this node owns. It locks one shard at a
+// time, so the result is not a consistent snapshot, and it may include records that are
+// not yet replicated.
 func (o *Owner) List() []api.Program {
 	var all []api.Program
 	for _, s := range o.allShards() {
--- a/internal/serving/metrics.go
+++ b/internal/serving/metrics.go
@@ -8,7 +8,7 @@
 	"stepseam.example/stepseam/api"
 )
 
-// metrics are what operators see of an owner.
+// metrics are the Prometheus metrics of an Owner.
 type metrics struct {
 	answers         *prometheus.CounterVec
 	problems        *prometheus.CounterVec
--- a/internal/serving/outbox.go
+++ b/internal/serving/outbox.go
@@ -11,10 +11,10 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// workOutbox releases the program's cache until every engine has confirmed. One
-// goroutine for each program with a release; it ends with the shard, and the
-// next owner finds the outbox in the journal.
-func (s *shard) workOutbox(id identity.ProgramID) {
+// processOutbox releases the cache of a program until every engine has confirmed. One
+// goroutine per program with pending releases runs it. It ends with the shard; the next
+// owner recovers the outbox from the journal.
+func (s *shard) processOutbox(id identity.ProgramID) {
 	defer s.drivers.Done()
 	timing := s.owner.config.Timing
 	pause := backoff.NewExponentialBackOff()
@@ -42,7 +42,7 @@
 	}
 }
 
-// pendingReleases returns the program's outbox; over is true once it is empty.
+// pendingReleases returns the outbox of the program; over is true once it is empty.
 func (s *shard) pendingReleases(id identity.ProgramID) (pending []program.Release, over bool) {
 	s.machine.mutex.Lock()
 	defer s.machine.mutex.Unlock()
@@ -58,18 +58,19 @@
 	return pending, false
 }
 
-// release cancels what may still run, frees the memory and records that the
-// engine confirmed both.
-func (s *shard) release(id identity.ProgramID, release program.Release, began time.Time) bool {
+// release cancels the streams that may still run, frees the memory and records the
+// engine's confirmation. An engine that was removed from the machine list counts as
+// confirmed.
+func (s *shard) release(id identity.ProgramID, release program.Release, startedAt time.Time) bool {
 	if rule := s.owner.config.Hooks.Release; rule != nil && !rule(id) {
 		return false
 	}
 	if s.checkLease() != nil {
 		return false
 	}
-	if err := s.tryRelease(id, release); err != nil {
+	if err := s.releaseAtEngine(id, release); err != nil {
 		s.owner.metrics.releaseFailures.WithLabelValues(release.Backend).Inc()
-		gone := time.Since(began) >= s.owner.config.Timing.GoneAfter && !s.owner.listed(release.Address)
+		gone := time.Since(startedAt) >= s.owner.config.Timing.GoneAfter && !s.owner.listed(release.Address)
 		if !gone {
 			return false
 		}
@@ -86,7 +87,7 @@
 	return err == nil
 }
 
-func (s *shard) tryRelease(id identity.ProgramID, release program.Release) error {
+func (s *shard) releaseAtEngine(id identity.ProgramID, release program.Release) error {
 	ctx, cancel := context.WithTimeout(s.context, s.owner.config.Timing.RequestTimeout)
 	defer cancel()
 	engine := s.owner.config.Directory.Engine(release.Address)
--- a/internal/serving/owner.go
+++ b/internal/serving/owner.go
@@ -14,8 +14,8 @@
 	"stepseam.example/stepseam/internal/journal"
 )
 
-// Owner serves the programs of the shards that this node owns. It implements
-// Programs for them and journal.Host for the Manager that claims them.
+// Owner serves the programs of the shards that this node owns. It implements Programs for
+// them, and journal.Host for the manager that claims the shards.
 type Owner struct {
 	config     Config
 	logger     *slog.Logger
@@ -24,7 +24,7 @@
 	retries    *rate.Limiter
 	explained  *explanations
 	durations  *durations
-	pauses     *pauses
+	pauses     *pauseTracker
 	candidates *candidates
 	auditor    *auditor
 
@@ -38,7 +38,7 @@
 	_ journal.Host = (*Owner)(nil)
 )
 
-// NewOwner returns an owner of no shards. Run runs its background work.
+// NewOwner returns an owner without shards. Run starts its background work.
 func NewOwner(config Config) *Owner {
 	config.Timing.setDefaults()
 	config.Bounds.setDefaults()
@@ -62,7 +62,7 @@
 	return owner
 }
 
-// Run sweeps programs, audits engines and evicts idle cache until ctx ends.
+// Run expires programs, audits engines and evicts idle cache until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return o.every(ctx, o.config.Timing.Sweep, o.sweep) })
@@ -100,7 +100,7 @@
 	found := o.shards[id]
 	o.mutex.RUnlock()
 	if found == nil {
-		return nil, neverOwner(id)
+		return nil, notOwnerNotRun(id)
 	}
 	return found, nil
 }
@@ -118,55 +118,55 @@
 // NewStateMachine implements journal.Host.
 func (o *Owner) NewStateMachine(identity.ShardID) journal.StateMachine { return newMachine() }
 
-// Opened implements journal.Host: it takes up the calls and releases that the
-// former owner left.
-func (o *Owner) Opened(held journal.Shard, state journal.StateMachine) {
-	s := newShard(o, held, state.(*machine))
+// Opened implements journal.Host. It resumes the open calls and pending releases of the
+// previous owner.
+func (o *Owner) Opened(opened journal.Shard, state journal.StateMachine) {
+	s := newShard(o, opened, state.(*machine))
 	o.mutex.Lock()
-	former := o.shards[held.ID()]
-	o.shards[held.ID()] = s
+	former := o.shards[opened.ID()]
+	o.shards[opened.ID()] = s
 	o.mutex.Unlock()
 	if former != nil {
 		former.stop()
 	}
-	o.logger.Info("shard opened", "shard", held.ID(), "epoch", held.Epoch(), "programs", s.machine.len())
+	o.logger.Info("shard opened", "shard", opened.ID(), "epoch", opened.Epoch(), "programs", s.machine.len())
 	s.recoverOpenCalls()
 	go s.watch()
 }
 
 // Checkpoint implements journal.Host.
-func (o *Owner) Checkpoint(held journal.Shard) {
+func (o *Owner) Checkpoint(owned journal.Shard) {
 	o.mutex.RLock()
-	s := o.shards[held.ID()]
+	s := o.shards[owned.ID()]
 	o.mutex.RUnlock()
-	if s == nil || s.journal != held {
+	if s == nil || s.journal != owned {
 		return
 	}
 	s.machine.mutex.Lock()
 	defer s.machine.mutex.Unlock()
-	_, _ = s.commit(false) // no record waits for anything
+	_, _ = s.commit(false) // there are no records to wait for
 }
 
-// Closing implements journal.Host. New calls are sent to the next owner from
-// now on. Application calls under way cannot be taken over, so they are waited
-// for, bounded; model streams run on at their engines and the next owner
-// resumes them.
-func (o *Owner) Closing(ctx context.Context, held journal.Shard) {
+// Closing implements journal.Host. From now on new calls are sent to the next owner.
+// Application calls in flight cannot be resumed elsewhere, so Closing waits up to
+// CloseWait for them. Model streams continue at their engines, and the next owner resumes
+// them.
+func (o *Owner) Closing(ctx context.Context, owned journal.Shard) {
 	o.mutex.RLock()
-	s := o.shards[held.ID()]
+	s := o.shards[owned.ID()]
 	o.mutex.RUnlock()
-	if s == nil || s.journal != held {
+	if s == nil || s.journal != owned {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.config.Timing.CloseWait)
 	defer cancel()
 	s.close(ctx)
-	o.forget(s)
-	o.logger.Info("shard handed over", "shard", held.ID(), "epoch", held.Epoch())
+	o.removeShard(s)
+	o.logger.Info("shard handed over", "shard", owned.ID(), "epoch", owned.Epoch())
 }
 
-// forget drops s unless a later epoch of its shard took its place.
-func (o *Owner) forget(s *shard) {
+// removeShard stops s and removes it, unless a later epoch of the shard has replaced it.
+func (o *Owner) removeShard(s *shard) {
 	o.mutex.Lock()
 	if o.shards[s.journal.ID()] == s {
 		delete(o.shards, s.journal.ID())
--- a/internal/serving/owner_test.go
+++ b/internal/serving/owner_test.go
@@ -28,8 +28,8 @@
 	return identity.CallID{Program: p1, Branch: identity.MainBranch, Sequence: sequence}
 }
 
-// inBubble runs test in virtual time with a site of two engines and a program.
-func inBubble(t *testing.T, test func(is *is.I, s *site, owner *serving.Owner, held *heldShard)) {
+// inBubble runs test in virtual time on a site with two engines and one program.
+func inBubble(t *testing.T, test func(is *is.I, s *site, owner *serving.Owner, held *ownedShard)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 2)
@@ -40,8 +40,8 @@
 	})
 }
 
-func TestCallsThatArriveOutOfOrderRunInOrder(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestOutOfOrderCallsRunInOrder(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		third := s.start(owner, p1, modelCall(3, "three"), 0)
 		synctest.Wait()
 		second := s.start(owner, p1, modelCall(2, "two"), 0)
@@ -56,7 +56,7 @@
 			is.Equal(strings.Join(got.tokens, ""), got.answer.Text)
 			arrivals := s.arrivals(callID(identity.Sequence(i + 1)))
 			is.Equal(len(arrivals), 1)
-			is.Equal(len(arrivals[0].Messages), 2*i+1) // the whole history goes before it
+			is.Equal(len(arrivals[0].Messages), 2*i+1) // preceded by the whole history
 			is.True(!arrivals[0].Arrived.Before(began))
 			began = arrivals[0].Ended
 		}
@@ -66,8 +66,8 @@
 	})
 }
 
-func TestRepeatsReplayAndOtherBodiesConflict(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestRepeatedCallReplaysAndChangedBodyConflicts(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		first := <-s.start(owner, p1, modelCall(1, "one"), 0)
 		is.NoErr(first.err)
 		replay := <-s.start(owner, p1, modelCall(1, "one"), 2)
@@ -92,8 +92,8 @@
 	})
 }
 
-func TestTwoCallsOfOneKeyAtOnceRunOnce(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestConcurrentCallsWithOneKeyRunOnce(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		one, other := payment(1, "fee-1"), payment(1, "fee-1")
 		other.Branch = "sub"
 		first, second := s.start(owner, p1, one, 0), s.start(owner, p1, other, 0)
@@ -105,8 +105,8 @@
 	})
 }
 
-func TestAGapIsRefusedAtItsBound(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestSequenceGapTimesOut(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		began := time.Now()
 		_, err := s.call(owner, p1, modelCall(2, "two"))
 		problem := problemOf(t, err)
@@ -115,12 +115,12 @@
 		is.Equal(time.Since(began), 5*time.Second)
 		_, err = s.call(owner, p1, modelCall(100, "far ahead"))
 		is.Equal(codeOf(err), api.CodeSequenceGap)
-		is.Equal(time.Since(began), 5*time.Second) // at once
+		is.Equal(time.Since(began), 5*time.Second) // immediately
 	})
 }
 
-func TestADeadlineBeforeDispatchIsNotRunAndTheSequenceStaysOpen(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestDeadlineBeforeDispatchWithdrawsCall(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		s.engines[0].SetFaults(engine.Faults{Frozen: true})
 		s.engines[1].SetFaults(engine.Faults{Frozen: true})
 		s.start(owner, p1, modelCall(1, "one"), 0)
@@ -133,15 +133,15 @@
 		s.engines[0].SetFaults(engine.Faults{})
 		s.engines[1].SetFaults(engine.Faults{})
 		time.Sleep(time.Minute)
-		is.Equal(len(s.arrivals(callID(2))), 0) // it truly never ran
+		is.Equal(len(s.arrivals(callID(2))), 0) // the withdrawn call never ran
 		changed := modelCall(2, "another body, since the first never ran")
 		_, err = s.call(owner, p1, changed)
 		is.NoErr(err)
 	})
 }
 
-func TestADeadlineAfterDispatchLeavesTheCallRunning(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestDeadlineAfterDispatchLeavesCallRunning(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		s.engines[0].SetFaults(engine.Faults{Slow: 100})
 		s.engines[1].SetFaults(engine.Faults{Slow: 100})
 		hasty := modelCall(1, "one")
@@ -151,7 +151,7 @@
 		problem := problemOf(t, err)
 		is.Equal(problem.Code, api.CodeDeadline)
 		is.True(!problem.NotRun && problem.RetryAfter > 0)
-		is.Equal(time.Since(began), 500*time.Millisecond) // at once, not when the answer comes
+		is.Equal(time.Since(began), 500*time.Millisecond) // at the deadline, not when the answer arrives
 		answer, err := owner.Fetch(s.running, serving.FetchRequest{Call: callID(1)}, nil)
 		is.NoErr(err)
 		is.True(answer.Text != "")
@@ -159,8 +159,8 @@
 	})
 }
 
-func TestACallerWhoLeavesDoesNotStopTheCall(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestCallerCancellationDoesNotStopCall(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		ctx, cancel := context.WithTimeout(s.running, 50*time.Millisecond)
 		defer cancel()
 		_, err := owner.Call(ctx, serving.CallRequest{Program: p1, Call: modelCall(1, "one")}, nil)
@@ -171,8 +171,8 @@
 	})
 }
 
-func TestAnUnrepeatableCallNeedsTheLog(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestUnrepeatableCallRequiresLog(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		s.log.durableDown = true
 		_, err := s.call(owner, p1, payment(1, "fee-1"))
 		problem := problemOf(t, err)
@@ -188,8 +188,8 @@
 	})
 }
 
-func TestALostAnswerOfAnUnrepeatableCallIsUnknownForEver(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *heldShard) {
+func TestUnrepeatableCallWithLostResponseStaysOutcomeUnknown(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *ownedShard) {
 		for _, portal := range s.portals {
 			portal.SetFaults(application.Faults{LoseNext: 1})
 		}
@@ -209,8 +209,8 @@
 	})
 }
 
-func TestARefusedUnrepeatableCallGoesElsewhere(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestRejectedUnrepeatableCallUsesAnotherBackend(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		s.portals[0].SetFaults(application.Faults{Down: true})
 		for sequence := range uint64(4) {
 			_, err := s.call(owner, p1, payment(sequence+1, string(rune('a'+sequence))))
@@ -223,7 +223,7 @@
 		is.True(problem.NotRun && problem.RetryAfter > 0)
 		is.Equal(s.ledger.Executions("pay_fee", "e"), 0)
 		leaving, _ := s.board.Backends.Load("portal-1")
-		is.True(leaving.Leaving) // for every controller, whatever the machine list says
+		is.True(leaving.Leaving) // set on the board, independent of the machine list
 		s.portals[0].SetFaults(application.Faults{})
 		_, err = s.call(owner, p1, payment(5, "e"))
 		is.NoErr(err)
@@ -231,8 +231,8 @@
 	})
 }
 
-func TestABrokenStreamIsResumed(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestBrokenStreamIsResumed(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		call := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(200 * time.Millisecond)
 		for _, e := range s.engines {
@@ -246,8 +246,8 @@
 	})
 }
 
-func TestAnEngineThatRestartsMidStreamIsReplaced(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestEngineRestartMidStreamRetriesElsewhere(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		call := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(200 * time.Millisecond)
 		for _, e := range s.engines {
@@ -255,7 +255,7 @@
 		}
 		got := <-call
 		is.NoErr(got.err)
-		is.Equal(strings.Join(got.tokens, ""), got.answer.Text) // one whole stream in spite of two attempts
+		is.Equal(strings.Join(got.tokens, ""), got.answer.Text) // one complete stream despite two attempts
 		is.Equal(len(s.arrivals(callID(1))), 2)
 		view, err := owner.Get(s.running, p1)
 		is.NoErr(err)
@@ -263,13 +263,13 @@
 	})
 }
 
-func TestLimitsOfTheClass(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestClassLimits(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		s.publish(table.Class{Name: testClass, Model: testModel, BudgetTokens: 100, MaxTokens: 200, IdleTimeout: time.Minute})
 		s.create(owner, "poor")
 		_, err := s.call(owner, "poor", modelCall(1, strings.Repeat("x", 100)))
 		is.Equal(codeOf(err), api.CodeBudget)
-		_, err = s.call(owner, p1, modelCall(1, strings.Repeat("x", 100))) // keeps what it was created with
+		_, err = s.call(owner, p1, modelCall(1, strings.Repeat("x", 100))) // p1 keeps the limits of its creation
 		is.NoErr(err)
 		_, err = owner.Create(s.running, serving.CreateRequest{ID: "x", Tenant: "t", Class: "nobody"})
 		is.Equal(codeOf(err), api.CodeUnknownClass)
@@ -292,9 +292,9 @@
 	})
 }
 
-func TestAnotherNodeIsNoOwner(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *heldShard) {
-		s.open() // takes the shard; the former owner does not know yet
+func TestFormerOwnerReturnsNotOwner(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *ownedShard) {
+		s.open() // claims the shard; the previous owner is not notified yet
 		_, err := s.call(owner, p1, modelCall(1, "one"))
 		is.True(serving.IsNotOwner(err))
 		is.Equal(codeOf(err), api.CodeNoOwner)
@@ -306,7 +306,7 @@
 	})
 }
 
-// recordingPolicy keeps what it was shown of the cache.
+// recordingPolicy records the cached tokens in its input.
 type recordingPolicy struct {
 	scheduling.LeastInFlight
 	shown map[string]int
@@ -320,7 +320,7 @@
 	return p.LeastInFlight.Choose(now, call, backends)
 }
 
-func TestThePolicySeesTheCacheAsItIsBelieved(t *testing.T) {
+func TestPolicyInputHasCacheEstimates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, 2)
@@ -338,17 +338,17 @@
 		owner, _ = s.open()
 		_, err = s.call(owner, p1, modelCall(2, "two"))
 		is.NoErr(err)
-		is.Equal(policy.shown[first.Backend], counted) // another owner answered: the journal's word
+		is.Equal(policy.shown[first.Backend], counted) // another owner answered, so the journal's count applies
 		believed["engine-0"], believed["engine-1"] = 3, 0
 		_, err = s.call(owner, p1, modelCall(3, "three"))
 		is.NoErr(err)
 		is.Equal(policy.shown["engine-0"], 3)
-		is.Equal(policy.shown["engine-1"], 0) // evicted, or never there
+		is.Equal(policy.shown["engine-1"], 0) // evicted, or never cached
 	})
 }
 
-func TestACallGoesWhereItsAdapterIsLoaded(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestCallUsesEngineWithItsAdapter(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		s.publish(table.Class{Name: testClass, Model: testModel, Adapter: "sierra", BudgetTokens: 10_000, MaxTokens: 20})
 		s.create(owner, "adapted")
 		_, err := s.call(owner, "adapted", modelCall(1, "x"))
--- a/internal/serving/programs.go
+++ b/internal/serving/programs.go
@@ -9,10 +9,11 @@
 	"stepseam.example/stepseam/internal/program"
 )
 
-// noTableRetry is when a caller who met a node without a table should come back.
+// noTableRetry is the retry delay of a caller that reached a node without a table.
 const noTableRetry = time.Second
 
-// locate returns the shard of a program with its mutex held, or an error.
+// locate returns the shard of a program with its mutex locked, or an error with the mutex
+// unlocked.
 func (o *Owner) locate(id identity.ProgramID) (*shard, error) {
 	s, err := o.shardOf(id)
 	if err != nil {
@@ -21,12 +22,12 @@
 	s.machine.mutex.Lock()
 	if s.closing || s.stopped {
 		s.machine.mutex.Unlock()
-		return nil, neverOwner(s.journal.ID())
+		return nil, notOwnerNotRun(s.journal.ID())
 	}
 	return s, nil
 }
 
-// view returns the program as callers see it; the caller holds the mutex.
+// view returns the API representation of the program. The caller holds the mutex.
 func (s *shard) view(p *program.Program) api.Program {
 	view := p.View()
 	view.Owner = string(s.owner.config.Self)
@@ -35,10 +36,10 @@
 	return view
 }
 
-// settled returns view once what it shows is held and this node still owns the
-// shard.
-func (s *shard) settled(ctx context.Context, view api.Program, held *pendingCommit) (api.Program, error) {
-	if err := held.wait(ctx); err != nil {
+// afterCommit returns view once the records that it reflects are replicated, if this node
+// still owns the shard.
+func (s *shard) afterCommit(ctx context.Context, view api.Program, pending *pendingCommit) (api.Program, error) {
+	if err := pending.wait(ctx); err != nil {
 		return api.Program{}, s.interrupted(ctx, err)
 	}
 	if err := s.checkLease(); err != nil {
@@ -47,7 +48,7 @@
 	return view, nil
 }
 
-// interrupted maps the end of a caller's context to a problem.
+// interrupted converts the end of a caller's context to a problem.
 func (s *shard) interrupted(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return api.NewProblem(api.CodeInterrupted, "the caller left: %s", ctx.Err())
@@ -55,8 +56,8 @@
 	return err
 }
 
-// Create implements Programs. The program keeps the limits that its class has
-// now for its whole life.
+// Create implements Programs. The program keeps the limits that its class has at
+// creation.
 func (o *Owner) Create(ctx context.Context, request CreateRequest) (api.Program, error) {
 	s, err := o.locate(request.ID)
 	if err != nil {
@@ -67,7 +68,7 @@
 	if err != nil {
 		return api.Program{}, err
 	}
-	return s.settled(ctx, view, held)
+	return s.afterCommit(ctx, view, held)
 }
 
 func (s *shard) create(request CreateRequest) (api.Program, *pendingCommit, error) {
@@ -76,7 +77,7 @@
 			return api.Program{}, nil, api.NewProblem(api.CodeConflict,
 				"program %s stands with another tenant or class", request.ID)
 		}
-		return s.view(p), s.entryOf(request.ID).held, nil
+		return s.view(p), s.entryOf(request.ID).pending, nil
 	}
 	published := s.owner.config.Board.Table.Load()
 	if published == nil {
@@ -94,7 +95,7 @@
 	if err != nil {
 		return api.Program{}, nil, err
 	}
-	held := s.keep(request.ID, wait)
+	held := s.trackCommit(request.ID, wait)
 	return s.view(s.machine.set.Get(request.ID)), held, nil
 }
 
@@ -109,12 +110,13 @@
 		s.machine.mutex.Unlock()
 		return api.Program{}, s.unknownProgram(id)
 	}
-	view, held := s.view(p), s.entryOf(id).held
+	view, held := s.view(p), s.entryOf(id).pending
 	s.machine.mutex.Unlock()
-	return s.settled(ctx, view, held)
+	return s.afterCommit(ctx, view, held)
 }
 
-// unknownProgram is certain only while this node owns the shard.
+// unknownProgram returns the error for a program that does not exist. It is authoritative
+// only if this node still owns the shard.
 func (s *shard) unknownProgram(id identity.ProgramID) error {
 	if err := s.checkLease(); err != nil {
 		return err
@@ -143,28 +145,28 @@
 		return api.Program{}, s.unknownProgram(id)
 	}
 	err = s.end(p, state)
-	view, held := s.view(p), s.entryOf(id).held
+	view, held := s.view(p), s.entryOf(id).pending
 	s.machine.mutex.Unlock()
 	if err != nil {
 		return api.Program{}, err
 	}
-	return s.settled(ctx, view, held)
+	return s.afterCommit(ctx, view, held)
 }
 
-// end ends a running program, and does nothing for one that has ended. Its
-// model streams are stopped; application calls cannot be stopped and run on, so
-// that their callers hear how they ended. The caller holds the mutex.
+// end ends a running program; it does nothing if the program has ended. Model calls in
+// progress are cancelled. Application calls cannot be stopped and run to completion, so
+// that their callers get the result. The caller holds the mutex.
 func (s *shard) end(p *program.Program, state api.ProgramState) error {
 	record, running := p.End(time.Now(), state)
 	if !running {
 		return nil
 	}
-	s.owner.noteEnd(p, record.At)
+	s.owner.recordEnd(p, record.At)
 	wait, err := s.commit(false, record)
 	if err != nil {
 		return err
 	}
-	s.keep(p.ID(), wait)
+	s.trackCommit(p.ID(), wait)
 	s.owner.metrics.ended.WithLabelValues(string(state)).Inc()
 	s.owner.durations.add(p.Class(), time.Since(p.Created()))
 	s.owner.logger.Info("program ended", "program", p.ID(), "shard", s.journal.ID(), "epoch", s.journal.Epoch(),
@@ -188,7 +190,7 @@
 	}
 	call := program.NewRequest(request.Program, request.Call)
 	options := callerOptions{from: request.From, wait: seconds(request.Call.DeadlineSeconds), onToken: onToken}
-	r, stored, err := s.arrive(call, &options)
+	r, stored, err := s.findOrStart(call, &options)
 	s.machine.mutex.Unlock()
 	switch {
 	case err != nil:
@@ -196,7 +198,7 @@
 	case stored != nil:
 		return s.replay(call.ID, stored, options)
 	}
-	return s.follow(ctx, r, options)
+	return s.awaitOutcome(ctx, r, options)
 }
 
 // Fetch implements Programs.
@@ -214,10 +216,11 @@
 	case stored != nil:
 		return s.replay(request.Call, stored, options)
 	}
-	return s.follow(ctx, r, options)
+	return s.awaitOutcome(ctx, r, options)
 }
 
-// lookUp finds a call that was made before; the caller holds the mutex.
+// lookUp returns the run or the stored answer of an existing call. The caller holds the
+// mutex.
 func (s *shard) lookUp(id identity.CallID, options *callerOptions) (*run, *program.Answer, error) {
 	p := s.machine.set.Get(id.Program)
 	if p == nil {
@@ -238,9 +241,9 @@
 	return nil, &answer, nil
 }
 
-// arrive returns the run that answers call, or the answer that is stored; the
-// caller holds the mutex.
-func (s *shard) arrive(call program.Request, options *callerOptions) (*run, *program.Answer, error) {
+// findOrStart returns the run that answers call, starting one if necessary, or the stored
+// answer. The caller holds the mutex.
+func (s *shard) findOrStart(call program.Request, options *callerOptions) (*run, *program.Answer, error) {
 	p := s.machine.set.Get(call.ID.Program)
 	if p == nil {
 		return nil, nil, s.unknownProgram(call.ID.Program)
@@ -264,7 +267,7 @@
 		answer := verdict.Call.Answer
 		return nil, &answer, nil
 	case program.ActionRefuse:
-		return nil, nil, s.certain(verdict.Problem)
+		return nil, nil, s.ifStillOwner(verdict.Problem)
 	case program.ActionJoin:
 		return s.rejoin(p, verdict.Call)
 	}
@@ -272,13 +275,13 @@
 		return nil, nil, problem
 	}
 	if s.checkLease() != nil {
-		return nil, nil, neverOwner(s.journal.ID()) // nothing was done with it here
+		return nil, nil, notOwnerNotRun(s.journal.ID()) // the call was not accepted
 	}
 	return s.start(call, options.deadline), nil, nil
 }
 
-// rejoin takes up a call that is open without a run: its run ended because the
-// lease had lapsed or the shard is being given up. The caller holds the mutex.
+// rejoin recovers an open call that has no run, since its run ended when the lease lapsed
+// or the shard is closing. The caller holds the mutex.
 func (s *shard) rejoin(p *program.Program, call *program.Call) (*run, *program.Answer, error) {
 	if s.closing || s.stopped || s.checkLease() != nil {
 		return nil, nil, s.notOwner()
@@ -286,15 +289,17 @@
 	return s.recoverCall(p, call, time.Now()), nil, nil
 }
 
-// certain returns problem if this node still owns the shard.
-func (s *shard) certain(problem *api.Problem) error {
+// ifStillOwner returns problem if this node still owns the shard, and a NotOwnerError
+// otherwise.
+func (s *shard) ifStillOwner(problem *api.Problem) error {
 	if err := s.checkLease(); err != nil {
 		return err
 	}
 	return problem
 }
 
-// checkArrival refuses calls that name an unknown model or come far too early.
+// checkArrival rejects calls with an unknown model and calls too far ahead of their
+// branch.
 func (s *shard) checkArrival(p *program.Program, call program.Request) error {
 	next := p.Next(call.ID.Branch)
 	if call.ID.Sequence > next+identity.Sequence(s.owner.config.Bounds.EarlyCalls) {
@@ -325,13 +330,13 @@
 	return s.owner.config.Timing.MaxCall
 }
 
-// start makes the run of call and its driver; the caller holds the mutex.
+// start creates the run of call and starts its driver. The caller holds the mutex.
 func (s *shard) start(call program.Request, deadline time.Time) *run {
 	r := &run{id: call.ID, request: call, arrived: time.Now(), deadline: deadline, done: make(chan struct{})}
 	r.context, r.cancel = context.WithCancelCause(s.context)
 	s.runs[call.ID] = r
 	s.entryOf(call.ID.Program).runs++
-	s.changed(call.ID.Program)
+	s.notifyChanged(call.ID.Program)
 	s.drivers.Add(1)
 	go s.drive(r)
 	return r
@@ -339,7 +344,7 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// validate collects all faults of a call that its fields show.
+// validate returns a problem that lists all invalid fields of a call, or nil.
 func validate(call api.CallRequest) error {
 	var findings []api.Finding
 	add := func(place, message string) {
--- a/internal/serving/run.go
+++ b/internal/serving/run.go
@@ -10,14 +10,14 @@
 	"stepseam.example/stepseam/internal/program"
 )
 
-// run is one call that has no answer yet. A driver goroutine runs it; any
-// number of callers follow it, and none of them stops it by leaving.
+// run is the execution of one call without an answer. A driver goroutine executes it. Any
+// number of callers may wait for it, and it continues when they leave.
 type run struct {
 	id      identity.CallID
 	request program.Request
 	arrived time.Time
-	// context ends with the shard, or with a cause when the call is taken back or
-	// its program ends.
+	// context ends with the shard, or with a cause when the call is withdrawn or its
+	// program ends.
 	context context.Context
 	cancel  context.CancelCauseFunc
 	// done is closed once outcome is set.
@@ -26,25 +26,25 @@
 	// The machine's mutex guards these.
 	// deadline is the latest time that any caller waits for.
 	deadline time.Time
-	// dispatched is true from the moment an intent is enqueued: from then on the
-	// call may run.
+	// dispatched is true once an intent is enqueued, after which the call may run.
 	dispatched bool
-	// withdrawn is true once the call was taken back before that.
+	// withdrawn is true if the call was withdrawn before it was dispatched.
 	withdrawn bool
-	// recovered is true for a call that a former owner left open.
+	// recovered is true for a call that a previous owner, or an earlier run on this node,
+	// left open.
 	recovered bool
 
 	// mutex guards the rest.
 	mutex  sync.Mutex
 	tokens []string
-	// generation rises when tokens that were handed out turn out not to be the
-	// answer's.
+	// generation is incremented when tokens that callers may have received turn out not
+	// to belong to the answer.
 	generation int
 	outcome    *outcome
 	changed    chan struct{}
 }
 
-// outcome is how a run ended.
+// outcome is the result of a run.
 type outcome struct {
 	answer api.Answer
 	err    error
@@ -52,10 +52,10 @@
 
 func failed(err error) *outcome { return &outcome{err: err} }
 
-// resumable tells that the next owner can take the running call over.
+// resumable reports whether the next owner can resume the running call.
 func (r *run) resumable() bool { return r.request.Kind == api.CallModel }
 
-// notify wakes all followers; the caller holds r.mutex.
+// notify wakes all waiting callers. The caller holds r.mutex.
 func (r *run) notify() {
 	if r.changed != nil {
 		close(r.changed)
@@ -63,10 +63,10 @@
 	}
 }
 
-// token adds the token of index. A repeat of a known token is dropped; one that
-// differs starts a new generation, since what was streamed is then not the
-// answer. It returns false for a token that is too early.
-func (r *run) token(index int, text string) bool {
+// addToken adds the token at index. A repeated token is ignored. A token that differs
+// from the known one starts a new generation, as the tokens delivered so far do not
+// belong to the answer. It returns false if earlier tokens are missing.
+func (r *run) addToken(index int, text string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
@@ -84,14 +84,14 @@
 	return true
 }
 
-// received returns the tokens so far.
+// received returns the tokens received so far.
 func (r *run) received() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.tokens
 }
 
-// finish sets the outcome, once.
+// finish sets the outcome; calls after the first have no effect.
 func (r *run) finish(result *outcome) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -103,7 +103,7 @@
 	close(r.done)
 }
 
-// progress is what a follower sees next.
+// progress is the state of a run as one waiting caller sees it.
 type progress struct {
 	tokens     []string
 	generation int
@@ -111,7 +111,8 @@
 	changed    <-chan struct{}
 }
 
-// progress returns the tokens from index from on, and the outcome if it stands.
+// progress returns the tokens starting at index from, and the outcome if it is known.
+// Otherwise changed is closed at the next change.
 func (r *run) progress(from int) progress {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/serving/schedule_test.go
+++ b/internal/serving/schedule_test.go
@@ -21,34 +21,34 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// disturbance is one step of a schedule.
-type disturbance struct {
+// faultStep is one step of a schedule.
+type faultStep struct {
 	kind   string
 	target int
 	pause  time.Duration
 }
 
-// disturbances are what a schedule is drawn from. What takes several steps to do
-// harm, such as a late dispatch of a frozen owner, stands in it more often.
-var disturbances = []string{
+// faultKinds are the kinds of steps. Kinds that do harm only in combination, such as the
+// delayed dispatch of a paused owner, are listed several times to be drawn more often.
+var faultKinds = []string{
 	"freeze a dispatch", "freeze a dispatch", "freeze a dispatch", "replace owner unseen", "replace owner unseen",
 	"replace owner unseen", "thaw", "thaw", "kill owner", "restart engine", "engine down", "engine frozen",
 	"engine loses answers", "engine drains", "heal engine", "portal down", "portal loses answers", "heal portal",
 	"log down", "log up", "lease lapses", "lease lapses", "lease returns",
 }
 
-func schedules() *rapid.Generator[[]disturbance] {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) disturbance {
-		return disturbance{
-			kind:   rapid.SampledFrom(disturbances).Draw(t, "kind"),
+func schedules() *rapid.Generator[[]faultStep] {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) faultStep {
+		return faultStep{
+			kind:   rapid.SampledFrom(faultKinds).Draw(t, "kind"),
 			target: rapid.IntRange(0, 1).Draw(t, "target"),
 			pause:  time.Duration(rapid.IntRange(1, 1500).Draw(t, "pause")) * time.Millisecond,
 		}
 	}), 1, 14)
 }
 
-// scheduled is a site under a schedule, with clients that run programs.
-type scheduled struct {
+// scheduledSite is a site under a schedule of faults, with clients that run programs.
+type scheduledSite struct {
 	*site
 	clients  sync.WaitGroup
 	mutex    sync.Mutex
@@ -60,27 +60,28 @@
 
 // The first program's budget ends before its calls do.
 const (
+	// The budget of the first program is too small for its calls.
 	tightBudget    = 500
 	ampleBudget    = 10_000
 	callsPerClient = 6
 )
 
-// variant is what a schedule runs on.
+// variant is the configuration of a schedule run.
 type variant struct {
 	hooks   serving.Hooks
 	engines int
-	// audit is the time between audits, 0 the usual one.
+	// audit is the time between audits, 0 for the default.
 	audit time.Duration
 }
 
-// runSchedule returns what the back ends or callers saw that must not happen.
-func runSchedule(t *testing.T, of variant, steps []disturbance) (seen []string) {
+// runSchedule returns the violations that the back ends or callers observed.
+func runSchedule(t *testing.T, of variant, steps []faultStep) (seen []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &scheduled{site: newSite(t, of.engines), payments: map[string]api.Code{}, drains: make([]bool, of.engines)}
+		s := &scheduledSite{site: newSite(t, of.engines), payments: map[string]api.Code{}, drains: make([]bool, of.engines)}
 		defer s.close()
 		s.hooks = of.hooks
-		// The stand-ins all come back, so a fence need not be given up.
+		// All engines recover, so a fence never has to time out.
 		s.timing = serving.Timing{FenceLimit: time.Hour, Audit: of.audit}
 		s.publish(s.class(tightBudget))
 		owner, _ := s.open()
@@ -94,7 +95,7 @@
 			}
 		}
 		for _, step := range steps {
-			s.disturb(step)
+			s.apply(step)
 			time.Sleep(step.pause)
 		}
 		s.heal()
@@ -106,26 +107,26 @@
 	return seen
 }
 
-func (s *scheduled) class(budget int64) table.Class {
+func (s *scheduledSite) class(budget int64) table.Class {
 	return table.Class{
 		Name: testClass, Model: testModel, Weight: 1, BudgetTokens: budget, MaxTokens: 60,
 		CallTimeout: time.Minute, IdleTimeout: time.Hour,
 	}
 }
 
-func (s *scheduled) fault(format string, arguments ...any) {
+func (s *scheduledSite) fault(format string, arguments ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = append(s.faults, fmt.Sprintf(format, arguments...))
 }
 
-func (s *scheduled) owner() *serving.Owner {
+func (s *scheduledSite) owner() *serving.Owner {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.current
 }
 
-func (s *scheduled) takeOver(told bool) {
+func (s *scheduledSite) takeOver(told bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	former := s.opened[len(s.opened)-1]
@@ -135,7 +136,7 @@
 	s.open()
 }
 
-func (s *scheduled) disturb(step disturbance) {
+func (s *scheduledSite) apply(step faultStep) {
 	e := s.engines[step.target%len(s.engines)]
 	portal := s.portals[step.target%len(s.portals)]
 	switch step.kind {
@@ -174,12 +175,11 @@
 	}
 }
 
-// freezeNext stops the next dispatch between the owner's last look at its lease
-// and the send.
-func (s *scheduled) freezeNext() (thaw func()) {
+// freezeNext blocks the next dispatch between the owner's last lease check and the send.
+func (s *scheduledSite) freezeNext() (thaw func()) {
 	frozen := make(chan struct{})
 	var stopped atomic.Bool
-	s.setGate(func(identity.StreamID) {
+	s.setBeforeSend(func(identity.StreamID) {
 		if stopped.CompareAndSwap(false, true) {
 			<-frozen
 		}
@@ -187,35 +187,36 @@
 	return sync.OnceFunc(func() { close(frozen) })
 }
 
-func (s *scheduled) thaw() {
-	s.setGate(nil)
+func (s *scheduledSite) thaw() {
+	s.setBeforeSend(nil)
 	for _, thaw := range s.thaws {
 		thaw()
 	}
 }
 
-func (s *scheduled) healEngine(number int) {
+func (s *scheduledSite) healEngine(number int) {
 	s.engines[number].SetFaults(engine.Faults{})
 	s.drain(number, false)
 }
 
-func (s *scheduled) drain(number int, draining bool) {
+func (s *scheduledSite) drain(number int, draining bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.drains[number] = draining
 	s.engines[number].SetDraining(draining)
 }
 
-// setLapsed lets the lease of the newest owner lapse or come back, without a loss
-// of the shard.
-func (s *scheduled) setLapsed(lapsed bool) {
+// setLapsed lets the lease of the newest owner lapse or renews it, without a loss of the
+// shard.
+func (s *scheduledSite) setLapsed(lapsed bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.opened[len(s.opened)-1].lapsed.Store(lapsed)
 }
 
-// report stands for the controller that reads the engines' own word of leaving.
-func (s *scheduled) report() {
+// report updates the blackboard with the engines' leaving state, like the controller of
+// the back ends.
+func (s *scheduledSite) report() {
 	ticker := time.NewTicker(250 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -235,7 +236,7 @@
 	}
 }
 
-func (s *scheduled) heal() {
+func (s *scheduledSite) heal() {
 	s.thaw()
 	s.setLapsed(false)
 	for number := range s.engines {
@@ -249,24 +250,24 @@
 	s.log.mutex.Unlock()
 }
 
-// client runs one branch as an agent does: call after call, repeating each until
-// it has a final answer, with what it has of the stream.
-func (s *scheduled) client(id identity.ProgramID, branch string) {
+// client runs the calls of one branch in sequence and repeats each, with the tokens
+// received so far, until it has a final answer.
+func (s *scheduledSite) client(id identity.ProgramID, branch string) {
 	for sequence := uint64(1); sequence <= callsPerClient; sequence++ {
 		call := modelCall(sequence, fmt.Sprintf("%s/%s/%d", id, branch, sequence))
 		if sequence%3 == 0 {
 			call = payment(sequence, fmt.Sprintf("%s-%s-%d", id, branch, sequence))
 		}
 		call.Branch = branch
-		call.DeadlineSeconds = 2 // then the client asks whoever owns the shard by then
+		call.DeadlineSeconds = 2 // afterwards the client retries at the current owner
 		if !s.untilFinal(id, call) {
 			return
 		}
 	}
 }
 
-// untilFinal repeats call at whoever owns the shard; false ends the client.
-func (s *scheduled) untilFinal(id identity.ProgramID, call api.CallRequest) bool {
+// untilFinal repeats call at the current owner of the shard; false ends the client.
+func (s *scheduledSite) untilFinal(id identity.ProgramID, call api.CallRequest) bool {
 	var tokens []string
 	for range 400 {
 		got := <-s.start(s.owner(), id, call, len(tokens))
@@ -298,8 +299,8 @@
 	return false
 }
 
-// checkNotRun: who is told that a call did not run finds no trace of it.
-func (s *scheduled) checkNotRun(id identity.ProgramID, call api.CallRequest, err error) {
+// checkNotRun verifies that a call reported as not run has left no trace.
+func (s *scheduledSite) checkNotRun(id identity.ProgramID, call api.CallRequest, err error) {
 	if !problemOf(s.t, err).NotRun {
 		return
 	}
@@ -312,7 +313,7 @@
 	}
 }
 
-func (s *scheduled) notePayment(call api.CallRequest, code api.Code) {
+func (s *scheduledSite) notePayment(call api.CallRequest, code api.Code) {
 	if call.Kind != api.CallApplication {
 		return
 	}
@@ -321,8 +322,8 @@
 	s.payments[call.IdempotencyKey] = code
 }
 
-// endAll ends the programs and gives the releases their time.
-func (s *scheduled) endAll(programs []identity.ProgramID) {
+// endAll ends the programs and waits for the releases.
+func (s *scheduledSite) endAll(programs []identity.ProgramID) {
 	for _, id := range programs {
 		view, err := s.owner().End(s.running, id)
 		if err != nil {
@@ -336,7 +337,7 @@
 	time.Sleep(2 * time.Minute)
 }
 
-func (s *scheduled) checkAll(programs []identity.ProgramID) {
+func (s *scheduledSite) checkAll(programs []identity.ProgramID) {
 	for _, id := range programs {
 		if held := s.held(id); held != "" {
 			s.fault("%s holds memory at %s", id, held)
@@ -353,8 +354,9 @@
 	}
 }
 
-// ran returns the arrivals that the engines took, in the order of their time.
-func (s *scheduled) ran(of func(identity.CallID) bool) []engine.Arrival {
+// executedArrivals returns the matching arrivals that the engines accepted, in order of
+// time.
+func (s *scheduledSite) executedArrivals(of func(identity.CallID) bool) []engine.Arrival {
 	var all []engine.Arrival
 	for _, e := range s.engines {
 		for _, arrival := range e.Truth().Arrivals {
@@ -367,9 +369,9 @@
 	return all
 }
 
-func (s *scheduled) checkBudget(id identity.ProgramID, budget int) {
+func (s *scheduledSite) checkBudget(id identity.ProgramID, budget int) {
 	total := 0
-	for _, arrival := range s.ran(func(call identity.CallID) bool { return call.Program == id }) {
+	for _, arrival := range s.executedArrivals(func(call identity.CallID) bool { return call.Program == id }) {
 		total += arrival.PromptTokens + arrival.Tokens
 	}
 	if total > budget {
@@ -377,14 +379,14 @@
 	}
 }
 
-// checkOrder: no call reaches an engine behind one that follows it, and each
-// conversation continues the one before. One thing is beyond what cancelling can
-// fence: an engine that restarts forgets what was cancelled, so the dispatch of
-// an owner that was frozen before and thaws after the restart still runs there.
-// Its answer goes to nobody.
-func (s *scheduled) checkOrder(id identity.ProgramID, branch identity.BranchID) {
+// checkOrder verifies that no call reaches an engine after a later call of its branch,
+// and that each conversation continues the previous one. One case is exempt, as
+// cancellation cannot fence it: an engine that restarts forgets the cancelled streams, so
+// the dispatch of an owner that was paused before and continues after the restart still
+// runs there. Its answer is not delivered.
+func (s *scheduledSite) checkOrder(id identity.ProgramID, branch identity.BranchID) {
 	var last engine.Arrival
-	for _, arrival := range s.ran(func(call identity.CallID) bool { return call.Program == id && call.Branch == branch }) {
+	for _, arrival := range s.executedArrivals(func(call identity.CallID) bool { return call.Program == id && call.Branch == branch }) {
 		sequence, before := arrival.Stream.Call.Sequence, last.Stream.Call.Sequence
 		if sequence < before && arrival.Stream.Epoch < last.Stream.Epoch && s.restarted(arrival) {
 			continue
@@ -399,8 +401,8 @@
 	}
 }
 
-// restarted tells that the engine of arrival has restarted at some time.
-func (s *scheduled) restarted(arrival engine.Arrival) bool {
+// restarted reports whether the engine of arrival has ever restarted.
+func (s *scheduledSite) restarted(arrival engine.Arrival) bool {
 	return slices.ContainsFunc(s.engines, func(e *engine.Engine) bool {
 		truth := e.Truth()
 		return truth.Restarts > 0 && slices.ContainsFunc(truth.Arrivals, func(a engine.Arrival) bool {
@@ -413,7 +415,7 @@
 	return len(after) > len(before) && slices.Equal(after[:len(before)], before)
 }
 
-func TestScheduleOfFailures(t *testing.T) {
+func TestFaultSchedules(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		steps := schedules().Draw(r, "schedule")
 		if seen := runSchedule(t, variant{engines: 2}, steps); len(seen) > 0 {
@@ -422,9 +424,9 @@
 	})
 }
 
-// TestSchedulesCatchTheWrongVariants shows that the checks of a schedule can
-// fail: for each rule some schedule finds its wrong variant.
-func TestSchedulesCatchTheWrongVariants(t *testing.T) {
+// TestSchedulesDetectIncorrectVariants verifies that the checks of a schedule can fail:
+// for each rule, some schedule detects its incorrect variant.
+func TestSchedulesDetectIncorrectVariants(t *testing.T) {
 	wrong := map[string]variant{
 		"unrepeatable calls run again": {
 			hooks: serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}, engines: 2,
@@ -434,7 +436,7 @@
 			hooks: serving.Hooks{Fence: func(identity.StreamID) error { return nil }}, engines: 1,
 		},
 		"no reservation": {hooks: serving.Hooks{Reserve: func(int64, int64) int64 { return 0 }}, engines: 2},
-		// The audit cleans up behind a missing release.
+		// The audit would release the memory in place of the outbox.
 		"no release": {
 			hooks: serving.Hooks{Release: func(identity.ProgramID) bool { return false }}, engines: 2, audit: time.Hour,
 		},
--- a/internal/serving/shard.go
+++ b/internal/serving/shard.go
@@ -11,8 +11,8 @@
 	"stepseam.example/stepseam/internal/program"
 )
 
-// machine is the state of one shard's programs. Its mutex is the shard's: who
-// holds it may read and change the programs and enqueue records.
+// machine is the replicated state of the programs of one shard. Its mutex is also the
+// mutex of the shard: it guards the programs and serializes the enqueueing of records.
 type machine struct {
 	mutex sync.Mutex
 	set   *program.Set
@@ -31,9 +31,9 @@
 	return m.set.Apply(decoded)
 }
 
-// Snapshot implements journal.StateMachine. The journal takes it from inside
-// Enqueue, so the caller holds the mutex already, and the state covers the
-// records that are being enqueued.
+// Snapshot implements journal.StateMachine. The journal calls it from within Enqueue,
+// where the caller already holds the mutex and has applied the records that are being
+// enqueued.
 func (m *machine) Snapshot() ([]byte, error) { return m.set.Snapshot(), nil }
 
 // Restore implements journal.StateMachine.
@@ -49,7 +49,7 @@
 	return m.set.Len()
 }
 
-// shard serves one shard in one epoch.
+// shard serves one shard during one epoch.
 type shard struct {
 	owner   *Owner
 	journal journal.Shard
@@ -59,45 +59,47 @@
 	// context ends when the shard is lost or handed over.
 	context context.Context
 	cancel  context.CancelFunc
-	// drivers counts the goroutines that run calls; only added to under the
+	// drivers counts the goroutines of the shard. It is incremented only under the
 	// machine's mutex while stopped is false.
 	drivers sync.WaitGroup
 
-	// The machine's mutex guards the rest.
+	// The machine's mutex guards the rest. closing rejects new calls; stopped also ends
+	// the running ones.
 	closing bool
 	stopped bool
 	runs    map[identity.CallID]*run
 	entries map[identity.ProgramID]*entry
-	// unsent holds the attempts whose intent is recorded and that certainly were
-	// not sent, because the lease had lapsed by then. Their calls are open.
+	// unsent are the attempts of open calls whose intent is recorded but which were not
+	// sent, because the lease had lapsed.
 	unsent map[identity.StreamID]struct{}
 }
 
-// entry is what the owner keeps of a program beside its journalled state.
+// entry is the volatile state of a program, which is not in the journal.
 type entry struct {
-	// runs counts the program's runs.
+	// runs counts the active runs of the program.
 	runs int
-	// changed is closed and replaced when the program's state or runs change; nil
-	// while nobody waits.
+	// changed is closed and replaced when the state or runs of the program change; nil
+	// while nothing waits for it.
 	changed chan struct{}
-	// releasing is true while a goroutine works off the outbox.
+	// releasing is true while a goroutine processes the outbox.
 	releasing bool
-	// held is the wait for the program's newest records that are acted on outside
-	// of runs: creation and end. nil once they are held.
-	held *pendingCommit
+	// pending is the commit of the newest creation or end record, nil once it is
+	// replicated.
+	pending *pendingCommit
 }
 
-// pendingCommit is the wait for records, shared by all who need them to last.
+// pendingCommit is a commit in progress, shared by all callers that wait for it. err is
+// valid once done is closed.
 type pendingCommit struct {
 	done chan struct{}
 	err  error
 }
 
-func newShard(o *Owner, held journal.Shard, state *machine) *shard {
+func newShard(o *Owner, opened journal.Shard, state *machine) *shard {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &shard{
 		owner:   o,
-		journal: held,
+		journal: opened,
 		machine: state,
 		opened:  time.Now(),
 		context: ctx,
@@ -108,16 +110,17 @@
 	}
 }
 
-// watch gives the shard up once the journal says that it is lost.
+// watch removes the shard once the journal reports its loss.
 func (s *shard) watch() {
 	select {
 	case <-s.journal.Lost():
 	case <-s.context.Done():
 	}
-	s.owner.forget(s)
+	s.owner.removeShard(s)
 }
 
-// stop ends all work on the shard; the callers are sent to the next owner.
+// stop ends all work on the shard and waits for it. Callers are redirected to the next
+// owner.
 func (s *shard) stop() {
 	s.machine.mutex.Lock()
 	already := s.stopped
@@ -130,7 +133,8 @@
 	s.drivers.Wait()
 }
 
-// close prepares a planned hand-over.
+// close rejects new work for a planned handover and waits for the dispatched application
+// calls.
 func (s *shard) close(ctx context.Context) {
 	s.machine.mutex.Lock()
 	s.closing = true
@@ -163,12 +167,12 @@
 	return nil
 }
 
-// waitFunc waits until records are held.
+// waitFunc blocks until records are replicated.
 type waitFunc func(ctx context.Context) error
 
-// commit folds records into the state and enqueues them, in this order, since
-// the journal may take a snapshot that is to cover them. The caller holds the
-// machine's mutex, which keeps the journal in the order of the state's changes.
+// commit applies records to the state and then enqueues them. The order matters: the
+// journal may take a snapshot while enqueueing, which must include them. The caller holds
+// the machine's mutex, which keeps the records in the order of the state changes.
 func (s *shard) commit(durable bool, records ...program.Record) (waitFunc, error) {
 	encoded := make([][]byte, len(records))
 	for i, record := range records {
@@ -183,7 +187,7 @@
 				"epoch", s.journal.Epoch(), "program", record.Program(), "error", err)
 			return nil, api.NewProblem(api.CodeInternal, "record of program %s: %s", record.Program(), err)
 		}
-		s.changed(record.Program())
+		s.notifyChanged(record.Program())
 	}
 	enqueue := s.journal.Enqueue
 	if durable {
@@ -191,13 +195,13 @@
 	}
 	wait, err := enqueue(encoded...)
 	if err != nil {
-		s.closing = true // the state is ahead of the journal now, so nobody may read it
+		s.closing = true // the state is ahead of the journal and must not be served
 		return nil, s.notOwner()
 	}
 	return wait, nil
 }
 
-// await waits until records are held, as long as the shard is.
+// await waits until records are replicated or the shard ends.
 func (s *shard) await(wait waitFunc) error {
 	if err := wait(s.context); err != nil {
 		return s.notOwner()
@@ -205,7 +209,8 @@
 	return nil
 }
 
-// entryOf returns the program's entry; the caller holds the mutex.
+// entryOf returns the entry of the program, creating it if necessary. The caller holds
+// the mutex.
 func (s *shard) entryOf(id identity.ProgramID) *entry {
 	found := s.entries[id]
 	if found == nil {
@@ -215,9 +220,9 @@
 	return found
 }
 
-// changed wakes who waits for the program and starts its releases; the caller
-// holds the mutex.
-func (s *shard) changed(id identity.ProgramID) {
+// notifyChanged wakes everything that waits for the program and starts processing its
+// outbox. The caller holds the mutex.
+func (s *shard) notifyChanged(id identity.ProgramID) {
 	p := s.machine.set.Get(id)
 	if p == nil {
 		delete(s.entries, id)
@@ -231,11 +236,11 @@
 	if p.OutboxLength() > 0 && !e.releasing && !s.stopped {
 		e.releasing = true
 		s.drivers.Add(1)
-		go s.workOutbox(id)
+		go s.processOutbox(id)
 	}
 }
 
-// awaitChange returns a channel that is closed at the program's next change; the
+// awaitChange returns a channel that is closed at the next change of the program. The
 // caller holds the mutex.
 func (s *shard) awaitChange(id identity.ProgramID) <-chan struct{} {
 	e := s.entryOf(id)
@@ -245,11 +250,11 @@
 	return e.changed
 }
 
-// keep starts the shared wait for records that were just committed; the caller
-// holds the mutex.
-func (s *shard) keep(id identity.ProgramID, wait waitFunc) *pendingCommit {
+// trackCommit starts a shared wait for records that were just enqueued. The caller holds
+// the mutex.
+func (s *shard) trackCommit(id identity.ProgramID, wait waitFunc) *pendingCommit {
 	h := &pendingCommit{done: make(chan struct{})}
-	s.entryOf(id).held = h
+	s.entryOf(id).pending = h
 	s.drivers.Add(1)
 	go func() {
 		defer s.drivers.Done()
@@ -257,14 +262,14 @@
 		close(h.done)
 		s.machine.mutex.Lock()
 		defer s.machine.mutex.Unlock()
-		if e := s.entries[id]; e != nil && e.held == h && h.err == nil {
-			e.held = nil
+		if e := s.entries[id]; e != nil && e.pending == h && h.err == nil {
+			e.pending = nil
 		}
 	}()
 	return h
 }
 
-// wait waits until the records are held; nil is held already.
+// wait blocks until the records are replicated. A nil commit is already replicated.
 func (h *pendingCommit) wait(ctx context.Context) error {
 	if h == nil {
 		return nil
--- a/internal/serving/site_test.go
+++ b/internal/serving/site_test.go
@@ -24,35 +24,36 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// shardLog stands for the journal of one shard: what it took last it keeps, and
-// the epoch fences former owners. Every third write it starts from a snapshot.
+// shardLog is a fake journal of one shard. It keeps the records across ownerships and
+// fences previous owners by epoch. Every third write replaces the records by a snapshot.
 type shardLog struct {
 	mutex    sync.Mutex
 	epoch    identity.Epoch
 	snapshot []byte
 	records  [][]byte
 	writes   int
-	// durableDown makes durable writes fail for certain.
+	// durableDown makes durable writes fail.
 	durableDown bool
 }
 
-// heldShard is one ownership of the shard.
-type heldShard struct {
+// ownedShard is one ownership of the shard.
+type ownedShard struct {
 	log     *shardLog
 	epoch   identity.Epoch
 	machine journal.StateMachine
 	lost    chan struct{}
 	once    sync.Once
-	// lapsesOnWrite makes the lease lapse at the next write; lapsed is its state.
+	// lapsesOnWrite makes the lease lapse at the next write; lapsed is whether it has
+	// lapsed.
 	lapsesOnWrite, lapsed atomic.Bool
 }
 
-func (s *heldShard) ID() identity.ShardID  { return 0 }
-func (s *heldShard) Epoch() identity.Epoch { return s.epoch }
-func (s *heldShard) Lost() <-chan struct{} { return s.lost }
-func (s *heldShard) lose()                 { s.once.Do(func() { close(s.lost) }) }
+func (s *ownedShard) ID() identity.ShardID  { return 0 }
+func (s *ownedShard) Epoch() identity.Epoch { return s.epoch }
+func (s *ownedShard) Lost() <-chan struct{} { return s.lost }
+func (s *ownedShard) lose()                 { s.once.Do(func() { close(s.lost) }) }
 
-func (s *heldShard) CheckLease() error {
+func (s *ownedShard) CheckLease() error {
 	s.log.mutex.Lock()
 	defer s.log.mutex.Unlock()
 	if s.log.epoch != s.epoch {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-func (s *heldShard) Enqueue(records ...[]byte) (func(context.Context) error, error) {
+func (s *ownedShard) Enqueue(records ...[]byte) (func(context.Context) error, error) {
 	s.log.mutex.Lock()
 	defer s.log.mutex.Unlock()
 	if s.log.epoch != s.epoch {
@@ -85,7 +86,7 @@
 	return replicate, nil
 }
 
-// replicate is a round trip to the replicas.
+// replicate takes the time of a round trip to the replicas.
 func replicate(ctx context.Context) error {
 	select {
 	case <-time.After(time.Millisecond):
@@ -95,7 +96,7 @@
 	}
 }
 
-func (s *heldShard) EnqueueDurable(records ...[]byte) (func(context.Context) error, error) {
+func (s *ownedShard) EnqueueDurable(records ...[]byte) (func(context.Context) error, error) {
 	s.log.mutex.Lock()
 	down := s.log.durableDown
 	s.log.mutex.Unlock()
@@ -111,7 +112,7 @@
 	testService = "portal"
 )
 
-// site is back ends, a blackboard and one shard that owners take in turn.
+// site consists of back ends, a blackboard and one shard that successive owners open.
 type site struct {
 	t       testing.TB
 	board   *blackboard.Board
@@ -120,16 +121,16 @@
 	portals []*application.Application
 	ledger  *application.Ledger
 	clients map[netip.AddrPort]any
-	// gate, if set, is called before each generate and invoke.
-	gate    atomic.Pointer[func(stream identity.StreamID)]
-	hooks   serving.Hooks
-	policy  scheduling.Policy
-	cached  func(string, identity.ProgramID, identity.BranchID) int
-	timing  serving.Timing
-	opened  []*heldShard
-	current *serving.Owner
-	stop    context.CancelFunc
-	running context.Context
+	// beforeSend, if set, is called before each generate and invoke request.
+	beforeSend atomic.Pointer[func(stream identity.StreamID)]
+	hooks      serving.Hooks
+	policy     scheduling.Policy
+	cached     func(string, identity.ProgramID, identity.BranchID) int
+	timing     serving.Timing
+	opened     []*ownedShard
+	current    *serving.Owner
+	stop       context.CancelFunc
+	running    context.Context
 }
 
 func address(kind, number int) netip.AddrPort {
@@ -184,52 +185,52 @@
 	})
 }
 
-// Engine and Application implement backend.Directory.
+// Engine implements backend.Directory.
 func (s *site) Engine(at netip.AddrPort) backend.Engine {
-	return gatedEngine{Engine: s.clients[at].(backend.Engine), site: s}
+	return hookedEngine{Engine: s.clients[at].(backend.Engine), site: s}
 }
 
 // Application implements backend.Directory.
 func (s *site) Application(at netip.AddrPort) backend.Application {
-	return gatedApplication{Application: s.clients[at].(backend.Application), site: s}
+	return hookedApplication{Application: s.clients[at].(backend.Application), site: s}
 }
 
-func (s *site) setGate(gate func(identity.StreamID)) {
+func (s *site) setBeforeSend(gate func(identity.StreamID)) {
 	if gate == nil {
-		s.gate.Store(nil)
+		s.beforeSend.Store(nil)
 		return
 	}
-	s.gate.Store(&gate)
+	s.beforeSend.Store(&gate)
 }
 
-func (s *site) pass(stream identity.StreamID) {
-	if gate := s.gate.Load(); gate != nil {
+func (s *site) runBeforeSend(stream identity.StreamID) {
+	if gate := s.beforeSend.Load(); gate != nil {
 		(*gate)(stream)
 	}
 }
 
-type gatedEngine struct {
+type hookedEngine struct {
 	backend.Engine
 	site *site
 }
 
-func (e gatedEngine) Generate(ctx context.Context, request backend.GenerateRequest, onToken func(backend.Token) error) (backend.GenerateResult, error) {
-	e.site.pass(request.Stream)
+func (e hookedEngine) Generate(ctx context.Context, request backend.GenerateRequest, onToken func(backend.Token) error) (backend.GenerateResult, error) {
+	e.site.runBeforeSend(request.Stream)
 	return e.Engine.Generate(ctx, request, onToken)
 }
 
-type gatedApplication struct {
+type hookedApplication struct {
 	backend.Application
 	site *site
 }
 
-func (a gatedApplication) Invoke(ctx context.Context, request backend.InvokeRequest) ([]byte, error) {
-	a.site.pass(request.Stream)
+func (a hookedApplication) Invoke(ctx context.Context, request backend.InvokeRequest) ([]byte, error) {
+	a.site.runBeforeSend(request.Stream)
 	return a.Application.Invoke(ctx, request)
 }
 
-// open lets a new owner take the shard over; former owners are not told.
-func (s *site) open() (*serving.Owner, *heldShard) {
+// open lets a new owner take over the shard, without notifying the previous owners.
+func (s *site) open() (*serving.Owner, *ownedShard) {
 	s.t.Helper()
 	owner := serving.NewOwner(serving.Config{
 		Self: "node", ShardCount: 1, Board: s.board, Directory: s, Policy: s.policy, CachedTokens: s.cached,
@@ -241,12 +242,12 @@
 	return owner, held
 }
 
-// reopen lets owner take the shard in the next epoch.
-func (s *site) reopen(owner *serving.Owner) *heldShard {
+// reopen lets owner claim the shard in the next epoch.
+func (s *site) reopen(owner *serving.Owner) *ownedShard {
 	s.t.Helper()
 	s.log.mutex.Lock()
 	s.log.epoch++
-	held := &heldShard{log: s.log, epoch: s.log.epoch, lost: make(chan struct{})}
+	held := &ownedShard{log: s.log, epoch: s.log.epoch, lost: make(chan struct{})}
 	snapshot, records := s.log.snapshot, s.log.records
 	s.log.mutex.Unlock()
 	held.machine = owner.NewStateMachine(0)
@@ -265,7 +266,7 @@
 	return held
 }
 
-// alive asks the newest owner, as forwarding would.
+// alive queries the newest owner, in place of the forwarder.
 func (s *site) alive(ctx context.Context, id identity.ProgramID) (alive, known bool, err error) {
 	program, err := s.current.Get(ctx, id)
 	var problem *api.Problem
@@ -278,7 +279,7 @@
 	return false, false, err
 }
 
-// close ends everything in the bubble.
+// close ends all goroutines of the synctest bubble.
 func (s *site) close() {
 	s.stop()
 	for _, held := range s.opened {
@@ -318,14 +319,14 @@
 	return owner.Call(s.running, serving.CallRequest{Program: id, Call: call}, nil)
 }
 
-// reply is what one caller got.
+// reply is what one caller received.
 type reply struct {
 	answer api.Answer
 	err    error
 	tokens []string
 }
 
-// start calls in the background and collects the tokens from index from on.
+// start makes a call in the background and collects the tokens starting at index from.
 func (s *site) start(owner *serving.Owner, id identity.ProgramID, call api.CallRequest, from int) <-chan reply {
 	replies := make(chan reply, 1)
 	go func() {
@@ -361,7 +362,7 @@
 	return problem
 }
 
-// arrivals returns the streams that ran at the engines for one call.
+// arrivals returns the streams of one call that ran at the engines.
 func (s *site) arrivals(id identity.CallID) []engine.Arrival {
 	var all []engine.Arrival
 	for _, e := range s.engines {
@@ -374,7 +375,7 @@
 	return all
 }
 
-// held returns the names of the engines that hold memory for a program.
+// held returns the engines and branches with cached memory of a program.
 func (s *site) held(id identity.ProgramID) string {
 	var names []string
 	for _, e := range s.engines {
@@ -387,7 +388,7 @@
 	return strings.Join(names, " ")
 }
 
-// generate is a request that no owner made.
+// generate returns a request that no owner made.
 func generate(stream identity.StreamID) backend.GenerateRequest {
 	return backend.GenerateRequest{
 		Stream: stream, Model: testModel, MaxTokens: 10, Messages: []backend.Message{{Role: "user", Content: "orphan"}},
--- a/internal/serving/silent_test.go
+++ b/internal/serving/stall_test.go
@@ -12,12 +12,12 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// TestAStreamThatFallsSilentRunsElsewhereAtOnce freezes an engine in the middle
-// of a stream. The engine had taken the stream in, so that nothing can arrive
-// behind later calls, and the caller need not wait for the fence.
-func TestAStreamThatFallsSilentRunsElsewhereAtOnce(t *testing.T) {
-	const bound = 10 * time.Second // half of the fence's limit
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+// TestStalledStreamIsRetriedWithoutFenceWait pauses an engine in the middle of a stream.
+// The engine had accepted the stream, so it cannot arrive after later calls, and the
+// retry must not wait for the fence.
+func TestStalledStreamIsRetriedWithoutFenceWait(t *testing.T) {
+	const bound = 10 * time.Second // half of the fence timeout
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		call := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(200 * time.Millisecond)
 		silent := 0
@@ -31,11 +31,11 @@
 		got := <-call
 		is.NoErr(got.err)
 		is.True(time.Since(frozen) < bound)
-		is.Equal(strings.Join(got.tokens, ""), got.answer.Text) // one whole stream
+		is.Equal(strings.Join(got.tokens, ""), got.answer.Text) // one complete stream
 		s.engines[silent].SetFaults(engine.Faults{})
 		time.Sleep(time.Minute)
 		for _, arrival := range s.engines[silent].Truth().Arrivals {
-			is.True(arrival.Outcome == engine.OutcomeCancelled) // its work there was stopped
+			is.True(arrival.Outcome == engine.OutcomeCancelled) // the stream was stopped there
 		}
 	})
 }
--- a/internal/serving/sweep.go
+++ b/internal/serving/sweep.go
@@ -10,8 +10,7 @@
 	"stepseam.example/stepseam/internal/program"
 )
 
-// sweep ends programs that are idle or over age and forgets those that ended
-// long ago.
+// sweep ends idle and over-age programs and removes those that ended long ago.
 func (o *Owner) sweep(context.Context) {
 	now := time.Now()
 	var total programCounts
@@ -22,7 +21,7 @@
 	o.metrics.pending.Set(float64(total.releases))
 }
 
-// programCounts counts what the metrics show of the programs.
+// programCounts are the program counts reported as metrics.
 type programCounts struct{ running, releases int }
 
 func (c *programCounts) count(p *program.Program) {
@@ -54,11 +53,11 @@
 			return
 		}
 	}
-	s.forgetEnded(now, ended)
+	s.removeEnded(now, ended)
 	s.resumeOpen(now)
 }
 
-// idle tells that no call of the program is under way or waits here.
+// idle reports whether no call of the program is running or waiting on this node.
 func (s *shard) idle(p *program.Program) bool {
 	e := s.entries[p.ID()]
 	return e == nil || e.runs == 0
@@ -69,9 +68,9 @@
 	return limit > 0 && now.Sub(p.Created()) >= limit
 }
 
-// forgetEnded drops ended programs that are past their time, and the oldest
+// removeEnded removes ended programs that are older than Tombstone, and the oldest ones
 // beyond the limit. The caller holds the mutex.
-func (s *shard) forgetEnded(now time.Time, ended []*program.Program) {
+func (s *shard) removeEnded(now time.Time, ended []*program.Program) {
 	slices.SortFunc(ended, func(a, b *program.Program) int {
 		return cmp.Or(a.Ended().Compare(b.Ended()), cmp.Compare(a.ID(), b.ID()))
 	})
--- a/internal/serving/takeover.go
+++ b/internal/serving/takeover.go
@@ -14,8 +14,8 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// recoverOpenCalls starts a run for each call that the former owner left open, and the
-// releases of its outboxes.
+// recoverOpenCalls starts a run for each call that the previous owner left open, and the
+// processing of the outboxes.
 func (s *shard) recoverOpenCalls() {
 	s.machine.mutex.Lock()
 	defer s.machine.mutex.Unlock()
@@ -25,14 +25,13 @@
 			s.recoverCall(p, call, now)
 		}
 		if p.OutboxLength() > 0 {
-			s.changed(p.ID())
+			s.notifyChanged(p.ID())
 		}
 		return true
 	})
 }
 
-// recoverCall makes the run of a call that was found open; the caller holds the
-// mutex.
+// recoverCall starts a run for an open call. The caller holds the mutex.
 func (s *shard) recoverCall(p *program.Program, call *program.Call, now time.Time) *run {
 	r := &run{
 		id: call.Request.ID, request: call.Request, arrived: call.Attempt.At,
@@ -50,9 +49,9 @@
 	return r
 }
 
-// resumeOpen makes runs for calls that are open and have none: their runs ended
-// when the lease lapsed, and the lease came back before another node claimed the
-// shard. The caller holds the mutex and has checked the lease.
+// resumeOpen starts runs for open calls that have none, since their runs ended when the
+// lease lapsed and the lease was renewed before another node claimed the shard. The
+// caller holds the mutex and has checked the lease.
 func (s *shard) resumeOpen(now time.Time) {
 	s.machine.set.All(func(p *program.Program) bool {
 		for _, call := range p.OpenCalls() {
@@ -64,8 +63,8 @@
 	})
 }
 
-// recover takes up the attempt that the former owner left. It returns nil if the
-// call is to be placed again.
+// recover resolves the attempt that the previous run left. It returns nil if the call
+// needs another attempt.
 func (d *driver) recover() *outcome {
 	s := d.shard
 	s.machine.mutex.Lock()
@@ -75,7 +74,7 @@
 	d.attempt, d.pending = call.PendingAttempt()
 	d.timeout = s.callTimeout(p)
 	if call.HasLostAttempt {
-		d.lost++
+		d.lostAttempts++
 	}
 	_, unsent := s.unsent[d.attempt.Stream]
 	s.machine.mutex.Unlock()
@@ -84,7 +83,7 @@
 		return failed(err)
 	}
 	if d.pending && unsent {
-		if result := d.notRun(); result != nil {
+		if result := d.recordNotRun(); result != nil {
 			return result
 		}
 	}
@@ -94,16 +93,16 @@
 	case d.run.request.Kind == api.CallModel && d.run.context.Err() == nil:
 		return d.recoverStream()
 	case d.run.context.Err() != nil:
-		return d.stopped()
-	case !d.mayRunAgain():
+		return d.stoppedOutcome()
+	case !d.mayRetry():
 		return d.outcomeUnknown("the node that sent it stopped before the answer came")
 	}
-	d.lost++
+	d.lostAttempts++
 	return nil
 }
 
-// recoverStream attaches to a stream of the former owner, or makes sure that it
-// does not run any more.
+// recoverStream resumes the stream of the previous run, or ensures that the stream no
+// longer runs.
 func (d *driver) recoverStream() *outcome {
 	limited, cancel := context.WithTimeout(d.run.context, d.timeout)
 	defer cancel()
@@ -115,19 +114,19 @@
 		result, _ := d.settle(end)
 		return result
 	}
-	if !d.mayRunAgain() {
+	if !d.mayRetry() {
 		return d.outcomeUnknown("the node that sent it stopped before the answer came")
 	}
 	d.logFailure("stream of the former owner not found", end.err)
-	d.lost++
+	d.lostAttempts++
 	if !errors.Is(end.err, backend.ErrStreamUnknown) && !errors.Is(end.err, backend.ErrStreamCancelled) {
 		d.excluded = append(d.excluded, d.attempt.Backend)
 	}
 	return d.fence()
 }
 
-// listed tells that the platform's list, as last read, has a machine at address.
-// An empty list says nothing.
+// listed reports whether the last known machine list contains a machine at address. It
+// returns true if the list is empty, which means that it is not known.
 func (o *Owner) listed(address netip.AddrPort) bool {
 	machines := o.config.Board.Machines.Load()
 	if len(machines) == 0 {
--- a/internal/serving/takeover_test.go
+++ b/internal/serving/takeover_test.go
@@ -18,8 +18,8 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-func TestTheNextOwnerResumesAStream(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *heldShard) {
+func TestNextOwnerResumesStream(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *ownedShard) {
 		first := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(200 * time.Millisecond)
 		held.lose()
@@ -34,8 +34,8 @@
 	})
 }
 
-func TestTheNextOwnerRunsAStreamAgainThatIsGone(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *heldShard) {
+func TestNextOwnerRerunsMissingStream(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *ownedShard) {
 		first := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(200 * time.Millisecond)
 		held.lose()
@@ -53,12 +53,12 @@
 	})
 }
 
-// freeze stops the first dispatch of a call between the owner's last look at its
-// lease and the send, until the returned function is called.
+// freeze blocks the first dispatch of a call between the owner's last lease check and the
+// send, until the returned function is called.
 func (s *site) freeze(id identity.CallID) (thaw func()) {
 	frozen := make(chan struct{})
 	var stopped atomic.Bool
-	s.setGate(func(stream identity.StreamID) {
+	s.setBeforeSend(func(stream identity.StreamID) {
 		if stream.Call == id && stopped.CompareAndSwap(false, true) {
 			<-frozen
 		}
@@ -66,8 +66,8 @@
 	return func() { close(frozen) }
 }
 
-func TestAFrozenOwnersLateDispatchIsFenced(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestDelayedDispatchOfPausedOwnerIsFenced(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		thaw := s.freeze(callID(1))
 		late := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(10 * time.Millisecond)
@@ -84,8 +84,8 @@
 	})
 }
 
-func TestAFrozenOwnersUnrepeatableCallRunsAtMostOnce(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestUnrepeatableCallOfPausedOwnerRunsAtMostOnce(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		thaw := s.freeze(callID(1))
 		late := s.start(owner, p1, payment(1, "fee-1"), 0)
 		time.Sleep(10 * time.Millisecond)
@@ -99,12 +99,12 @@
 		time.Sleep(time.Minute)
 		is.Equal(s.ledger.Executions("pay_fee", "fee-1"), 1)
 		_, err = s.call(next, p1, payment(2, "fee-1"))
-		is.Equal(codeOf(err), api.CodeOutcomeUnknown) // for ever, also under another sequence
+		is.Equal(codeOf(err), api.CodeOutcomeUnknown) // permanent, also under another sequence
 	})
 }
 
-func TestAnUnconfirmedFenceEndsWithTheMachineList(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *heldShard) {
+func TestFenceEndsWhenEngineIsUnlisted(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *ownedShard) {
 		first := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(200 * time.Millisecond)
 		held.lose()
@@ -125,8 +125,8 @@
 	})
 }
 
-func TestEndFreesTheMemoryThroughOwnerDeathAndEngineOutage(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *heldShard) {
+func TestEndReleasesMemoryDespiteOwnerLossAndEngineOutage(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *ownedShard) {
 		sub := modelCall(1, "sub-agent")
 		sub.Branch = "sub"
 		for _, call := range []api.CallRequest{modelCall(1, "one"), modelCall(2, "two"), sub} {
@@ -156,8 +156,8 @@
 	})
 }
 
-func TestCancelStopsStreamsAndFreesTheirMemory(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestCancelStopsStreamsAndReleasesMemory(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		running := s.start(owner, p1, modelCall(1, "one"), 0)
 		waiting := s.start(owner, p1, modelCall(2, "two"), 0)
 		paying := payment(1, "fee-1")
@@ -171,7 +171,7 @@
 		is.True(!problemOf(t, stopped.err).NotRun)
 		is.Equal(codeOf(never.err), api.CodeCancelled)
 		is.True(problemOf(t, never.err).NotRun)
-		is.NoErr((<-paid).err) // an application cannot be stopped, its caller hears how it ended
+		is.NoErr((<-paid).err) // an application call cannot be stopped; its caller gets the result
 		time.Sleep(5 * time.Second)
 		is.Equal(s.held(p1), "")
 		is.Equal(s.arrivals(callID(1))[0].Outcome, engine.OutcomeCancelled)
@@ -181,8 +181,8 @@
 	})
 }
 
-func TestTheAuditFreesOrphansAndNothingElse(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestAuditReleasesOnlyOrphans(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		_, err := s.call(owner, p1, modelCall(1, "one"))
 		is.NoErr(err)
 		orphan := s.arrivals(callID(1))[0].Stream
@@ -196,8 +196,8 @@
 	})
 }
 
-func TestTombstonesAreBounded(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestTombstonesExpire(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		_, err := owner.End(s.running, p1)
 		is.NoErr(err)
 		time.Sleep(5 * time.Minute)
@@ -209,8 +209,8 @@
 	})
 }
 
-func TestAPlannedHandOverCutsNothing(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *heldShard) {
+func TestPlannedHandoverInterruptsNothing(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *ownedShard) {
 		stream := s.start(owner, p1, modelCall(1, "one"), 0)
 		paying := payment(1, "fee-1")
 		paying.Branch = "pay"
@@ -221,7 +221,7 @@
 		time.Sleep(10 * time.Millisecond)
 		owner.Closing(s.running, held)
 		is.NoErr((<-paid).err)
-		is.True(serving.IsNotOwner((<-behind).err)) // not begun here any more
+		is.True(serving.IsNotOwner((<-behind).err)) // not started on the closing owner
 		cut := <-stream
 		is.True(serving.IsNotOwner(cut.err))
 		next, _ := s.open()
@@ -236,9 +236,9 @@
 	})
 }
 
-func TestARefusedRetryIsNotCalledNotRun(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
-		// The budget has room for one attempt: the lost one stays charged.
+func TestRejectedRetryIsNotReportedAsNotRun(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
+		// The budget suffices for one attempt, and the lost one stays charged.
 		s.publish(table.Class{Name: testClass, Model: testModel, BudgetTokens: 100, MaxTokens: 30})
 		s.create(owner, "poor")
 		call := s.start(owner, "poor", modelCall(1, "one"), 0)
@@ -249,12 +249,12 @@
 		problem := problemOf(t, (<-call).err)
 		is.Equal(problem.Code, api.CodeBudget)
 		is.True(!problem.NotRun)
-		_, err := s.call(owner, "poor", modelCall(1, "one")) // nor is its repeat
+		_, err := s.call(owner, "poor", modelCall(1, "one")) // neither is its repeat reported as not run
 		problem = problemOf(t, err)
 		is.Equal(problem.Code, api.CodeBudget)
 		is.True(!problem.NotRun)
 
-		// A program that ended between two attempts of an application call.
+		// The program ends between two attempts of an application call.
 		for _, portal := range s.portals {
 			portal.SetFaults(application.Faults{LoseAnswers: 1})
 		}
@@ -268,8 +268,8 @@
 	})
 }
 
-func TestAHangingToolIsGivenUpAtTheClassLimit(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestHangingApplicationCallTimesOut(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		for _, portal := range s.portals {
 			portal.SetFaults(application.Faults{HangAfter: true})
 		}
@@ -283,8 +283,8 @@
 	})
 }
 
-func TestHeldCallsOfAClassGoInOrderOfUrgency(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestHeldCallsRunInOrderOfUrgency(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		programs := []identity.ProgramID{"first", "second", "third", "fourth"}
 		for _, id := range programs {
 			s.create(owner, id)
@@ -301,14 +301,14 @@
 		for i, id := range programs {
 			is.NoErr((<-replies[i]).err)
 			arrival := s.arrivals(identity.CallID{Program: id, Branch: identity.MainBranch, Sequence: 2})[0]
-			is.True(!arrival.Arrived.Before(ended)) // one at a time, the longest waiting first
+			is.True(!arrival.Arrived.Before(ended)) // one at a time, longest waiting first
 			ended = arrival.Ended
 		}
 	})
 }
 
-func TestTheClassLimitHoldsCallsUnderWayAndRefusesNewOnes(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestClassLimitHoldsRunningProgramsAndRejectsNewOnes(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		_, err := s.call(owner, p1, modelCall(1, "one"))
 		is.NoErr(err)
 		s.publish(table.Class{Name: testClass, Model: testModel, BudgetTokens: 1000, MaxTokens: 200, MaxConcurrent: 1})
@@ -330,15 +330,15 @@
 	})
 }
 
-func TestAStreamThatCouldNotBeFencedIsCancelledWithItsRelease(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *heldShard) {
+func TestUnfencedStreamIsCancelledByRelease(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, held *ownedShard) {
 		first := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(200 * time.Millisecond)
 		lost := 0
 		if len(s.engines[1].Truth().Arrivals) > 0 {
 			lost = 1
 		}
-		s.engines[lost].SetFaults(engine.Faults{Frozen: true}) // for longer than the fence's limit
+		s.engines[lost].SetFaults(engine.Faults{Frozen: true}) // for longer than the fence timeout
 		s.setHealth(s.engines[lost].Name(), scheduling.Ejected)
 		held.lose()
 		<-first
@@ -353,22 +353,22 @@
 	})
 }
 
-func TestAPausedBranchThatIsNotExpectedBackGivesItsCacheUp(t *testing.T) {
-	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *heldShard) {
+func TestIdleBranchIsEvicted(t *testing.T) {
+	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
 		s.publish(table.Class{
 			Name: testClass, Model: testModel, BudgetTokens: 1_000_000, MaxTokens: 20,
 			KeepWarm: 30 * time.Second, IdleTimeout: 10 * time.Minute,
 		})
-		const turns = 10 // whoever returns does so within seconds
+		const turns = 10 // branches that return do so within seconds
 		for sequence := uint64(1); sequence <= turns; sequence++ {
 			_, err := s.call(owner, p1, modelCall(sequence, "next"))
 			is.NoErr(err)
 			time.Sleep(time.Second)
 		}
 		time.Sleep(40 * time.Minute)
-		is.True(s.held(p1) != "") // one pause alone tells nothing
+		is.True(s.held(p1) != "") // a single pause is no evidence
 
-		for number := range 30 { // and nobody returns after minutes
+		for number := range 30 { // and none returns after minutes
 			id := identity.ProgramID(fmt.Sprintf("gone-%d", number))
 			s.create(owner, id)
 			_, err := s.call(owner, id, modelCall(1, "once"))
@@ -378,7 +378,7 @@
 		_, err := s.call(owner, p1, modelCall(turns+1, "again"))
 		is.NoErr(err)
 		time.Sleep(20 * time.Second)
-		is.True(s.held(p1) != "") // its class keeps it warm for longer
+		is.True(s.held(p1) != "") // within KeepWarm of its class
 		time.Sleep(30 * time.Second)
 		is.Equal(s.held(p1), "")
 		last, err := s.call(owner, p1, modelCall(turns+2, "back after all"))
--- a/internal/serving/variants_test.go
+++ b/internal/serving/variants_test.go
@@ -12,11 +12,11 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// scenario brings a failure about and returns what the back ends or callers saw
-// that must not happen, empty if nothing.
+// scenario causes a failure and returns the violation that the back ends or callers
+// observed, empty if none.
 type scenario func(s *site, owner *serving.Owner) string
 
-func loseTheAnswerOfAPayment(s *site, owner *serving.Owner) string {
+func losePaymentResponse(s *site, owner *serving.Owner) string {
 	for _, portal := range s.portals {
 		portal.SetFaults(application.Faults{LoseNext: 1})
 	}
@@ -27,7 +27,7 @@
 	return ""
 }
 
-func payWithoutTheLog(s *site, owner *serving.Owner) string {
+func payWhileLogUnavailable(s *site, owner *serving.Owner) string {
 	s.log.durableDown = true
 	_, _ = s.call(owner, p1, payment(1, "fee-1"))
 	if s.ledger.Executions("pay_fee", "fee-1") > 0 {
@@ -36,7 +36,7 @@
 	return ""
 }
 
-func freezeTheOwnerBeforeItsSend(s *site, owner *serving.Owner) string {
+func pauseOwnerBeforeSend(s *site, owner *serving.Owner) string {
 	thaw := s.freeze(callID(1))
 	s.start(owner, p1, modelCall(1, "one"), 0)
 	time.Sleep(10 * time.Millisecond)
@@ -52,7 +52,7 @@
 	return ""
 }
 
-func askAFormerOwner(s *site, owner *serving.Owner) string {
+func queryFormerOwner(s *site, owner *serving.Owner) string {
 	_, _ = s.call(owner, p1, modelCall(1, "one"))
 	next, _ := s.open()
 	_, _ = next.Cancel(s.running, p1)
@@ -72,24 +72,24 @@
 	return ""
 }
 
-// TestTheWrongVariantsAreCaught shows that the checks can fail: with one rule
-// replaced by a wrong one, the back ends or callers see what must not happen.
-func TestTheWrongVariantsAreCaught(t *testing.T) {
+// TestIncorrectVariantsAreDetected verifies that the checks can fail: with one rule
+// replaced by an incorrect one, the back ends or callers observe a violation.
+func TestIncorrectVariantsAreDetected(t *testing.T) {
 	wrong := map[string]struct {
 		hooks serving.Hooks
 		run   scenario
 	}{
 		"unrepeatable calls run again": {
-			serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}, loseTheAnswerOfAPayment,
+			serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}, losePaymentResponse,
 		},
 		"intents are not durable": {
-			serving.Hooks{Durable: func(identity.CallID, bool) bool { return false }}, payWithoutTheLog,
+			serving.Hooks{Durable: func(identity.CallID, bool) bool { return false }}, payWhileLogUnavailable,
 		},
 		"lost streams are not fenced": {
-			serving.Hooks{Fence: func(identity.StreamID) error { return nil }}, freezeTheOwnerBeforeItsSend,
+			serving.Hooks{Fence: func(identity.StreamID) error { return nil }}, pauseOwnerBeforeSend,
 		},
 		"no look at the lease": {
-			serving.Hooks{CheckLease: func(journal.Shard) error { return nil }}, askAFormerOwner,
+			serving.Hooks{CheckLease: func(journal.Shard) error { return nil }}, queryFormerOwner,
 		},
 		"no release": {
 			serving.Hooks{Release: func(identity.ProgramID) bool { return false }}, endAProgram,
@@ -112,10 +112,10 @@
 func runScenario(t *testing.T, hooks serving.Hooks, run scenario) (seen string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1) // with another engine, the release there would hide a missing fence
+		s := newSite(t, 1) // with two engines, the release at the other one would hide a missing fence
 		defer s.close()
 		s.hooks = hooks
-		s.timing.Audit = time.Hour // the audit would clean up behind the outbox
+		s.timing.Audit = time.Hour // the audit would release the memory in place of the outbox
 		owner, _ := s.open()
 		s.create(owner, p1)
 		seen = run(s, owner)
--- a/internal/serving/watchdog.go
+++ b/internal/serving/watchdog.go
@@ -9,37 +9,37 @@
 	"stepseam.example/stepseam/internal/scheduling"
 )
 
-// errUnresponsive is why an attempt is given up at a back end that no longer
-// answers anybody.
+// errUnresponsive is the cause of abandoning an attempt at an unresponsive back end.
 var errUnresponsive = errors.New("serving: the back end does not respond")
 
-// watchdog gives an attempt up that makes no progress at a back end which the
-// blackboard says is not well. Neither sign alone is enough: a stream may wait
-// long at an engine that is busy, and an ejected engine may still finish it.
+// watchdog abandons an attempt that makes no progress at a back end that the blackboard
+// shows as unhealthy. Either condition alone is insufficient: a stream may wait long at a
+// busy engine, and an ejected engine may still finish it.
 type watchdog struct {
 	driver *driver
 	cancel context.CancelCauseFunc
 	mutex  sync.Mutex
 	timer  *time.Timer
-	// seen is the number of tokens at the last look, progress when it last grew.
-	seen     int
-	progress time.Time
+	// seenTokens is the number of tokens at the last check, progress when it last
+	// changed.
+	seenTokens int
+	progress   time.Time
 }
 
-// watchdogLooks is how often a watchdog looks within the time that counts as a
-// stall, so that a stall is noticed little later than it is one.
-const watchdogLooks = 5
+// watchdogChecksPerStall is the number of checks per stall timeout, which limits the
+// delay in detecting a stall.
+const watchdogChecksPerStall = 5
 
-// watch returns a context that ends when the attempt is given up. An attempt
-// that must not be sent again is left to its answer or to the class's limit.
+// watch returns a context that ends when the attempt is abandoned. An attempt that must
+// not be repeated is never abandoned before the time limit of its class.
 func (d *driver) watch(parent context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
-	if !d.mayRunAgain() {
+	if !d.mayRetry() {
 		return ctx, func() { cancel(nil) }
 	}
-	w := &watchdog{driver: d, cancel: cancel, seen: len(d.run.received()), progress: time.Now()}
+	w := &watchdog{driver: d, cancel: cancel, seenTokens: len(d.run.received()), progress: time.Now()}
 	w.mutex.Lock()
-	w.timer = time.AfterFunc(d.owner().config.Timing.Stall/watchdogLooks, w.check)
+	w.timer = time.AfterFunc(d.owner().config.Timing.Stall/watchdogChecksPerStall, w.check)
 	w.mutex.Unlock()
 	return ctx, func() {
 		w.mutex.Lock()
@@ -53,19 +53,19 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	stall := w.driver.owner().config.Timing.Stall
-	if received := len(w.driver.run.received()); received != w.seen {
-		w.seen, w.progress = received, time.Now()
+	if received := len(w.driver.run.received()); received != w.seenTokens {
+		w.seenTokens, w.progress = received, time.Now()
 	}
 	stalled := time.Since(w.progress) >= stall
 	if stalled && w.driver.owner().unresponsive(w.driver.attempt.Backend, stall) {
 		w.cancel(errUnresponsive)
 		return
 	}
-	w.timer.Reset(stall / watchdogLooks)
+	w.timer.Reset(stall / watchdogChecksPerStall)
 }
 
-// unresponsive tells that the blackboard has given the back end up: it is gone
-// or ejected, or its last report is older than limit.
+// unresponsive reports whether the back end is missing from the blackboard, ejected, or
+// has not reported for longer than limit.
 func (o *Owner) unresponsive(name string, limit time.Duration) bool {
 	known, found := o.config.Board.Backends.Load(name)
 	if !found || known.Health == scheduling.Ejected {
