--- a/internal/serving/audit.go
+++ b/internal/serving/audit.go
@@ -67,7 +67,7 @@
 	client := o.config.Directory.Engine(engine.Address)
 	held, err := client.Held(requestContext)
 	if err != nil {
-		o.logger.Debug("audit: engine did not answer", "backend", engine.Name, "error", err)
+		o.logger.Debug("audit: listing the cache of an engine failed", "backend", engine.Name, "error", err)
 		return
 	}
 	programs := map[identity.ProgramID]struct{}{}
@@ -100,7 +100,7 @@
 		return err
 	}
 	o.metrics.orphans.Inc()
-	o.logger.Info("audit: freed memory that no program owns", "program", id, "backend", engine.Name)
+	o.logger.Info("audit: released the cache of a program that is not alive", "program", id, "backend", engine.Name)
 	return nil
 }
 
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -138,7 +138,7 @@
 	}
 	answer.TokenLengths = program.TokenLengths(tokens, result.Text)
 	if len(answer.TokenLengths) == 0 && len(tokens) > 0 && !strings.HasPrefix(result.Text, strings.Join(tokens, "")) {
-		d.owner().logger.Error("engine's text differs from its tokens", "call", d.run.id, "backend", d.attempt.Backend)
+		d.owner().logger.Error("engine's text does not match its streamed tokens", "call", d.run.id, "backend", d.attempt.Backend)
 	}
 	return attemptResult{status: attemptAnswered, answer: answer}
 }
@@ -222,7 +222,7 @@
 	answer.Run = now.Sub(d.attempt.At)
 	answer.Queued = max(d.attempt.At.Sub(d.run.arrived), 0)
 	if used := int64(answer.Usage.PromptTokens + answer.Usage.CompletionTokens); used > d.attempt.Reserved {
-		s.owner.logger.Error("engine counted more tokens than its call can have", "call", d.run.id,
+		s.owner.logger.Error("engine reported more tokens than were reserved for the call", "call", d.run.id,
 			"backend", d.attempt.Backend, "used", used, "reserved", d.attempt.Reserved)
 	}
 	s.machine.mutex.Lock()
@@ -244,7 +244,7 @@
 // retryElsewhere excludes the back end of an attempt that did not run, so that the next
 // attempt uses another one.
 func (d *driver) retryElsewhere(end attemptResult) (*outcome, bool) {
-	d.logFailure("attempt did not run", end.err)
+	d.logFailure("attempt did not run; trying another back end", end.err)
 	if result := d.recordNotRun(); result != nil {
 		return result, true
 	}
@@ -271,7 +271,7 @@
 // retryLost prepares another attempt of a call whose attempt was lost, if the call may
 // run again and the retry limits allow it.
 func (d *driver) retryLost(end attemptResult) (*outcome, bool) {
-	d.logFailure("attempt lost", end.err)
+	d.logFailure("attempt failed with unknown outcome", end.err)
 	if !d.mayRetry() {
 		return d.outcomeUnknown(fmt.Sprintf("the answer of %s is lost: %s", d.attempt.Backend, end.err)), true
 	}
@@ -330,7 +330,7 @@
 			return d.stoppedOutcome()
 		}
 		if time.Now().After(limit) {
-			d.logFailure("stream not confirmed as cancelled", err)
+			d.logFailure("engine did not confirm the cancellation of a stream before the fence timeout", err)
 			return nil
 		}
 		if result := d.sleep(pause.NextBackOff(), nil); result != nil {
@@ -345,7 +345,7 @@
 	ctx, cancel := context.WithTimeout(s.context, s.owner.config.Timing.RequestTimeout)
 	defer cancel()
 	if err := client.Cancel(ctx, stream); err != nil {
-		s.owner.logger.Info("lost stream not cancelled yet", "stream", stream, "error", err)
+		s.owner.logger.Info("cancellation of a lost stream failed; the release of its branch will stop it", "stream", stream, "error", err)
 	}
 }
 
--- a/internal/serving/drive.go
+++ b/internal/serving/drive.go
@@ -332,7 +332,7 @@
 	case !durable || IsNotOwner(err) || d.shard.context.Err() != nil:
 		return failed(d.shard.notOwner())
 	}
-	d.shard.owner.logger.Warn("unrepeatable call refused: its intent is not durable", "call", d.run.id,
+	d.shard.owner.logger.Warn("unrepeatable call refused: its intent could not be made durable", "call", d.run.id,
 		"shard", d.shard.journal.ID(), "epoch", d.shard.journal.Epoch(), "error", err)
 	if result := d.recordNotRun(); result != nil {
 		return result
--- a/internal/serving/outbox.go
+++ b/internal/serving/outbox.go
@@ -74,7 +74,7 @@
 		if !gone {
 			return false
 		}
-		s.owner.logger.Info("engine is gone and its memory with it", "program", id, "backend", release.Backend,
+		s.owner.logger.Info("engine is not in the machine list; treating its cache as released", "program", id, "backend", release.Backend,
 			"shard", s.journal.ID(), "epoch", s.journal.Epoch())
 	}
 	s.machine.mutex.Lock()
--- a/internal/serving/schedule_test.go
+++ b/internal/serving/schedule_test.go
@@ -306,10 +306,10 @@
 	}
 	named := identity.CallID{Program: id, Branch: identity.BranchID(call.Branch), Sequence: identity.Sequence(call.Sequence)}
 	if ran := len(s.arrivals(named)); ran > 0 {
-		s.fault("%s ran %d times in spite of: %v", named, ran, err)
+		s.fault("%s ran %d times despite: %v", named, ran, err)
 	}
 	if ran := s.ledger.Executions("pay_fee", call.IdempotencyKey); call.IdempotencyKey != "" && ran > 0 {
-		s.fault("%s was paid %d times in spite of: %v", named, ran, err)
+		s.fault("%s was paid %d times despite: %v", named, ran, err)
 	}
 }
 
@@ -330,7 +330,7 @@
 			s.fault("end %s: %v", id, err)
 		}
 		if view.Spent+view.Reserved > view.Budget {
-			s.fault("%s: %d and %d of %d by its own account", id, view.Spent, view.Reserved, view.Budget)
+			s.fault("%s: %d spent and %d reserved tokens exceed the budget of %d", id, view.Spent, view.Reserved, view.Budget)
 		}
 		s.checkBudget(id, int(view.Budget))
 	}
@@ -340,7 +340,7 @@
 func (s *scheduledSite) checkAll(programs []identity.ProgramID) {
 	for _, id := range programs {
 		if held := s.held(id); held != "" {
-			s.fault("%s holds memory at %s", id, held)
+			s.fault("%s has ended and still has cached memory at %s", id, held)
 		}
 		for _, branch := range []identity.BranchID{"main", "sub"} {
 			s.checkOrder(id, branch)
@@ -375,7 +375,7 @@
 		total += arrival.PromptTokens + arrival.Tokens
 	}
 	if total > budget {
-		s.fault("%s: the engines worked off %d tokens of a budget of %d", id, total, budget)
+		s.fault("%s: the engines processed %d tokens, more than the budget of %d", id, total, budget)
 	}
 }
 
@@ -450,7 +450,7 @@
 					return
 				}
 			}
-			t.Errorf("not caught by %d schedules", most)
+			t.Errorf("not detected by %d schedules", most)
 		})
 	}
 }
--- a/internal/serving/shard.go
+++ b/internal/serving/shard.go
@@ -183,7 +183,7 @@
 	}
 	for _, record := range records {
 		if err := s.machine.set.Apply(record); err != nil {
-			s.owner.logger.Error("record does not fit the state", "shard", s.journal.ID(),
+			s.owner.logger.Error("record could not be applied to the state", "shard", s.journal.ID(),
 				"epoch", s.journal.Epoch(), "program", record.Program(), "error", err)
 			return nil, api.NewProblem(api.CodeInternal, "record of program %s: %s", record.Program(), err)
 		}
--- a/internal/serving/site_test.go
+++ b/internal/serving/site_test.go
@@ -334,7 +334,7 @@
 		got.answer, got.err = owner.Call(s.running, serving.CallRequest{Program: id, Call: call, From: from},
 			func(index int, text string) error {
 				if index != from+len(got.tokens) {
-					return fmt.Errorf("token %d came as number %d", index, from+len(got.tokens))
+					return fmt.Errorf("got token %d, want token %d", index, from+len(got.tokens))
 				}
 				got.tokens = append(got.tokens, text)
 				return nil
--- a/internal/serving/takeover.go
+++ b/internal/serving/takeover.go
@@ -117,7 +117,7 @@
 	if !d.mayRetry() {
 		return d.outcomeUnknown("the node that sent it stopped before the answer came")
 	}
-	d.logFailure("stream of the former owner not found", end.err)
+	d.logFailure("stream of the previous owner could not be resumed", end.err)
 	d.lostAttempts++
 	if !errors.Is(end.err, backend.ErrStreamUnknown) && !errors.Is(end.err, backend.ErrStreamCancelled) {
 		d.excluded = append(d.excluded, d.attempt.Backend)
--- a/internal/serving/variants_test.go
+++ b/internal/serving/variants_test.go
@@ -31,7 +31,7 @@
 	s.log.durableDown = true
 	_, _ = s.call(owner, p1, payment(1, "fee-1"))
 	if s.ledger.Executions("pay_fee", "fee-1") > 0 {
-		return "a payment ran that the log does not know"
+		return "a payment ran without a durable intent"
 	}
 	return ""
 }
@@ -47,7 +47,7 @@
 	thaw()
 	time.Sleep(time.Minute)
 	if len(s.arrivals(callID(1))) > 1 {
-		return "a call ran behind the one that follows it"
+		return "a call ran after a later call of its branch"
 	}
 	return ""
 }
@@ -67,7 +67,7 @@
 	_, _ = owner.End(s.running, p1)
 	time.Sleep(10 * time.Second)
 	if s.held(p1) != "" {
-		return "an ended program still holds memory"
+		return "the cache of an ended program was not released"
 	}
 	return ""
 }
@@ -98,13 +98,13 @@
 	for name, variant := range wrong {
 		t.Run(name, func(t *testing.T) {
 			if seen := runScenario(t, serving.Hooks{}, variant.run); seen != "" {
-				t.Errorf("with the right rule: %s", seen)
+				t.Errorf("with the correct rule: %s", seen)
 			}
 			seen := runScenario(t, variant.hooks, variant.run)
 			if seen == "" {
-				t.Error("the wrong variant was not caught")
+				t.Error("the incorrect variant was not detected")
 			}
-			t.Logf("caught: %s", seen)
+			t.Logf("detected: %s", seen)
 		})
 	}
 }
