--- a/internal/node/faces.go
+++ b/internal/node/daemon.go
@@ -24,18 +24,18 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-// The operators' server closes connections that stay silent for so long.
+// Timeouts of the operators' server.
 const (
 	operatorHeaderTimeout = 5 * time.Second
 	operatorIdleTimeout   = time.Minute
-	// closeTimeout bounds the end of what a planned stop leaves over.
+	// closeTimeout bounds the shutdown after the drain.
 	closeTimeout = 5 * time.Second
 )
 
-// DrainRequest carries an operator's request that this node stops as planned.
+// DrainRequest signals that an operator has requested a planned stop of this node.
 type DrainRequest struct{ requested chan struct{} }
 
-// request may be called any number of times.
+// request is idempotent.
 func (d *DrainRequest) request() {
 	select {
 	case d.requested <- struct{}{}:
@@ -43,8 +43,8 @@
 	}
 }
 
-// provideFaces registers the two HTTP faces of a node.
-func provideFaces(injector do.Injector) {
+// provideHTTP registers the gateway for callers and the HTTP interface for operators.
+func provideHTTP(injector do.Injector) {
 	do.ProvideValue(injector, &DrainRequest{requested: make(chan struct{}, 1)})
 	do.Provide(injector, provideGateway)
 	do.Provide(injector, provideOperator)
@@ -83,7 +83,7 @@
 	}, do.MustInvoke[*peer.Registry](injector)), nil
 }
 
-// Daemon is a node with its HTTP faces, as stepseamd runs it.
+// Daemon is a node with its HTTP servers, as stepseamd runs it.
 type Daemon struct {
 	node         *Node
 	settings     settings.Settings
@@ -93,7 +93,7 @@
 	logger       *slog.Logger
 }
 
-// BuildDaemon makes a node and its faces. Nothing runs before Run.
+// BuildDaemon builds a node and its HTTP servers. It starts nothing; Run does.
 func BuildDaemon(injector do.Injector) (*Daemon, error) {
 	daemon := &Daemon{}
 	var operators *operator.Operator
@@ -122,8 +122,8 @@
 	return daemon, nil
 }
 
-// Run serves until ctx ends or an operator drains the node, then stops as
-// planned: no request in flight is cut off unless drain.timeout runs out.
+// Run serves until ctx ends, an operator drains the node or a component fails, and then
+// performs a planned stop: requests in flight are completed unless drain.timeout passes.
 func (d *Daemon) Run(ctx context.Context) error {
 	callers, err := net.Listen("tcp", d.settings.Addresses.Callers.String())
 	if err != nil {
@@ -150,8 +150,8 @@
 	return errors.Join(err, d.stop())
 }
 
-// stop is the planned stop. New requests are refused from its start; those under
-// way are finished, their shards handed over meanwhile.
+// stop performs the planned stop. It rejects new requests from its start and completes
+// those in flight, while their shards are handed over.
 func (d *Daemon) stop() error {
 	began := time.Now()
 	d.logger.Info("planned stop begins", "node", d.node.self.Name, "timeout", d.settings.Drain.Timeout)
--- a/internal/node/outside.go
+++ b/internal/node/network.go
@@ -17,30 +17,29 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// Network is how a node reaches other nodes and is reached by them. The daemon
-// takes sockets, simulations an in-memory one.
+// Network connects a node with the other nodes. The daemon uses sockets, simulations an
+// in-memory network.
 type Network interface {
-	// Client sends requests to other nodes.
+	// Client returns the client for requests to other nodes.
 	Client() peer.Client
-	// Packets is the socket of membership's datagrams.
+	// Packets returns the datagram socket of the membership protocol.
 	Packets() membership.PacketConn
-	// Serve takes other nodes' requests until Close, in the background.
+	// Serve handles the requests of other nodes in the background until Close.
 	Serve() error
-	// Shutdown refuses new requests and waits for those under way, or for ctx.
+	// Shutdown rejects new requests and waits for those in flight or until ctx ends.
 	Shutdown(ctx context.Context) error
-	// Close ends everything at once.
+	// Close stops everything immediately.
 	Close()
 }
 
-// sockets is the Network of a daemon: peer protocol over TCP, datagrams over UDP.
+// sockets is the Network of a daemon: the peer protocol over TCP and datagrams over UDP.
 type sockets struct {
 	transport *peer.Transport
 	listener  net.Listener
 	packets   *net.UDPConn
 }
 
-// provideNetwork binds the node's addresses, so that a taken port fails the
-// start and not a request.
+// provideNetwork binds the node's addresses, so that an occupied port fails at startup.
 func provideNetwork(injector do.Injector) (Network, error) {
 	chosen, err := do.Invoke[settings.Settings](injector)
 	if err != nil {
@@ -73,7 +72,7 @@
 
 // Serve implements Network.
 func (s *sockets) Serve() error {
-	go func() { _ = s.transport.Serve(s.listener) }() // ends with Close; errors of single connections are counted there
+	go func() { _ = s.transport.Serve(s.listener) }() // ends with Close; the transport counts the errors of connections
 	return nil
 }
 
@@ -83,12 +82,13 @@
 // Close implements Network.
 func (s *sockets) Close() {
 	s.transport.Close()
-	_ = s.listener.Close() // closed by Shutdown already in a planned stop
+	_ = s.listener.Close() // already closed by Shutdown in a planned stop
 	_ = s.packets.Close()
 }
 
-// provideOutside registers the HTTP clients of platform and back ends.
-func provideOutside(injector do.Injector) {
+// providePlatform registers the network and the clients of the platform services and back
+// ends.
+func providePlatform(injector do.Injector) {
 	do.Provide(injector, func(i do.Injector) (siteservices.Log, error) {
 		chosen := do.MustInvoke[settings.Settings](i)
 		return siteservices.NewLogClient(clientOptions(i, chosen.Platform.LogService)), nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node builds a whole stepseam node from its settings, starts it and
-// stops it as planned. Everything is wired in a container of samber/do, so that
-// a test or a simulation may build nodes on stand-ins, many in one process.
+// Package node builds a stepseam node from its settings, starts it and stops it. All
+// services are wired in a samber/do container, so that a test or a simulation can replace
+// outside systems by emulators and build many nodes in one process.
 package node
 
 import (
@@ -25,8 +25,8 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// Node is one node without its HTTP faces. It is built by Build, started by
-// Start and ended by Drain and Close, or by Close alone, as a kill would.
+// Node is a node without its HTTP servers. Build creates it and Start starts it. Drain
+// followed by Close is a planned stop; for the other nodes, Close alone is like a kill.
 type Node struct {
 	self      identity.Node
 	board     *blackboard.Board
@@ -42,14 +42,14 @@
 	directory backend.Directory
 	logger    *slog.Logger
 
-	// failed takes the first error that ended a controller.
+	// failed receives the first error of a controller.
 	failed chan error
 	stop   context.CancelFunc
 	loops  sync.WaitGroup
 }
 
-// Build makes every service of the node. Nothing runs and nothing is sent
-// before Start, but the node's addresses are bound.
+// Build creates all services of the node. It binds the node's addresses but runs and
+// sends nothing before Start.
 func Build(injector do.Injector) (*Node, error) {
 	built := &Node{failed: make(chan error, 1)}
 	resolve := []func() error{
@@ -83,7 +83,7 @@
 	}
 }
 
-// Start begins to serve and to run all controllers, in the background.
+// Start serves other nodes and runs all controllers in the background.
 func (n *Node) Start(ctx context.Context) error {
 	ctx, n.stop = context.WithCancel(ctx)
 	if err := n.network.Serve(); err != nil {
@@ -108,17 +108,16 @@
 			n.logger.Error("controller ended", "controller", name, "error", err)
 			select {
 			case n.failed <- fmt.Errorf("node: controller %s: %w", name, err):
-			default: // an earlier one stands
+			default: // the first error is kept
 			}
 		}
 	})
 }
 
-// Drain is the planned stop up to the point where nothing needs this node any
-// more: new requests are refused as not run, the other nodes are told, the
-// shards are handed over with their calls, and requests that other nodes sent
-// here are finished. Callers' requests under way here go on meanwhile, through
-// forwarding to the shards' next owners.
+// Drain performs the planned stop up to the point where this node owns no shard: it
+// rejects new requests as not run, announces that the node is leaving and hands over its
+// shards with their calls. Requests of callers in flight on this node continue meanwhile
+// and are forwarded to the next owners of their shards.
 func (n *Node) Drain(ctx context.Context) error {
 	began := time.Now()
 	n.board.Draining.Store(true)
@@ -131,8 +130,9 @@
 	return nil
 }
 
-// Close ends everything at once. What was not handed over is taken over by other
-// nodes when the leases lapse.
+// Close waits until ctx ends for the requests of other nodes in flight and then stops
+// everything. Other nodes take over the shards that were not handed over once the leases
+// lapse.
 func (n *Node) Close(ctx context.Context) {
 	if err := n.network.Shutdown(ctx); err != nil {
 		n.logger.Warn("requests of other nodes were cut off", "error", err)
@@ -144,26 +144,27 @@
 	n.network.Close()
 }
 
-// Programs is the callers' interface to every program of the site.
+// Programs returns the operations on every program of the site.
 func (n *Node) Programs() serving.Programs { return n.forwarder }
 
-// Board is the node's shared state.
+// Board returns the shared state cells of the node.
 func (n *Node) Board() *blackboard.Board { return n.board }
 
-// Tables follows and publishes the operators' table.
+// Tables returns the controller that watches and publishes the operators' table.
 func (n *Node) Tables() *tables.Controller { return n.tables }
 
-// Journal holds this node's shards.
+// Journal returns the manager of this node's shards.
 func (n *Node) Journal() *journal.Manager { return n.journal }
 
-// Owner runs the programs of this node's shards.
+// Owner returns the service that runs the programs of this node's shards.
 func (n *Node) Owner() *serving.Owner { return n.owner }
 
-// Models places models and adapters on engines.
+// Models returns the controller that places models and adapters on engines.
 func (n *Node) Models() *models.Controller { return n.models }
 
-// Failed gives the first error that ended a controller; the node should stop then.
+// Failed returns a channel with the first error that ended a controller. The node should
+// stop then.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// Self is this life of the node.
+// Self returns the identity of this incarnation of the node.
 func (n *Node) Self() identity.Node { return n.self }
--- a/internal/node/providers.go
+++ b/internal/node/providers.go
@@ -31,13 +31,13 @@
 
 type platformAddress = netip.AddrPort
 
-// Seed makes a node's random choices repeatable; simulations override it.
+// Seed seeds the random choices of a node; simulations override it for reproducibility.
 type Seed uint64
 
-// NewInjector returns a container that provides every service of one node.
-// Whatever touches the outside (Network, siteservices.Log, siteservices.MachineList,
-// siteservices.WeightStore, backend.Directory) and the seed may be overridden
-// before Build, which is how a whole node runs inside a test.
+// NewInjector returns a container that provides all services of one node. A test may
+// override the seed and everything that connects to other systems before Build: Network,
+// siteservices.Log, siteservices.MachineList, siteservices.WeightStore and
+// backend.Directory.
 func NewInjector(chosen settings.Settings, logger *slog.Logger) do.Injector {
 	injector := do.New()
 	do.ProvideValue(injector, chosen)
@@ -56,7 +56,7 @@
 	do.ProvideValue(injector, models.Hooks{})
 	do.ProvideValue(injector, models.NewDemand())
 	do.ProvideValue[scheduling.Policy](injector, scheduling.NewStepseam())
-	provideOutside(injector)
+	providePlatform(injector)
 	do.Provide(injector, provideOwner)
 	do.Provide(injector, provideJournal)
 	do.Provide(injector, provideForwarder)
@@ -65,7 +65,7 @@
 	do.Provide(injector, provideMembers)
 	do.Provide(injector, provideBackends)
 	do.Provide(injector, provideModels)
-	provideFaces(injector)
+	provideHTTP(injector)
 	return injector
 }
 
@@ -79,7 +79,7 @@
 		Policy:     do.MustInvoke[scheduling.Policy](injector),
 		Logger:     componentLogger(injector, "serving"),
 		Registerer: do.MustInvoke[*prometheus.Registry](injector),
-		// The forwarder needs the owner, so it is asked for only when the audit runs.
+		// The forwarder depends on the owner, so it is resolved only when the audit runs.
 		ProgramAlive: func(ctx context.Context, program identity.ProgramID) (bool, bool, error) {
 			forwarder, err := do.Invoke[*forwarding.Forwarder](injector)
 			if err != nil {
@@ -87,7 +87,7 @@
 			}
 			return forwarder.ProgramAlive(ctx, program)
 		},
-		// The model controller needs the journal, which needs the owner.
+		// The model controller depends on the journal, which depends on the owner.
 		ModelWait: func(model, adapter string) (time.Duration, bool) {
 			controller, err := do.Invoke[*models.Controller](injector)
 			if err != nil {
--- a/internal/serving/programs.go
+++ b/internal/serving/programs.go
@@ -63,12 +63,12 @@
 	if err != nil {
 		return api.Program{}, err
 	}
-	view, held, err := s.create(request)
+	view, pending, err := s.create(request)
 	s.machine.mutex.Unlock()
 	if err != nil {
 		return api.Program{}, err
 	}
-	return s.afterCommit(ctx, view, held)
+	return s.afterCommit(ctx, view, pending)
 }
 
 func (s *shard) create(request CreateRequest) (api.Program, *pendingCommit, error) {
@@ -95,8 +95,8 @@
 	if err != nil {
 		return api.Program{}, nil, err
 	}
-	held := s.trackCommit(request.ID, wait)
-	return s.view(s.machine.set.Get(request.ID)), held, nil
+	pending := s.trackCommit(request.ID, wait)
+	return s.view(s.machine.set.Get(request.ID)), pending, nil
 }
 
 // Get implements Programs.
@@ -110,9 +110,9 @@
 		s.machine.mutex.Unlock()
 		return api.Program{}, s.unknownProgram(id)
 	}
-	view, held := s.view(p), s.entryOf(id).pending
+	view, pending := s.view(p), s.entryOf(id).pending
 	s.machine.mutex.Unlock()
-	return s.afterCommit(ctx, view, held)
+	return s.afterCommit(ctx, view, pending)
 }
 
 // unknownProgram returns the error for a program that does not exist. It is authoritative
@@ -145,12 +145,12 @@
 		return api.Program{}, s.unknownProgram(id)
 	}
 	err = s.end(p, state)
-	view, held := s.view(p), s.entryOf(id).pending
+	view, pending := s.view(p), s.entryOf(id).pending
 	s.machine.mutex.Unlock()
 	if err != nil {
 		return api.Program{}, err
 	}
-	return s.afterCommit(ctx, view, held)
+	return s.afterCommit(ctx, view, pending)
 }
 
 // end ends a running program; it does nothing if the program has ended. Model calls in
