--- a/internal/forwarding/bench_test.go
+++ b/internal/forwarding/bench_test.go
@@ -15,13 +15,13 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// instant is an owner whose calls answer at once.
-type instant struct {
+// instantOwner is an owner that responds immediately.
+type instantOwner struct {
 	owner
 	tokens int
 }
 
-func (o *instant) Call(_ context.Context, request serving.CallRequest, onToken serving.TokenFunc) (api.Answer, error) {
+func (o *instantOwner) Call(_ context.Context, request serving.CallRequest, onToken serving.TokenFunc) (api.Answer, error) {
 	if err := o.check(false); err != nil {
 		return api.Answer{}, err
 	}
@@ -33,8 +33,8 @@
 	return api.Answer{Program: string(request.Program), Text: "answer"}, nil
 }
 
-// BenchmarkCall measures a call at this node's owner, at another node's over
-// loopback TCP, and there with 100 tokens.
+// BenchmarkCall measures a call at the local owner, at a remote owner over loopback TCP,
+// and there with 100 tokens.
 func BenchmarkCall(b *testing.B) {
 	for _, bench := range []struct {
 		name   string
@@ -58,7 +58,8 @@
 	}
 }
 
-// loopbackPair returns node a's forwarder; nodes a and b talk over loopback TCP.
+// loopbackPair returns the forwarder of node a, which is connected to node b over
+// loopback TCP.
 func loopbackPair(b *testing.B, ownerName identity.NodeName, tokens int) *forwarding.Forwarder {
 	b.Helper()
 	shared := &site{owner: ownerName}
@@ -74,7 +75,7 @@
 		transport := peer.NewTransport(registry, peer.Options{})
 		forwarders = append(forwarders, forwarding.New(forwarding.Config{
 			Self: identity.Reference{Name: name}, ShardCount: 1,
-			Local: &instant{owner: owner{site: shared, name: name}, tokens: tokens}, Client: transport, Board: blackboard.NewBoard(),
+			Local: &instantOwner{owner: owner{site: shared, name: name}, tokens: tokens}, Client: transport, Board: blackboard.NewBoard(),
 			Ranks: func(identity.ShardID, membership.View, int) []identity.Node { return nodes },
 		}, registry))
 		go func() { _ = transport.Serve(listener) }()
--- a/internal/forwarding/codec.go
+++ b/internal/forwarding/codec.go
@@ -7,7 +7,7 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// The smallest encoded sizes of list elements, for wire.Decoder.Count.
+// The minimum encoded sizes of list elements, for wire.Decoder.Count.
 const (
 	minMessageBytes = 8
 	minFindingBytes = 8
--- a/internal/forwarding/forwarder.go
+++ b/internal/forwarding/forwarder.go
@@ -1,11 +1,11 @@
-// Package forwarding takes any request about any program on any node and brings
-// it to the owner of the program's shard.
+// Package forwarding accepts requests about any program on any node and routes them to
+// the owner of the program's shard.
 //
-// The owner is looked for where hints say, then in the order of placement. A
-// node that is asked and does not own the shard answers with a hint and never
-// passes a request on itself, so requests cannot circle. While a shard changes
-// hands, the request is repeated unchanged at the next owner, who joins, replays
-// or runs it; the caller gets one whole answer or is told that it was cut off.
+// The owner is looked up first by hints, then in placement order. A node that receives a
+// request for a shard that it does not own responds with a hint and never forwards the
+// request, so requests cannot loop. While a shard changes owners, the request is repeated
+// unchanged at the next owner, which joins, replays or runs it. The caller gets one
+// complete answer, or an error that says that the answer was interrupted.
 package forwarding
 
 import (
@@ -28,31 +28,32 @@
 )
 
 const (
-	// ranksAsked is how many nodes of the placement's order are asked.
-	ranksAsked = 4
-	// maxCandidates bounds the nodes asked in one round, hints included.
+	// maxRankedNodes is how many nodes in placement order are tried.
+	maxRankedNodes = 4
+	// maxCandidates limits the nodes tried in one round, including hints.
 	maxCandidates = 8
 )
 
-// Timing holds the forwarder's times; zero fields take their defaults.
+// Timing holds the timeouts and intervals of the forwarder; zero fields take their
+// defaults.
 type Timing struct {
-	// FirstPause and MaxPause bound the growing pauses between rounds.
+	// FirstPause and MaxPause bound the backoff between rounds.
 	FirstPause time.Duration
 	MaxPause   time.Duration
-	// Jitter is the share by which a pause varies; below 0 is none at all.
+	// Jitter is the randomization factor of the backoff; a negative value disables it.
 	Jitter float64
-	// Patience is how long a shard without an owner is waited for; it covers a
-	// planned hand-over and most takeovers.
+	// Patience is how long an owner is searched for. It covers a planned handover and
+	// most takeovers.
 	Patience time.Duration
-	// OwnerlessPatience is the same within OwnerlessMemory of another request's
-	// search that failed.
+	// OwnerlessPatience replaces Patience within OwnerlessMemory after the search of
+	// another request has failed.
 	OwnerlessPatience time.Duration
 	OwnerlessMemory   time.Duration
-	// AcceptedPatience is the same for a request that an owner may have taken up.
+	// AcceptedPatience replaces Patience for a call that an owner may have accepted.
 	AcceptedPatience time.Duration
-	// RetryAfter is when callers who met no owner should come back.
+	// RetryAfter is the retry delay of callers for which no owner was found.
 	RetryAfter time.Duration
-	// AliveTimeout bounds one question of the audit.
+	// AliveTimeout bounds one ProgramAlive query.
 	AliveTimeout time.Duration
 }
 
@@ -69,58 +70,59 @@
 	return t
 }
 
-// Config is what a Forwarder needs; OwnerHint and Logger may be nil.
+// Config configures a Forwarder; OwnerHint and Logger may be nil.
 type Config struct {
 	Self       identity.Reference
 	ShardCount int
-	// Local serves the shards that this node owns; for others it fails with
-	// journal.ErrNotOwner at once.
+	// Local serves the shards that this node owns. For other shards it fails immediately
+	// with journal.ErrNotOwner.
 	Local  serving.Programs
 	Client peer.Client
 	Board  *blackboard.Board
-	// OwnerHint is what the journal knows of a shard's owner.
+	// OwnerHint returns the owner of a shard according to the journal, which may be
+	// stale.
 	OwnerHint func(shard identity.ShardID) (node identity.Node, epoch identity.Epoch, found bool)
-	// Ranks is the placement's order of nodes for a shard.
+	// Ranks returns the first n nodes for a shard in placement order.
 	Ranks  func(shard identity.ShardID, view membership.View, n int) []identity.Node
 	Logger *slog.Logger
 	Timing Timing
 }
 
-// Forwarder implements serving.Programs for every shard of the site. It is safe
-// for concurrent use; who owns what is kept in the blackboard's Owners.
+// Forwarder implements serving.Programs for every shard of the site. It is safe for
+// concurrent use. Known owners are cached in the Owners cell of the blackboard.
 type Forwarder struct {
 	config Config
-	// vacant holds when a search for a shard's owner failed last.
-	vacant *blackboard.Map[identity.ShardID, time.Time]
-	// seen holds the tries of other nodes that were delivered here; tries numbers
-	// those of this node.
-	seen  seen
-	tries atomic.Uint64
+	// ownerlessSince is when the last search for a shard's owner failed.
+	ownerlessSince *blackboard.Map[identity.ShardID, time.Time]
+	// deliveries records the attempts of other nodes that were delivered to this node;
+	// attempts numbers the attempts of this node.
+	deliveries deliveryLog
+	attempts   atomic.Uint64
 }
 
-// New returns a forwarder and adds its messages and handlers to registry.
+// New returns a forwarder and registers its messages and handlers.
 func New(config Config, registry *peer.Registry) *Forwarder {
 	config.Timing = config.Timing.withDefaults()
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
 	}
-	f := &Forwarder{config: config, vacant: blackboard.NewMap[identity.ShardID, time.Time]()}
-	f.tries.Store(firstTry(config.Self))
+	f := &Forwarder{config: config, ownerlessSince: blackboard.NewMap[identity.ShardID, time.Time]()}
+	f.attempts.Store(firstAttempt(config.Self))
 	addMessages(registry)
 	f.addHandlers(registry)
 	return f
 }
 
-// firstTry spreads the numbers of nodes and of their lives over all numbers, so
-// that no two meet.
-func firstTry(self identity.Reference) uint64 {
+// firstAttempt derives the first attempt number from the node's name and incarnation, so
+// that the number ranges of different nodes and incarnations practically never overlap.
+func firstAttempt(self identity.Reference) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s/%d", self.Name, self.Incarnation))
 }
 
 // Create implements serving.Programs.
 func (f *Forwarder) Create(ctx context.Context, request serving.CreateRequest) (api.Program, error) {
 	message := &createMessage{program: request.ID, tenant: request.Tenant, class: request.Class}
-	return f.onProgram(ctx, request.ID, message, func(ctx context.Context) (api.Program, error) {
+	return f.requestProgram(ctx, request.ID, message, func(ctx context.Context) (api.Program, error) {
 		return f.config.Local.Create(ctx, request)
 	})
 }
@@ -142,7 +144,7 @@
 
 func (f *Forwarder) act(ctx context.Context, program identity.ProgramID, wanted action) (api.Program, error) {
 	message := &programMessage{program: program, action: wanted}
-	return f.onProgram(ctx, program, message, func(ctx context.Context) (api.Program, error) {
+	return f.requestProgram(ctx, program, message, func(ctx context.Context) (api.Program, error) {
 		return f.actLocally(ctx, message)
 	})
 }
@@ -158,16 +160,16 @@
 	}
 }
 
-// onProgram runs a request whose answer is a program.
-func (f *Forwarder) onProgram(ctx context.Context, program identity.ProgramID, message peer.Message, local func(context.Context) (api.Program, error)) (api.Program, error) {
+// requestProgram runs a request whose result is a program.
+func (f *Forwarder) requestProgram(ctx context.Context, program identity.ProgramID, message peer.Message, local func(context.Context) (api.Program, error)) (api.Program, error) {
 	var result api.Program
-	search := &search{forwarder: f, shard: program.Shard(f.config.ShardCount), try: func(ctx context.Context, at candidate) error {
+	search := &search{forwarder: f, shard: program.Shard(f.config.ShardCount), attempt: func(ctx context.Context, at candidate) error {
 		if at.local {
 			found, err := local(ctx)
 			result = found
 			return f.localError(program, err)
 		}
-		outcome, err := f.ask(ctx, at, message, nil)
+		outcome, err := f.callNode(ctx, at, message, nil)
 		if err == nil {
 			result = outcome.program
 		}
@@ -179,12 +181,12 @@
 	return result, nil
 }
 
-// Call implements serving.Programs. Whatever becomes of owners and connections,
-// the request is repeated with its sequence and body unchanged, so it runs once.
+// Call implements serving.Programs. When owners or connections fail, the request is
+// repeated with the same sequence and body, so that it runs once.
 func (f *Forwarder) Call(ctx context.Context, request serving.CallRequest, onToken serving.TokenFunc) (api.Answer, error) {
 	tokens := newStream(request.From, onToken)
 	started := time.Now()
-	return f.onCall(ctx, request.Program, tokens, func(ctx context.Context, at candidate, onToken serving.TokenFunc) (api.Answer, error) {
+	return f.requestAnswer(ctx, request.Program, tokens, func(ctx context.Context, at candidate, onToken serving.TokenFunc) (api.Answer, error) {
 		call := request.Call
 		call.DeadlineSeconds = remaining(call.DeadlineSeconds, started)
 		if at.local {
@@ -192,7 +194,7 @@
 			return answer, f.localError(request.Program, err)
 		}
 		message := &callMessage{program: request.Program, call: call, from: request.From, tokens: onToken != nil}
-		outcome, err := f.ask(ctx, at, message, onToken)
+		outcome, err := f.callNode(ctx, at, message, onToken)
 		if err != nil {
 			return api.Answer{}, err
 		}
@@ -200,28 +202,27 @@
 	})
 }
 
-// shortestDeadline is given to an owner that is found at the last moment; 0
-// would mean none.
-const shortestDeadline = time.Millisecond
+// minDeadline is the smallest deadline sent to an owner, since 0 means no deadline.
+const minDeadline = time.Millisecond
 
-// remaining shortens the caller's deadline by the time spent looking for an
-// owner. The deadline is no part of what makes two bodies the same.
+// remaining reduces the caller's deadline by the time spent searching for an owner. The
+// deadline is not part of the digest that detects changed bodies.
 func remaining(seconds float64, started time.Time) float64 {
 	if seconds <= 0 {
 		return seconds
 	}
-	return max(seconds-time.Since(started).Seconds(), shortestDeadline.Seconds())
+	return max(seconds-time.Since(started).Seconds(), minDeadline.Seconds())
 }
 
 // Fetch implements serving.Programs.
 func (f *Forwarder) Fetch(ctx context.Context, request serving.FetchRequest, onToken serving.TokenFunc) (api.Answer, error) {
 	tokens := newStream(request.From, onToken)
-	return f.onCall(ctx, request.Call.Program, tokens, func(ctx context.Context, at candidate, onToken serving.TokenFunc) (api.Answer, error) {
+	return f.requestAnswer(ctx, request.Call.Program, tokens, func(ctx context.Context, at candidate, onToken serving.TokenFunc) (api.Answer, error) {
 		if at.local {
 			answer, err := f.config.Local.Fetch(ctx, request, onToken)
 			return answer, f.localError(request.Call.Program, err)
 		}
-		outcome, err := f.ask(ctx, at, &fetchMessage{call: request.Call, from: request.From, tokens: onToken != nil}, onToken)
+		outcome, err := f.callNode(ctx, at, &fetchMessage{call: request.Call, from: request.From, tokens: onToken != nil}, onToken)
 		if err != nil {
 			return api.Answer{}, err
 		}
@@ -231,19 +232,20 @@
 
 type answerFunc func(ctx context.Context, at candidate, onToken serving.TokenFunc) (api.Answer, error)
 
-// onCall runs a request whose answer is a call's, with its tokens before it.
-func (f *Forwarder) onCall(ctx context.Context, program identity.ProgramID, tokens *stream, ask answerFunc) (api.Answer, error) {
+// requestAnswer runs a request whose result is the answer of a call, preceded by its
+// tokens.
+func (f *Forwarder) requestAnswer(ctx context.Context, program identity.ProgramID, tokens *stream, send answerFunc) (api.Answer, error) {
 	var result api.Answer
 	search := &search{forwarder: f, shard: program.Shard(f.config.ShardCount), isCall: true}
-	search.try = func(ctx context.Context, at candidate) error {
+	search.attempt = func(ctx context.Context, at candidate) error {
 		onToken, finish := tokens.tokenFunc()
-		answer, err := ask(ctx, at, onToken)
+		answer, err := send(ctx, at, onToken)
 		if err == nil {
 			err = finish()
 		}
 		switch {
-		case tokens.refused != nil:
-			return api.NewProblem(api.CodeInterrupted, "the caller takes no more tokens: %s", tokens.refused)
+		case tokens.callerErr != nil:
+			return api.NewProblem(api.CodeInterrupted, "the caller takes no more tokens: %s", tokens.callerErr)
 		case tokens.diverged:
 			return api.NewProblem(api.CodeInterrupted, "the answer was begun anew after %d tokens; fetch it again from its first token", tokens.next).
 				WithRetryAfter(f.config.Timing.RetryAfter)
@@ -257,8 +259,8 @@
 	return result, nil
 }
 
-// ask makes one request at another node.
-func (f *Forwarder) ask(ctx context.Context, at candidate, message peer.Message, onToken serving.TokenFunc) (*outcomeMessage, error) {
+// callNode sends one request to another node and returns its outcome.
+func (f *Forwarder) callNode(ctx context.Context, at candidate, message peer.Message, onToken serving.TokenFunc) (*outcomeMessage, error) {
 	var onPart func(peer.Message) error
 	if onToken != nil {
 		onPart = func(part peer.Message) error {
@@ -269,8 +271,8 @@
 			return onToken(token.index, token.text)
 		}
 	}
-	if tried, changes := message.(numbered); changes {
-		tried.setTry(f.tries.Add(1))
+	if tried, changes := message.(numberedMessage); changes {
+		tried.setAttempt(f.attempts.Add(1))
 	}
 	answer, err := f.config.Client.Call(ctx, at.hint.peer, message, onPart)
 	if err != nil {
@@ -290,8 +292,8 @@
 	}
 }
 
-// ProgramAlive asks the owner whether a program runs, for the audit of engine
-// memory. known is false where no owner could say for certain.
+// ProgramAlive queries the owner for whether a program runs, for the audit of engine
+// memory. known is false if no owner gave an authoritative answer.
 func (f *Forwarder) ProgramAlive(ctx context.Context, program identity.ProgramID) (alive, known bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, f.config.Timing.AliveTimeout)
 	defer cancel()
--- a/internal/forwarding/forwarder_test.go
+++ b/internal/forwarding/forwarder_test.go
@@ -25,13 +25,13 @@
 	return whole
 }
 
-// caller collects the tokens that it is given.
+// caller collects the tokens that it receives and checks their order.
 type caller struct {
 	next int
 	text string
 }
 
-func (c *caller) take(index int, text string) error {
+func (c *caller) onToken(index int, text string) error {
 	if index != c.next {
 		return errors.New("token out of order")
 	}
@@ -53,13 +53,13 @@
 	return problem
 }
 
-func TestAnyNodeReachesTheOwnerAndRemembersIt(t *testing.T) {
+func TestAnyNodeFindsAndCachesOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, "a", "b", "c")
 		for _, name := range []identity.NodeName{"a", "b", "c"} {
 			var got caller
-			answer, err := s.forwarders[name].Call(t.Context(), request(1), got.take)
+			answer, err := s.forwarders[name].Call(t.Context(), request(1), got.onToken)
 			is.NoErr(err)
 			is.Equal(answer.Text, wholeText())
 			is.Equal(got.text, wholeText())
@@ -72,7 +72,7 @@
 		_, err = s.forwarders["a"].End(t.Context(), testProgram)
 		is.NoErr(err)
 		after, _ := s.endpoints["a"].Sent()
-		is.Equal(after-sent, int64(1)) // straight to the remembered owner
+		is.Equal(after-sent, int64(1)) // directly to the cached owner
 
 		s.move("b")
 		program, err = s.forwarders["a"].Cancel(t.Context(), testProgram)
@@ -95,16 +95,16 @@
 		})
 		time.AfterFunc(8*time.Second, func() { s.move("b") })
 		got := caller{next: 2}
-		asked := request(1)
-		asked.From = 2 // the caller has two tokens from before
-		answer, err := s.forwarders["a"].Call(t.Context(), asked, got.take)
+		call := request(1)
+		call.From = 2 // the caller already has two tokens
+		answer, err := s.forwarders["a"].Call(t.Context(), call, got.onToken)
 		is.NoErr(err)
 		is.Equal(answer.Backend, "b")
 		is.Equal(tokenText(0)+tokenText(1)+got.text, wholeText())
 	})
 }
 
-func TestOwnerFrozenMidStream(t *testing.T) {
+func TestOwnerPausedMidStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, "a", "b", "c")
@@ -112,7 +112,7 @@
 		time.AfterFunc(3*time.Second, func() { s.move("b") })
 		time.AfterFunc(time.Minute, s.endpoints["c"].Thaw)
 		var got caller
-		_, err := s.forwarders["a"].Call(t.Context(), request(1), got.take)
+		_, err := s.forwarders["a"].Call(t.Context(), request(1), got.onToken)
 		is.NoErr(err)
 		is.Equal(got.text, wholeText())
 		time.Sleep(2 * time.Minute)
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestAnswerBegunAnewIsNeverMixed(t *testing.T) {
+func TestDivergingAnswerInterruptsStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, "a", "b", "c")
@@ -131,7 +131,7 @@
 			s.move("b")
 		})
 		var got caller
-		_, err := s.forwarders["a"].Call(t.Context(), request(1), got.take)
+		_, err := s.forwarders["a"].Call(t.Context(), request(1), got.onToken)
 		problem := problemOf(t, err)
 		is.Equal(problem.Code, api.CodeInterrupted)
 		is.Equal(problem.NotRun, false)
@@ -159,7 +159,7 @@
 		is.True(problem.RetryAfter > 0)
 		is.True(time.Since(start) > 7*time.Second && time.Since(start) <= 8*time.Second)
 
-		// A call that an owner took up and did not finish may have run.
+		// A call that an owner accepted and did not finish may have run.
 		s.move("c")
 		time.AfterFunc(time.Second, func() { s.move("") })
 		_, err = s.forwarders["a"].Call(t.Context(), request(1), nil)
@@ -169,9 +169,9 @@
 	})
 }
 
-// In a long outage a request is refused at once; the first one that finds an
-// owner ends that.
-func TestLongOutagesAreAnsweredAtOnce(t *testing.T) {
+// After one search has failed, later requests must fail immediately until one of them
+// finds an owner.
+func TestRequestsFailFastDuringLongOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, "a", "b", "c")
@@ -193,28 +193,28 @@
 		s.move("")
 		time.AfterFunc(3*time.Second, func() { s.move("c") })
 		_, err = s.forwarders["a"].Call(t.Context(), request(1), nil)
-		is.NoErr(err) // a hand-over is waited for again
+		is.NoErr(err) // a search waits for a handover again
 	})
 }
 
-func TestDeadlineShrinksWhileTheOwnerIsSought(t *testing.T) {
+func TestDeadlineShrinksDuringOwnerSearch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, "a", "b", "c")
 		s.move("")
 		time.AfterFunc(3*time.Second, func() { s.move("b") })
-		asked := request(1)
-		asked.Call.DeadlineSeconds = 10
-		_, err := s.forwarders["a"].Call(t.Context(), asked, nil)
+		call := request(1)
+		call.Call.DeadlineSeconds = 10
+		_, err := s.forwarders["a"].Call(t.Context(), call, nil)
 		is.NoErr(err)
 		is.Equal(len(s.deadlines), 1)
 		is.True(s.deadlines[0] > 6 && s.deadlines[0] <= 7)
 	})
 }
 
-// A request whose answer was lost may still be taken up late, so a refusal that
-// comes after it is not certain any more.
-func TestRefusalAfterALostAnswerIsNotCertain(t *testing.T) {
+// A request whose response was lost may still be delivered, so a rejection of a later
+// attempt must not claim not_run.
+func TestRejectionAfterLostResponseIsInconclusive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, "a", "b")
@@ -234,7 +234,7 @@
 	})
 }
 
-func TestLateDuplicatesOfRefusedCallsDoNotRun(t *testing.T) {
+func TestDelayedDuplicatesOfRejectedCallsDoNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, "a", "b")
@@ -252,11 +252,11 @@
 			is.Equal(s.executions(sequence), 0)
 		}
 		_, err := s.forwarders["a"].Call(t.Context(), request(1), nil)
-		is.NoErr(err) // the caller's own repeat is another try
+		is.NoErr(err) // a repeat by the caller is a new attempt
 	})
 }
 
-func TestCallerLeavingReachesTheOwner(t *testing.T) {
+func TestCallerCancellationReachesOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, "a", "b")
@@ -270,7 +270,7 @@
 		time.Sleep(time.Second)
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		is.Equal(s.left, 2)
+		is.Equal(s.interrupted, 2)
 	})
 }
 
@@ -291,8 +291,9 @@
 	})
 }
 
-// Under any mixture of moves, cuts, freezes, lost and repeated messages a caller
-// gets the whole answer in order, or a problem whose not_run is true.
+// Under any combination of owner changes, partitions, process pauses, lost and duplicated
+// messages, a caller must get the complete answer in order, or a problem whose not_run is
+// correct.
 func TestCallsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -304,10 +305,10 @@
 			s := newSite(seed, faultyNodes...)
 			s.refuse = refuse
 			s.network.SetFaults(network.Faults{AnswerLoss: loss, RequestLoss: loss, Duplicate: loss, DuplicateDelay: 3 * time.Second})
-			go s.play(steps)
+			go s.runSteps(steps)
 			var got caller
-			answer, err := s.forwarders["a"].Call(t.Context(), request(1), got.take)
-			time.Sleep(3 * time.Minute) // lets late messages arrive
+			answer, err := s.forwarders["a"].Call(t.Context(), request(1), got.onToken)
+			time.Sleep(3 * time.Minute) // lets delayed messages arrive
 			switch {
 			case err != nil:
 				if problem := problemOf(t, err); problem.NotRun && s.executions(1) > 0 {
@@ -338,10 +339,10 @@
 const (
 	stepMove stepKind = iota
 	stepNoOwner
-	stepCut
+	stepPartition
 	stepHeal
-	stepFreeze
-	stepThaw
+	stepPause
+	stepResume
 	stepRefuse
 	stepKinds
 )
@@ -355,8 +356,8 @@
 	}
 }
 
-// play runs a schedule and then heals everything.
-func (s *site) play(steps []step) {
+// runSteps runs a schedule and then removes all faults.
+func (s *site) runSteps(steps []step) {
 	for _, step := range steps {
 		time.Sleep(step.after)
 		switch step.kind {
@@ -364,13 +365,13 @@
 			s.move(step.node)
 		case stepNoOwner:
 			s.move("")
-		case stepCut:
+		case stepPartition:
 			s.network.Cut(step.node, step.second)
 		case stepHeal:
 			s.network.HealAll()
-		case stepFreeze:
+		case stepPause:
 			s.endpoints[step.node].Freeze()
-		case stepThaw:
+		case stepResume:
 			s.endpoints[step.node].Thaw()
 		case stepRefuse:
 			s.mutex.Lock()
--- a/internal/forwarding/handler.go
+++ b/internal/forwarding/handler.go
@@ -11,20 +11,20 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// addHandlers registers the owner's side: each request goes to Local and never
-// on to another node.
+// addHandlers registers the handlers of requests from other nodes. They pass requests
+// only to Local, never to another node.
 func (f *Forwarder) addHandlers(registry *peer.Registry) {
-	registry.Handle(KindCall, f.once(f.handleCall))
+	registry.Handle(KindCall, f.deduplicate(f.handleCall))
 	registry.Handle(KindFetch, peer.HandlerFunc(f.handleFetch))
-	registry.Handle(KindCreate, f.once(f.handleCreate))
-	registry.Handle(KindProgram, f.once(f.handleProgram))
+	registry.Handle(KindCreate, f.deduplicate(f.handleCreate))
+	registry.Handle(KindProgram, f.deduplicate(f.handleProgram))
 }
 
-// once acts on each try at its first delivery only.
-func (f *Forwarder) once(handle peer.HandlerFunc) peer.Handler {
+// deduplicate handles only the first delivery of each attempt.
+func (f *Forwarder) deduplicate(handle peer.HandlerFunc) peer.Handler {
 	return peer.HandlerFunc(func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
-		if !f.seen.first(request.(numbered).tryNumber()) {
-			return nil, errDelivered
+		if !f.deliveries.first(request.(numberedMessage).attemptNumber()) {
+			return nil, errDuplicate
 		}
 		return handle(ctx, request, sendPart)
 	})
@@ -69,7 +69,7 @@
 	}
 }
 
-// outcome turns what Local returned into the answer to the other node.
+// outcome converts the result of Local to the response message.
 func (f *Forwarder) outcome(program identity.ProgramID, done *outcomeMessage, err error) *outcomeMessage {
 	if err == nil {
 		return done
@@ -80,12 +80,12 @@
 		return &outcomeMessage{form: outcomeNotOwner, notOwner: *refused}
 	}
 	var problem *api.Problem
-	errors.As(err, &problem) // localError returns nothing else
+	errors.As(err, &problem) // localError returns no other errors
 	return &outcomeMessage{form: outcomeProblem, problem: problem}
 }
 
-// localError turns an error of Local into a *notOwner with this node's hint, or
-// into a problem.
+// localError converts an error of Local to a *notOwner with this node's hint, or to a
+// problem.
 func (f *Forwarder) localError(program identity.ProgramID, err error) error {
 	if err == nil {
 		return nil
@@ -102,7 +102,8 @@
 	return problem
 }
 
-// ownHint is who this node, which is not the owner, believes to be it.
+// ownHint returns the owner according to the journal of this node, which is not the
+// owner; empty if unknown.
 func (f *Forwarder) ownHint(program identity.ProgramID) hint {
 	if f.config.OwnerHint == nil {
 		return hint{}
--- a/internal/forwarding/message.go
+++ b/internal/forwarding/message.go
@@ -18,37 +18,37 @@
 	KindCreate                                  // a createMessage
 	KindProgram                                 // a programMessage
 	KindToken                                   // a tokenMessage, as a part
-	KindOutcome                                 // an outcomeMessage, as the answer to all requests
+	KindOutcome                                 // an outcomeMessage, the response to all requests
 )
 
-// tried numbers one try of a request that changes something, so that a node acts
-// on it once however often it is delivered.
-type tried struct{ try uint64 }
+// attemptHeader numbers one attempt of a request that modifies state, so that a node
+// handles it once even if it is delivered several times.
+type attemptHeader struct{ attempt uint64 }
 
-func (t *tried) setTry(try uint64) { t.try = try }
+func (t *attemptHeader) setAttempt(attempt uint64) { t.attempt = attempt }
 
-func (t *tried) tryNumber() uint64 { return t.try }
+func (t *attemptHeader) attemptNumber() uint64 { return t.attempt }
 
-// numbered is a message that is tried.
-type numbered interface {
-	setTry(try uint64)
-	tryNumber() uint64
+// numberedMessage is a message with an attemptHeader.
+type numberedMessage interface {
+	setAttempt(attempt uint64)
+	attemptNumber() uint64
 }
 
-// callMessage asks the owner to run, join or replay a call.
+// callMessage requests that the owner runs, joins or replays a call.
 type callMessage struct {
-	tried
+	attemptHeader
 	program identity.ProgramID
 	call    api.CallRequest
 	from    int
-	// tokens tells that the tokens are wanted one by one.
+	// tokens requests that the tokens are streamed.
 	tokens bool
 }
 
 func (*callMessage) Kind() peer.Kind { return KindCall }
 
 func (m *callMessage) Encode(e *wire.Encoder) {
-	e.Uint64(m.try)
+	e.Uint64(m.attempt)
 	e.String(string(m.program))
 	encodeCall(e, &m.call)
 	e.Int64(int64(m.from))
@@ -56,14 +56,14 @@
 }
 
 func (m *callMessage) Decode(d *wire.Decoder) {
-	m.try = d.Uint64()
+	m.attempt = d.Uint64()
 	m.program = identity.ProgramID(d.String())
 	m.call = decodeCall(d)
 	m.from = int(d.Int64())
 	m.tokens = d.Bool()
 }
 
-// fetchMessage asks the owner for the answer of a call.
+// fetchMessage requests the answer of a call.
 type fetchMessage struct {
 	call   identity.CallID
 	from   int
@@ -88,9 +88,9 @@
 	m.tokens = d.Bool()
 }
 
-// createMessage asks the owner to make a program.
+// createMessage requests that the owner creates a program.
 type createMessage struct {
-	tried
+	attemptHeader
 	program       identity.ProgramID
 	tenant, class string
 }
@@ -98,20 +98,20 @@
 func (*createMessage) Kind() peer.Kind { return KindCreate }
 
 func (m *createMessage) Encode(e *wire.Encoder) {
-	e.Uint64(m.try)
+	e.Uint64(m.attempt)
 	e.String(string(m.program))
 	e.String(m.tenant)
 	e.String(m.class)
 }
 
 func (m *createMessage) Decode(d *wire.Decoder) {
-	m.try = d.Uint64()
+	m.attempt = d.Uint64()
 	m.program = identity.ProgramID(d.String())
 	m.tenant = d.String()
 	m.class = d.String()
 }
 
-// action is what a programMessage asks for.
+// action is the operation of a programMessage.
 type action uint8
 
 const (
@@ -120,9 +120,9 @@
 	actionCancel
 )
 
-// programMessage asks the owner to act on a whole program.
+// programMessage requests an operation on a whole program.
 type programMessage struct {
-	tried
+	attemptHeader
 	program identity.ProgramID
 	action  action
 }
@@ -130,13 +130,13 @@
 func (*programMessage) Kind() peer.Kind { return KindProgram }
 
 func (m *programMessage) Encode(e *wire.Encoder) {
-	e.Uint64(m.try)
+	e.Uint64(m.attempt)
 	e.String(string(m.program))
 	e.Uint8(uint8(m.action))
 }
 
 func (m *programMessage) Decode(d *wire.Decoder) {
-	m.try = d.Uint64()
+	m.attempt = d.Uint64()
 	m.program = identity.ProgramID(d.String())
 	m.action = action(d.Uint8())
 	if m.action < actionGet || m.action > actionCancel {
@@ -144,7 +144,7 @@
 	}
 }
 
-// tokenMessage is one token of a call's stream.
+// tokenMessage is one token of a streamed answer.
 type tokenMessage struct {
 	index int
 	text  string
@@ -162,7 +162,7 @@
 	m.text = d.String()
 }
 
-// outcomeForm tells which field of an outcomeMessage is set.
+// outcomeForm selects the field of an outcomeMessage that is set.
 type outcomeForm uint8
 
 const (
@@ -172,8 +172,8 @@
 	outcomeNotOwner
 )
 
-// outcomeMessage ends a request: with what was asked for, with a problem for the
-// caller, or with a hint of who the owner may be.
+// outcomeMessage is the response to a request: its result, a problem for the caller, or a
+// hint at the owner.
 type outcomeMessage struct {
 	form     outcomeForm
 	answer   api.Answer
@@ -214,17 +214,16 @@
 	}
 }
 
-// notOwner is a node's refusal of a shard that it does not own.
+// notOwner is the response of a node that does not own the shard.
 type notOwner struct {
-	// accepted tells that the node may have taken the request up before it lost
-	// the shard.
+	// accepted reports whether the node may have accepted the request before it lost the
+	// shard.
 	accepted bool
-	// hint is who the node believes to be the owner; its name is empty where the
-	// node does not know.
+	// hint is the owner that the node knows; its name is empty if unknown.
 	hint hint
 }
 
-// hint names a node that may own a shard.
+// hint identifies a node that may own a shard.
 type hint struct {
 	node  identity.Reference
 	peer  netip.AddrPort
@@ -247,7 +246,7 @@
 	n.hint.epoch = identity.Epoch(d.Uint64())
 }
 
-// Error makes a notOwner the outcome of one try.
+// Error implements error.
 func (n *notOwner) Error() string {
 	return fmt.Sprintf("forwarding: not the owner; perhaps %s", n.hint.node.Name)
 }
--- a/internal/forwarding/message_test.go
+++ b/internal/forwarding/message_test.go
@@ -13,17 +13,17 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Every field of the public types crosses between nodes. Filling them by
-// reflection catches a field that is added to a type and not to its codec.
-func TestMessagesCrossUnchanged(t *testing.T) {
+// Fills every field of the messages by reflection, which detects a field that is missing
+// from the codec, and decodes truncated encodings, which must fail.
+func TestMessagesRoundTrip(t *testing.T) {
 	registry := peer.NewRegistry()
 	addMessages(registry)
 	rapid.Check(t, func(t *rapid.T) {
 		messages := []peer.Message{
-			&callMessage{tried: tried{1}, program: "p", call: fill[api.CallRequest](t), from: 3, tokens: true},
+			&callMessage{attemptHeader: attemptHeader{1}, program: "p", call: fill[api.CallRequest](t), from: 3, tokens: true},
 			&fetchMessage{call: fill[identity.CallID](t), from: 4, tokens: true},
-			&createMessage{tried: tried{2}, program: "p", tenant: "t", class: "c"},
-			&programMessage{tried: tried{3}, program: "p", action: actionCancel},
+			&createMessage{attemptHeader: attemptHeader{2}, program: "p", tenant: "t", class: "c"},
+			&programMessage{attemptHeader: attemptHeader{3}, program: "p", action: actionCancel},
 			&tokenMessage{index: 5, text: "x"},
 			&outcomeMessage{form: outcomeAnswer, answer: fill[api.Answer](t)},
 			&outcomeMessage{form: outcomeProgram, program: fill[api.Program](t)},
@@ -57,7 +57,7 @@
 	return value
 }
 
-// fillValue sets every field to something that is not its zero value.
+// fillValue sets every field to a non-zero value.
 func fillValue(t *rapid.T, value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
--- a/internal/forwarding/search.go
+++ b/internal/forwarding/search.go
@@ -15,35 +15,36 @@
 	"stepseam.example/stepseam/internal/peer"
 )
 
-// candidate is a node that may own a shard; local is this node.
+// candidate is a node that may own a shard; local is true for this node.
 type candidate struct {
 	local bool
 	hint  hint
 }
 
-// tryFunc makes the request at one candidate. Its error is nil, a *notOwner, a
-// peer error or a problem for the caller.
-type tryFunc func(ctx context.Context, at candidate) error
+// attemptFunc sends the request to one candidate. Its error is nil, a *notOwner, a peer
+// error or a problem for the caller.
+type attemptFunc func(ctx context.Context, at candidate) error
 
-// search looks for a shard's owner on behalf of one request.
+// search finds the owner of a shard for one request. Only one goroutine uses it.
 type search struct {
 	forwarder *Forwarder
 	shard     identity.ShardID
-	try       tryFunc
-	// isCall is set for calls and fetches of them.
+	attempt   attemptFunc
+	// isCall is true for Call and Fetch requests.
 	isCall bool
-	// ownerless tells that another request has just looked in vain.
+	// ownerless is true if the search of another request failed recently.
 	ownerless bool
-	// accepted tells that an owner may have taken the request up and is gone;
-	// the next owner joins it or runs it, and what that one says holds.
+	// accepted is true if a previous owner may have accepted the request. The next owner
+	// joins or runs it, and its response is authoritative.
 	accepted bool
-	// uncertain tells that a try vanished on its way. It may still arrive late at
-	// an owner, so no later refusal proves that the request does not run.
+	// uncertain is true if the outcome of an attempt is unknown. The attempt may still be
+	// delivered to an owner, so that a later rejection does not prove that the request
+	// does not run.
 	uncertain bool
 }
 
-// run tries candidates in rounds until one answers, the request's time is over
-// or there was no owner for too long.
+// run tries the candidates in rounds until one responds, ctx ends or the search times
+// out.
 func (s *search) run(ctx context.Context) error {
 	started := time.Now()
 	s.ownerless = s.forwarder.ownerless(s.shard)
@@ -60,8 +61,8 @@
 			return s.qualify(err)
 		}
 		pause := pauses.NextBackOff()
-		if time.Since(started)+pause > s.patience() {
-			s.forwarder.vacant.Store(s.shard, time.Now())
+		if time.Since(started)+pause > s.timeout() {
+			s.forwarder.ownerlessSince.Store(s.shard, time.Now())
 			return s.noOwner(time.Since(started))
 		}
 		select {
@@ -72,11 +73,10 @@
 	}
 }
 
-// patience is how long an owner is looked for. A call that may have been taken
-// up is worth more: only an owner can tell what became of it. A shard that had no
-// owner for the whole patience of another request a moment ago is worth less, so
-// that in a long outage requests are refused at once.
-func (s *search) patience() time.Duration {
+// timeout returns how long an owner is searched for. It is longer for a call that may
+// have been accepted, since only an owner knows its outcome. It is shorter if another
+// request recently searched in vain, so that requests fail fast during a long outage.
+func (s *search) timeout() time.Duration {
 	timing := s.forwarder.config.Timing
 	switch {
 	case s.isCall && (s.accepted || s.uncertain):
@@ -88,7 +88,8 @@
 	}
 }
 
-// round tries each candidate once, hinted ones first.
+// round tries each candidate once, in order of likelihood; hints from responses come
+// first.
 func (s *search) round(ctx context.Context) (answered bool, err error) {
 	tried := map[identity.NodeName]bool{}
 	var hinted []candidate
@@ -107,7 +108,7 @@
 			continue
 		}
 		tried[at.hint.node.Name] = true
-		next, answered, err := s.tryAt(ctx, at)
+		next, answered, err := s.attemptAt(ctx, at)
 		if answered {
 			return true, err
 		}
@@ -118,18 +119,18 @@
 	return false, nil
 }
 
-// tryAt makes the request at one candidate. Where it has no answer it may have
-// a hint of whom to try next.
-func (s *search) tryAt(ctx context.Context, at candidate) (next hint, answered bool, err error) {
-	err = s.try(ctx, at)
+// attemptAt sends the request to one candidate. If that candidate is not the owner, next
+// is its hint, if it has one.
+func (s *search) attemptAt(ctx context.Context, at candidate) (next hint, answered bool, err error) {
+	err = s.attempt(ctx, at)
 	var refused *notOwner
 	switch {
 	case err == nil:
-		s.forwarder.remember(s.shard, at)
+		s.forwarder.cacheOwner(s.shard, at)
 		return hint{}, true, nil
 	case errors.As(err, &refused):
 		s.accepted = s.accepted || refused.accepted
-		s.forwarder.forget(s.shard, at)
+		s.forwarder.dropOwner(s.shard, at)
 		return refused.hint, false, nil
 	case isProblem(err):
 		return hint{}, true, err
@@ -140,13 +141,13 @@
 	if ctx.Err() != nil {
 		return hint{}, true, s.ended(ctx)
 	}
-	s.forwarder.forget(s.shard, at)
+	s.forwarder.dropOwner(s.shard, at)
 	s.forwarder.config.Logger.Debug("request to the shard's owner failed",
 		"shard", s.shard, "node", at.hint.node.Name, "error", err)
 	return hint{}, false, nil
 }
 
-// qualify takes the certainty off a refusal where an earlier try may still arrive.
+// qualify clears NotRun of a problem if an earlier attempt may still be delivered.
 func (s *search) qualify(err error) error {
 	var problem *api.Problem
 	if !s.uncertain || !errors.As(err, &problem) || !problem.NotRun {
@@ -161,7 +162,7 @@
 	return problem.WithNotRun(!s.accepted && !s.uncertain).WithRetryAfter(s.forwarder.config.Timing.RetryAfter)
 }
 
-// ended is the outcome of a request whose context ended while no owner answered.
+// ended returns the error of a request whose context ended before an owner responded.
 func (s *search) ended(ctx context.Context) error {
 	certain := !s.accepted && !s.uncertain
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -176,19 +177,19 @@
 	return errors.As(err, &problem) && !errors.Is(err, journal.ErrNotOwner)
 }
 
-// sources list who may own shard, likeliest first; each is only asked when those
-// before it did not lead to the owner. This node comes first: asking it costs
-// nothing.
+// sources returns the sources of candidates for shard, most likely first. Each is queried
+// only if those before it did not lead to the owner. This node comes first, as a local
+// attempt costs nothing.
 func (f *Forwarder) sources(shard identity.ShardID) []func() []candidate {
 	return []func() []candidate{
 		func() []candidate { return []candidate{{local: true, hint: hint{node: f.config.Self}}} },
-		func() []candidate { return f.rememberedOwner(shard) },
+		func() []candidate { return f.cachedOwner(shard) },
 		func() []candidate { return f.journalOwner(shard) },
 		func() []candidate { return f.rankedNodes(shard) },
 	}
 }
 
-func (f *Forwarder) rememberedOwner(shard identity.ShardID) []candidate {
+func (f *Forwarder) cachedOwner(shard identity.ShardID) []candidate {
 	owner, found := f.config.Board.Owners.Load(shard)
 	if !found {
 		return nil
@@ -208,7 +209,7 @@
 }
 
 func (f *Forwarder) rankedNodes(shard identity.ShardID) []candidate {
-	nodes := f.config.Ranks(shard, f.config.Board.Members.Load(), ranksAsked)
+	nodes := f.config.Ranks(shard, f.config.Board.Members.Load(), maxRankedNodes)
 	ranked := make([]candidate, 0, len(nodes))
 	for _, node := range nodes {
 		ranked = append(ranked, f.candidate(hint{node: node.Reference(), peer: node.PeerAddress}))
@@ -220,15 +221,16 @@
 	return candidate{local: given.node.Name == f.config.Self.Name, hint: given}
 }
 
-// ownerless tells whether a search for the shard's owner failed a moment ago.
+// ownerless reports whether a search for the shard's owner failed recently.
 func (f *Forwarder) ownerless(shard identity.ShardID) bool {
-	failed, found := f.vacant.Load(shard)
+	failed, found := f.ownerlessSince.Load(shard)
 	return found && time.Since(failed) < f.config.Timing.OwnerlessMemory
 }
 
-// remember keeps who answered, as the first to be asked next time.
-func (f *Forwarder) remember(shard identity.ShardID, at candidate) {
-	f.vacant.Delete(shard)
+// cacheOwner stores the node that responded as the first remote candidate for later
+// requests.
+func (f *Forwarder) cacheOwner(shard identity.ShardID, at candidate) {
+	f.ownerlessSince.Delete(shard)
 	if at.local {
 		f.config.Board.Owners.Delete(shard)
 		return
@@ -236,8 +238,8 @@
 	f.config.Board.Owners.Store(shard, blackboard.Owner{Node: at.hint.node, Peer: at.hint.peer, Epoch: at.hint.epoch})
 }
 
-// forget drops a hint that proved wrong, if it still is the one that stands.
-func (f *Forwarder) forget(shard identity.ShardID, at candidate) {
+// dropOwner removes the cached owner if it is still the given candidate.
+func (f *Forwarder) dropOwner(shard identity.ShardID, at candidate) {
 	f.config.Board.Owners.Update(shard, func(known blackboard.Owner, found bool) (blackboard.Owner, bool) {
 		return known, found && (known.Node != at.hint.node || known.Peer != at.hint.peer)
 	})
--- a/internal/forwarding/site_test.go
+++ b/internal/forwarding/site_test.go
@@ -22,9 +22,8 @@
 	tokenPause  = 100 * time.Millisecond
 )
 
-// site is a few nodes with forwarders over an in-memory network. The one shard's
-// owner is set by the test; what owners accepted outlives them, as the journal
-// makes it.
+// site is a set of nodes with forwarders on an in-memory network. Tests set the owner of
+// the only shard. The accepted calls survive owner changes, like records in the journal.
 type site struct {
 	network    *network.Network
 	forwarders map[identity.NodeName]*forwarding.Forwarder
@@ -34,15 +33,16 @@
 	mutex sync.Mutex
 	owner identity.NodeName
 	moved chan struct{}
-	// accepted counts the calls taken up, by sequence; refuse refuses new ones.
+	// accepted counts the accepted calls by sequence; refuse makes owners reject new
+	// calls.
 	accepted map[uint64]int
 	refuse   bool
-	// text makes the token of an index; tests change it to let answers diverge.
+	// text returns the token at an index; tests replace it to make answers diverge.
 	text func(index int) string
-	// deadlines are the deadlines that calls arrived with.
+	// deadlines are the deadlines of the calls that arrived at owners.
 	deadlines []float64
-	// left is counted up when a caller is gone.
-	left int
+	// interrupted counts the calls whose caller left.
+	interrupted int
 }
 
 func tokenText(index int) string { return fmt.Sprintf("t%d ", index) }
@@ -87,7 +87,7 @@
 	endpoint.Serve()
 }
 
-// move gives the shard to a node; an empty name leaves it without an owner.
+// move assigns the shard to a node; an empty name leaves it without an owner.
 func (s *site) move(to identity.NodeName) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -102,7 +102,7 @@
 	return s.accepted[sequence]
 }
 
-// owner is a node's own serving.Programs.
+// owner is the serving.Programs of one node.
 type owner struct {
 	site *site
 	name identity.NodeName
@@ -170,7 +170,7 @@
 	return o.stream(ctx, sequence, request.From, onToken)
 }
 
-// tokenCount is how many tokens each answer has.
+// tokenCount is the number of tokens of each answer.
 const tokenCount = 20
 
 func (o *owner) stream(ctx context.Context, sequence uint64, from int, onToken serving.TokenFunc) (api.Answer, error) {
@@ -184,7 +184,7 @@
 		case <-moved:
 		case <-ctx.Done():
 			o.site.mutex.Lock()
-			o.site.left++
+			o.site.interrupted++
 			o.site.mutex.Unlock()
 			return api.Answer{}, api.NewProblem(api.CodeInterrupted, "the caller left")
 		}
