--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -14,33 +14,36 @@
 )
 
 const (
-	// maxForeignAnswers is how many answers to earlier requests are passed over.
-	maxForeignAnswers = 3
-	// keepAliveMargin is taken off the time that a replica keeps an idle connection.
+	// maxSkippedResponses limits the late responses to earlier requests that are skipped.
+	maxSkippedResponses = 3
+	// keepAliveMargin is subtracted from the time that a replica keeps an idle connection
+	// open.
 	keepAliveMargin = 700 * time.Millisecond
-	sweepPause      = time.Second
-	// sentPatience is how long the end of an answered request's writing is waited for.
-	sentPatience = 5 * time.Millisecond
-	// headEstimate is the usual size of a request's head.
-	headEstimate = 1 << 10
+	sweepInterval   = time.Second
+	// sentTimeout bounds the wait for the end of the write of a request that has its
+	// response.
+	sentTimeout = 5 * time.Millisecond
+	// typicalHeadSize is the initial buffer size in bytes for a request's head.
+	typicalHeadSize = 1 << 10
 )
 
-var errForeign = errors.New("the answer belongs to another request")
+var errMismatched = errors.New("the answer belongs to another request")
 
-// Client exchanges requests with replicas. It is safe for concurrent use.
+// Client sends requests to replicas. It is safe for concurrent use.
 type Client struct {
 	names Names
 	pool  *pool
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient(names Names) *Client {
 	return &Client{names: names, pool: newPool()}
 }
 
-// Run closes idle connections in time, until ctx ends; then it closes all.
+// Run closes expired idle connections periodically until ctx ends, and then closes all
+// idle ones.
 func (c *Client) Run(ctx context.Context) {
-	ticker := time.NewTicker(sweepPause)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	defer c.pool.closeAll()
 	for {
@@ -53,59 +56,60 @@
 	}
 }
 
-// Answer is a replica's answer whose body is still to be read. Close must be
-// called; the connection is kept only if the body was read to its end.
+// Answer is the response of a replica, with its body still unread. Close must be called.
+// The connection is reused only if the body was read to its end.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Body ends with io.EOF only where the answer is whole.
+	// Body returns io.EOF only at the end of a complete body.
 	Body *bufio.Reader
-	// Length is the body's length, or -1.
+	// Length is the Content-Length, or -1 if unknown.
 	Length int64
 
 	connection *connection
 	client     *Client
 	response   *http.Response
-	whole      *wholeReader
+	body       *eofReader
 	// sent is closed once the whole request has been written.
 	sent chan struct{}
 	stop func() bool
 }
 
-// Send sends request to target and returns the head of its answer. Every error is
-// a *FailureError. The end of ctx closes the connection, also while the body is read.
-// A repeatable request whose kept connection turns out to be dead goes to the same
-// target once more, on a new one.
+// Send sends request to target and returns once the head of the response is read. Every
+// error is a *FailureError. The end of ctx closes the connection, also while the body is
+// read. If a reused connection turns out to be stale, a repeatable request is sent once
+// more to the same target on a new connection.
 func (c *Client) Send(ctx context.Context, target Target, request Request) (*Answer, error) {
-	used, err := c.pool.get(ctx, target, c.pool.longestRest(request.Repeatable))
+	used, err := c.pool.get(ctx, target, c.pool.maxIdleTime(request.Repeatable))
 	if err != nil {
 		return nil, &FailureError{Outcome: OutcomeNotRun, Reason: ReasonConnect, Cause: err}
 	}
-	rested, kept := used.rested()
-	if err := mayUse(used, request); err != nil {
+	idle, reused := used.idleFor()
+	if err := checkMaySend(used, request); err != nil {
 		return nil, &FailureError{Outcome: OutcomeNotRun, Reason: ReasonWithheld, Cause: err}
 	}
 	answer, err := c.exchange(ctx, used, request)
-	if err == nil || !kept || !foundDead(ctx, err) {
+	if err == nil || !reused || !isStale(ctx, err) {
 		return answer, err
 	}
-	c.pool.noteDead(rested)
+	c.pool.recordStale(idle)
 	if !request.Repeatable {
 		return nil, err
 	}
 	used, err = c.pool.dial(ctx, target)
 	if err != nil {
-		// The first sending may have run.
+		// The first attempt may have run.
 		return nil, &FailureError{Reason: ReasonReset, Cause: err}
 	}
-	if err := mayUse(used, request); err != nil {
+	if err := checkMaySend(used, request); err != nil {
 		return nil, &FailureError{Reason: ReasonWithheld, Cause: err}
 	}
 	return c.exchange(ctx, used, request)
 }
 
-// mayUse asks whether a request may still go out on a connection, and closes it if not.
-func mayUse(used *connection, request Request) error {
+// checkMaySend closes the connection and returns the error if request.MaySend rejects the
+// request.
+func checkMaySend(used *connection, request Request) error {
 	if request.MaySend == nil {
 		return nil
 	}
@@ -116,26 +120,26 @@
 	return err
 }
 
-// Connected returns what tells of targets, as of now, whether a request may go there on a
-// connection that is open.
+// Connected returns a function that reports whether a request to a target could use an
+// open idle connection at the time of this call.
 func (c *Client) Connected(repeatable bool) func(Target) bool {
-	longest, now := c.pool.longestRest(repeatable), time.Now()
-	return func(target Target) bool { return c.pool.holds(target, longest, now) }
+	maxIdle, now := c.pool.maxIdleTime(repeatable), time.Now()
+	return func(target Target) bool { return c.pool.hasIdle(target, maxIdle, now) }
 }
 
-// foundDead tells whether a connection ended without an answer of its own.
-func foundDead(ctx context.Context, err error) bool {
+// isStale reports whether a connection ended without a response.
+func isStale(ctx context.Context, err error) bool {
 	var failure *FailureError
 	return ctx.Err() == nil && errors.As(err, &failure) && failure.Reason == ReasonReset
 }
 
-// exchange sends a request on a connection and reads the head of its answer.
+// exchange sends a request on a connection and reads the head of the response.
 func (c *Client) exchange(ctx context.Context, used *connection, request Request) (*Answer, error) {
 	stop := context.AfterFunc(ctx, used.close)
 	sent := make(chan struct{})
 	message := c.encode(request, used.target.Instance)
-	// The answer is read beside the writing, since a replica may answer before it
-	// has read a long body.
+	// The response is read concurrently with the write, since a replica may respond
+	// before it has read a long body.
 	go func() {
 		if _, err := used.socket.Write(message); err == nil {
 			close(sent)
@@ -148,11 +152,11 @@
 		return nil, withContext(ctx, err)
 	}
 	used.served++
-	whole := &wholeReader{body: response.Body}
+	whole := &eofReader{body: response.Body}
 	return &Answer{
 		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 		Body:       bufio.NewReaderSize(whole, readBuffer),
-		connection: used, client: c, response: response, whole: whole, sent: sent, stop: stop,
+		connection: used, client: c, response: response, body: whole, sent: sent, stop: stop,
 	}, nil
 }
 
@@ -164,10 +168,10 @@
 	return err
 }
 
-// encode returns the whole request as it goes over the wire.
+// encode returns the request in its HTTP/1.1 wire format.
 func (c *Client) encode(request Request, instance string) []byte {
 	var message bytes.Buffer
-	message.Grow(headEstimate + len(request.Body))
+	message.Grow(typicalHeadSize + len(request.Body))
 	fmt.Fprintf(&message, "%s %s HTTP/1.1\r\nHost: %s\r\n", request.Method, request.URI, request.Host)
 	// Writing to a buffer does not fail.
 	_ = request.Header.Write(&message)
@@ -180,16 +184,16 @@
 	return message.Bytes()
 }
 
-// readHead reads answers until the one that belongs to request.
+// readHead reads response heads until the one that belongs to request.
 func (c *Client) readHead(used *connection, request Request) (*http.Response, error) {
-	asked := &http.Request{Method: request.Method}
-	for range maxForeignAnswers + 1 {
-		response, err := http.ReadResponse(used.reader, asked)
+	httpRequest := &http.Request{Method: request.Method}
+	for range maxSkippedResponses + 1 {
+		response, err := http.ReadResponse(used.reader, httpRequest)
 		if err != nil {
-			return nil, headFailure(err)
+			return nil, readHeadError(err)
 		}
 		if response.StatusCode < http.StatusOK {
-			continue // an interim answer
+			continue // an informational response
 		}
 		echoed := response.Header.Get(c.names.RequestID)
 		if echoed == request.ID || echoed == "" && response.StatusCode >= http.StatusBadRequest {
@@ -198,34 +202,34 @@
 		if echoed == "" || used.served == 0 || response.Close {
 			break
 		}
-		// An answer to an earlier request, late; the own one follows it.
+		// A late response to an earlier request; the response to this one follows.
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, &FailureError{Reason: ReasonForeign, Cause: err}
 		}
 	}
-	return nil, &FailureError{Reason: ReasonForeign, Cause: errForeign}
+	return nil, &FailureError{Reason: ReasonForeign, Cause: errMismatched}
 }
 
-func headFailure(err error) error {
+func readHeadError(err error) error {
 	reason := ReasonMalformed
-	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || isNetwork(err) {
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || isNetworkError(err) {
 		reason = ReasonReset
 	}
 	return &FailureError{Reason: reason, Cause: err}
 }
 
-func isNetwork(err error) bool {
+func isNetworkError(err error) bool {
 	var network interface{ Timeout() bool }
 	return errors.As(err, &network)
 }
 
-// wholeReader remembers whether the body came to its proper end.
-type wholeReader struct {
+// eofReader records whether the body was read to its end.
+type eofReader struct {
 	body  io.ReadCloser
 	ended bool
 }
 
-func (w *wholeReader) Read(into []byte) (int, error) {
+func (w *eofReader) Read(into []byte) (int, error) {
 	n, err := w.body.Read(into)
 	if errors.Is(err, io.EOF) {
 		w.ended = true
@@ -233,39 +237,40 @@
 	return n, err
 }
 
-// NotRun tells whether the replica says that it did not run the request.
+// NotRun reports whether the replica states that it has not run the request.
 func (a *Answer) NotRun() bool {
 	return a.Header.Get(a.client.names.NotRun) != "" || a.Status == http.StatusMisdirectedRequest
 }
 
-// Stamped tells whether a replica made the answer.
+// Stamped reports whether a replica, and not an intermediary, made the response.
 func (a *Answer) Stamped() bool { return a.Header.Get(a.client.names.Stamp) != "" }
 
-// Close gives the connection back if it can serve again, else closes it.
+// Close returns the connection to the pool if it is reusable, and closes it otherwise.
 func (a *Answer) Close() {
 	if !a.stop() {
-		return // the context's end has closed the connection
+		return // the end of the context has closed the connection
 	}
 	if !a.reusable() {
 		a.connection.close()
 		return
 	}
-	a.client.pool.put(a.connection, idleTime(a.Header))
+	a.client.pool.put(a.connection, keepAliveTTL(a.Header))
 }
 
 func (a *Answer) reusable() bool {
-	return a.whole.ended && !a.response.Close && a.connection.reader.Buffered() == 0 && a.wasSent()
+	return a.body.ended && !a.response.Close && a.connection.reader.Buffered() == 0 && a.wasSent()
 }
 
-// wasSent tells whether the whole request has been written. An answer may overtake
-// the writer's word of that, which is waited for shortly.
+// wasSent reports whether the whole request has been written. The response may arrive
+// before the writing goroutine has signalled its end, so wasSent waits up to sentTimeout
+// for it.
 func (a *Answer) wasSent() bool {
 	select {
 	case <-a.sent:
 		return true
 	default:
 	}
-	timer := time.NewTimer(sentPatience)
+	timer := time.NewTimer(sentTimeout)
 	defer timer.Stop()
 	select {
 	case <-a.sent:
@@ -275,13 +280,14 @@
 	}
 }
 
-// idleTime returns how long the replica keeps the connection, by its own word.
-func idleTime(header http.Header) time.Duration {
+// keepAliveTTL returns how long an idle connection may be reused, from the timeout
+// parameter of the Keep-Alive header.
+func keepAliveTTL(header http.Header) time.Duration {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
 			return time.Duration(seconds)*time.Second - keepAliveMargin
 		}
 	}
-	return idleLife
+	return defaultIdleTTL
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange sends requests to replicas over HTTP/1.1 and reads their
-// answers, on connections of its own pool. Unlike a general client it never
-// repeats a request by itself, tells whether a failed request may have run, and
-// never takes an answer that belongs to another request.
+// Package exchange is an HTTP/1.1 client for replicas with its own connection pool.
+// Unlike net/http it reports whether a failed request may have run, retries only requests
+// that are marked repeatable, and never returns a response that belongs to another
+// request.
 package exchange
 
 import (
@@ -10,19 +10,19 @@
 	"net/netip"
 )
 
-// Outcome tells what is known of a request that got no usable answer.
+// Outcome is what is known about the execution of a failed request.
 type Outcome int
 
 const (
-	// OutcomeUnknown tells that the request may have run, or may still run.
+	// OutcomeUnknown means that the request may have run or may still run.
 	OutcomeUnknown Outcome = iota
-	// OutcomeNotRun tells that it has not run and never will, for certain.
+	// OutcomeNotRun means that the request has not run and never will.
 	OutcomeNotRun
-	// OutcomeRan tells that the replica worked on it.
+	// OutcomeRan means that the replica processed the request.
 	OutcomeRan
 )
 
-// String returns the outcome's name in logs.
+// String returns the name of the outcome in logs.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeNotRun:
@@ -33,7 +33,7 @@
 	return "unknown"
 }
 
-// Reason is why an attempt failed, for logs and decisions.
+// Reason is the cause of a failed attempt, for logs and decisions.
 type Reason string
 
 // The reasons of failed attempts.
@@ -48,21 +48,20 @@
 	ReasonMoved      Reason = "another_instance"
 	ReasonIncomplete Reason = "incomplete_answer"
 	ReasonCancelled  Reason = "cancelled"
-	// ReasonWithheld is that of a request that was not sent after all, see
-	// Request.MaySend.
+	// ReasonWithheld means that Request.MaySend rejected the request.
 	ReasonWithheld Reason = "withheld"
 )
 
-// FailureError tells why an attempt brought no usable answer.
+// FailureError reports an attempt without a usable response.
 type FailureError struct {
 	Outcome Outcome
 	Reason  Reason
-	// Status is the replica's status, or 0.
+	// Status is the HTTP status, or 0 without a response.
 	Status int
 	Cause  error
 }
 
-// Error gives reason, outcome and cause.
+// Error implements error.
 func (e *FailureError) Error() string {
 	return fmt.Sprintf("exchange: %s (%s): %v", e.Reason, e.Outcome, e.Cause)
 }
@@ -70,37 +69,38 @@
 // Unwrap returns the cause.
 func (e *FailureError) Unwrap() error { return e.Cause }
 
-// Target is the replica that a request goes to.
+// Target is the replica that a request is sent to.
 type Target struct {
 	Instance string
-	// StartedAtMs tells the lives of an instance apart: what is open to an earlier one is dead.
+	// StartedAtMs distinguishes incarnations of an instance. Connections to an earlier
+	// incarnation are not reused.
 	StartedAtMs int64
 	Address     netip.AddrPort
 }
 
-// Request is sent as it is; Header must hold no field that concerns a connection.
+// Request is sent unmodified. Header must not contain fields that concern the connection.
 type Request struct {
-	// ID is echoed by the replica.
+	// ID identifies the request; the replica echoes it in the response.
 	ID string
-	// URI is the request line's target, unaltered.
+	// URI is the request target, sent without normalization.
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// Repeatable tells that the request may run more than once.
+	// Repeatable reports whether the request may run more than once.
 	Repeatable bool
-	// MaySend is asked once a connection is there, right before the request is written;
-	// an error withholds it. nil never does.
+	// MaySend, if set, is called with the connection established, right before the
+	// request is written. An error prevents the write.
 	MaySend func() error
 }
 
-// Names are the header fields by which replicas speak.
+// Names are the names of the header fields of the replica protocol.
 type Names struct {
-	// RequestID is echoed in answers.
+	// RequestID identifies the request; responses echo it.
 	RequestID string
-	// ExpectInstance names the only replica that may run the request.
+	// ExpectInstance names the only instance that may run the request.
 	ExpectInstance string
-	// NotRun marks an answer to a request that has not run.
+	// NotRun marks the response to a request that has not run.
 	NotRun string
-	// Stamp marks answers that a replica made.
+	// Stamp marks the responses that a replica made.
 	Stamp string
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -28,7 +28,7 @@
 	return started, client
 }
 
-func ask(id string) Request {
+func newRequest(id string) Request {
 	return Request{ID: id, Method: http.MethodPost, URI: "/a%2Fb?c=d", Host: "host.example", Header: http.Header{"Test-Id": {id}}, Body: []byte("body")}
 }
 
@@ -52,15 +52,15 @@
 	return failure
 }
 
-func answerOf(exchange *replica.Exchange, body string) {
+func respond(exchange *replica.Exchange, body string) {
 	exchange.Answer(http.StatusOK, body, "Test-Id: "+exchange.Request.Header.Get("Test-Id"), "Test-Stamp: s")
 }
 
-func TestRequestArrivesUnalteredAndTheConnectionServesAgain(t *testing.T) {
+func TestRequestIsSentUnmodifiedAndConnectionReused(t *testing.T) {
 	is := is.New(t)
-	to, client := start(t, func(e *replica.Exchange) bool { answerOf(e, "hello"); return true })
+	to, client := start(t, func(e *replica.Exchange) bool { respond(e, "hello"); return true })
 	for _, id := range []string{"1", "2", "3"} {
-		answer, body, err := send(t, client, to, ask(id))
+		answer, body, err := send(t, client, to, newRequest(id))
 		is.NoErr(err)
 		is.Equal(body, "hello")
 		is.True(answer.Stamped())
@@ -70,53 +70,54 @@
 	is.Equal(received.Host, "host.example")
 	is.Equal(received.Body, "body")
 	is.Equal(received.Header.Get("Test-Instance"), "i")
-	is.Equal(len(received.Header), 3) // nothing is added but the length and the instance
+	is.Equal(len(received.Header), 3) // only the length and the instance are added
 	is.Equal(to.Connections(), 1)
 }
 
-func TestNobodyListeningMeansNotRun(t *testing.T) {
+func TestConnectFailureIsNotRun(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, nil)
 	to.Close()
-	_, _, err := send(t, client, to, ask("1"))
+	_, _, err := send(t, client, to, newRequest("1"))
 	is.Equal(failureOf(t, err).Outcome, OutcomeNotRun)
 }
 
-func TestUnansweredRequestIsUnknownAndNotRepeated(t *testing.T) {
+func TestMissingResponseIsUnknownAndNotRetried(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, func(e *replica.Exchange) bool {
 		if e.Number == 1 {
-			answerOf(e, "")
+			respond(e, "")
 			return true
 		}
-		return false // closes the kept connection without an answer
+		return false // closes the reused connection without a response
 	})
-	_, _, err := send(t, client, to, ask("1"))
+	_, _, err := send(t, client, to, newRequest("1"))
 	is.NoErr(err)
-	_, _, err = send(t, client, to, ask("2"))
+	_, _, err = send(t, client, to, newRequest("2"))
 	is.Equal(failureOf(t, err).Outcome, OutcomeUnknown)
 	is.Equal(failureOf(t, err).Reason, ReasonReset)
 	is.Equal(len(to.Received()), 2)
 }
 
-// forgetful answers the first request of each connection and closes it at the next.
-func forgetful() replica.Script {
+// closeOnReuse responds to the first request of each connection and closes the connection
+// at the second.
+func closeOnReuse() replica.Script {
 	used := map[net.Conn]bool{}
 	return func(e *replica.Exchange) bool {
 		if used[e.Socket] {
 			return false
 		}
 		used[e.Socket] = true
-		answerOf(e, "")
+		respond(e, "")
 		return true
 	}
 }
 
-func TestRepeatableRequestGoesAgainWhereAKeptConnectionIsForgotten(t *testing.T) {
+func TestRepeatableRequestRetriesStaleConnection(t *testing.T) {
 	is := is.New(t)
-	to, client := start(t, forgetful())
+	to, client := start(t, closeOnReuse())
 	for _, id := range []string{"1", "2"} {
-		request := ask(id)
+		request := newRequest(id)
 		request.Repeatable = true
 		_, _, err := send(t, client, to, request)
 		is.NoErr(err)
@@ -124,13 +125,13 @@
 	is.Equal(to.Connections(), 2)
 }
 
-func TestOthersAvoidConnectionsThatAreForgotten(t *testing.T) {
+func TestUnrepeatableRequestsAvoidStaleConnections(t *testing.T) {
 	is := is.New(t)
-	to, client := start(t, forgetful())
+	to, client := start(t, closeOnReuse())
 	const rest = 150 * time.Millisecond
 	failed := 0
 	for _, id := range []string{"1", "2", "3", "4", "5", "6"} {
-		_, _, err := send(t, client, to, ask(id))
+		_, _, err := send(t, client, to, newRequest(id))
 		if err != nil {
 			is.Equal(failureOf(t, err).Outcome, OutcomeUnknown)
 			failed++
@@ -141,32 +142,32 @@
 	is.Equal(len(to.Received()), 6) // none was sent twice
 }
 
-func TestAnswerOfAnEarlierRequestIsPassedOver(t *testing.T) {
+func TestLateResponseOfEarlierRequestIsSkipped(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, func(e *replica.Exchange) bool {
 		if e.Number == 2 {
-			// The first request's second answer stands where the second's is due.
+			// A second response to the first request precedes that to the second.
 			e.Answer(http.StatusOK, "late", "Test-Id: 1", "Test-Stamp: s")
 		}
-		answerOf(e, "own")
+		respond(e, "own")
 		return true
 	})
 	for _, id := range []string{"1", "2"} {
-		_, body, err := send(t, client, to, ask(id))
+		_, body, err := send(t, client, to, newRequest(id))
 		is.NoErr(err)
 		is.Equal(body, "own")
 	}
 }
 
-func TestSurplusBytesEndTheConnection(t *testing.T) {
+func TestSurplusBytesCloseConnection(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, func(e *replica.Exchange) bool {
-		answerOf(e, "own")
+		respond(e, "own")
 		e.Answer(http.StatusOK, "surplus", "Test-Id: "+e.Request.Header.Get("Test-Id"), "Test-Stamp: s")
 		return true
 	})
 	for _, id := range []string{"1", "2"} {
-		_, body, err := send(t, client, to, ask(id))
+		_, body, err := send(t, client, to, newRequest(id))
 		is.NoErr(err)
 		is.Equal(body, "own")
 		time.Sleep(20 * time.Millisecond)
@@ -174,24 +175,24 @@
 	is.Equal(to.Connections(), 2)
 }
 
-func TestForeignAnswerOnANewConnectionIsNoAnswer(t *testing.T) {
+func TestMismatchedResponseOnNewConnectionFails(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, func(e *replica.Exchange) bool {
 		e.Answer(http.StatusOK, "x", "Test-Id: other", "Test-Stamp: s")
 		return true
 	})
-	_, _, err := send(t, client, to, ask("1"))
+	_, _, err := send(t, client, to, newRequest("1"))
 	is.Equal(failureOf(t, err).Reason, ReasonForeign)
 }
 
-func TestBytesThatAreNoAnswerAreNotPassedOn(t *testing.T) {
+func TestMalformedResponseFails(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, func(e *replica.Exchange) bool { e.Write("nonsense\r\n\r\n"); return false })
-	_, _, err := send(t, client, to, ask("1"))
+	_, _, err := send(t, client, to, newRequest("1"))
 	is.Equal(failureOf(t, err).Reason, ReasonMalformed)
 }
 
-func TestTornBodyIsNotWhole(t *testing.T) {
+func TestTruncatedBodyReturnsUnexpectedEOF(t *testing.T) {
 	for name, head := range map[string]string{"length": "Content-Length: 10", "chunked": "Transfer-Encoding: chunked"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -199,30 +200,30 @@
 				e.Write("HTTP/1.1 200 OK\r\nTest-Id: 1\r\n%s\r\n\r\n3\r\nabc", head)
 				return false
 			})
-			_, _, err := send(t, client, to, ask("1"))
+			_, _, err := send(t, client, to, newRequest("1"))
 			is.True(errors.Is(err, io.ErrUnexpectedEOF))
 		})
 	}
 }
 
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+func TestResponseBeforeRequestSentClosesConnection(t *testing.T) {
 	is := is.New(t)
-	to, client := start(t, func(e *replica.Exchange) bool { answerOf(e, ""); return true })
-	// The stand-in reads whole requests, so a slow write is played at the answer.
+	to, client := start(t, func(e *replica.Exchange) bool { respond(e, ""); return true })
+	// The emulator reads whole requests, so an unfinished write is simulated on the response.
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	answer, err := client.Send(ctx, Target{Instance: "i", Address: to.Address}, ask("1"))
+	answer, err := client.Send(ctx, Target{Instance: "i", Address: to.Address}, newRequest("1"))
 	is.NoErr(err)
 	_, err = io.ReadAll(answer.Body)
 	is.NoErr(err)
 	answer.sent = make(chan struct{})
 	answer.Close()
-	_, _, err = send(t, client, to, ask("2"))
+	_, _, err = send(t, client, to, newRequest("2"))
 	is.NoErr(err)
 	is.Equal(to.Connections(), 2)
 }
 
-func TestEndOfContextClosesTheConnection(t *testing.T) {
+func TestContextEndClosesConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
 	to, client := start(t, func(e *replica.Exchange) bool {
@@ -232,7 +233,7 @@
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, err := client.Send(ctx, Target{Instance: "i", Address: to.Address}, ask("1"))
+	_, err := client.Send(ctx, Target{Instance: "i", Address: to.Address}, newRequest("1"))
 	is.Equal(failureOf(t, err).Reason, ReasonCancelled)
 	select {
 	case <-closed:
@@ -241,7 +242,7 @@
 	}
 }
 
-func TestConnectedTellsOfOpenConnectionsThatTheRequestMayUse(t *testing.T) {
+func TestConnectedReportsUsableConnections(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, func(e *replica.Exchange) bool {
 		e.Answer(http.StatusOK, strings.Repeat("x", 10), "Test-Id: "+e.Request.Header.Get("Test-Id"))
@@ -249,53 +250,54 @@
 	})
 	target := Target{Instance: "i", Address: to.Address}
 	is.True(!client.Connected(true)(target))
-	_, _, err := send(t, client, to, ask("1"))
+	_, _, err := send(t, client, to, newRequest("1"))
 	is.NoErr(err)
 	is.True(client.Connected(true)(target) && client.Connected(false)(target))
 	is.True(!client.Connected(true)(Target{Instance: "j", Address: to.Address}))
-	client.pool.noteDead(0) // replicas forget resting connections
-	time.Sleep(2 * leastRest)
+	client.pool.recordStale(0) // simulates replicas that drop idle connections
+	time.Sleep(2 * minIdleLimit)
 	is.True(client.Connected(true)(target))
 	is.True(!client.Connected(false)(target))
 }
 
-func TestConnectionIsNotUsedAfterTheReplicasOwnTime(t *testing.T) {
+func TestConnectionIsNotReusedAfterKeepAliveTimeout(t *testing.T) {
 	is := is.New(t)
-	is.Equal(idleTime(http.Header{"Keep-Alive": {"max=5, timeout=2"}}), 2*time.Second-keepAliveMargin)
-	is.Equal(idleTime(http.Header{}), idleLife)
+	is.Equal(keepAliveTTL(http.Header{"Keep-Alive": {"max=5, timeout=2"}}), 2*time.Second-keepAliveMargin)
+	is.Equal(keepAliveTTL(http.Header{}), defaultIdleTTL)
 	to, client := start(t, func(e *replica.Exchange) bool {
 		e.Answer(http.StatusOK, strings.Repeat("x", 10), "Test-Id: "+e.Request.Header.Get("Test-Id"), "Keep-Alive: timeout=0")
 		return true
 	})
 	for _, id := range []string{"1", "2"} {
-		_, _, err := send(t, client, to, ask(id))
+		_, _, err := send(t, client, to, newRequest(id))
 		is.NoErr(err)
 	}
 	is.Equal(to.Connections(), 2)
 }
 
-// TestConnectionRestsAsLongAsItsReplicaSays and for the usual time where that says nothing.
-func TestConnectionRestsAsLongAsItsReplicaSays(t *testing.T) {
+// TestIdleTimeFollowsKeepAliveHeader checks the idle time for a stated timeout, for one
+// above the maximum, and without the header.
+func TestIdleTimeFollowsKeepAliveHeader(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
-		head  string
-		rests time.Duration
+		head string
+		idle time.Duration
 	}{
 		{"Keep-Alive: timeout=10", 10*time.Second - keepAliveMargin},
-		{"Keep-Alive: timeout=3600", longestLife},
-		{"Test-Stamp: s", idleLife},
+		{"Keep-Alive: timeout=3600", maxIdleTTL},
+		{"Test-Stamp: s", defaultIdleTTL},
 	} {
 		to, client := start(t, func(e *replica.Exchange) bool {
 			e.Answer(http.StatusOK, "done", "Test-Id: "+e.Request.Header.Get("Test-Id"), c.head)
 			return true
 		})
-		_, _, err := send(t, client, to, ask("1"))
+		_, _, err := send(t, client, to, newRequest("1"))
 		is.NoErr(err)
 		target, now := Target{Instance: "i", Address: to.Address}, time.Now()
 		for _, repeatable := range []bool{true, false} {
-			longest := client.pool.longestRest(repeatable)
-			is.True(client.pool.holds(target, longest, now.Add(c.rests-200*time.Millisecond)))
-			is.True(!client.pool.holds(target, longest, now.Add(c.rests)))
+			maxIdle := client.pool.maxIdleTime(repeatable)
+			is.True(client.pool.hasIdle(target, maxIdle, now.Add(c.idle-200*time.Millisecond)))
+			is.True(!client.pool.hasIdle(target, maxIdle, now.Add(c.idle)))
 		}
 	}
 }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -13,127 +13,126 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds the establishment of a connection.
 	dialTimeout = 600 * time.Millisecond
-	// idleLife is how long an idle connection is kept whose replica names no time, and
-	// longestLife bounds the time that one names. Kept for the replica's 10 s in place of 4 s,
-	// connections on a quiet day cost 0.015 less of its worth.
-	idleLife    = 4 * time.Second
-	longestLife = 30 * time.Second
-	// restMemory is how long it counts that a resting connection was found dead, and
-	// leastRest the shortest rest that this leads to.
-	restMemory = 30 * time.Second
-	leastRest  = 10 * time.Millisecond
-	// idlePerReplica bounds the idle connections to one replica.
+	// defaultIdleTTL is how long an idle connection is kept if the replica states no
+	// timeout; maxIdleTTL bounds the timeout that a replica states.
+	defaultIdleTTL = 4 * time.Second
+	maxIdleTTL     = 30 * time.Second
+	// idleLimitTTL is how long the idle limit derived from a stale connection applies;
+	// minIdleLimit is the lower bound of that limit.
+	idleLimitTTL = 30 * time.Second
+	minIdleLimit = 10 * time.Millisecond
+	// idlePerReplica limits the idle connections to one replica.
 	idlePerReplica = 8
-	// readBuffer holds a usual event or head.
+	// readBuffer is the buffer size in bytes, enough for a typical event or head.
 	readBuffer = 4 << 10
 )
 
-// connection is one connection to a replica; at most one request is on it.
+// connection is one connection to a replica. It carries at most one request at a time.
 type connection struct {
 	socket net.Conn
 	reader *bufio.Reader
 	target Target
-	// served counts the requests that it has carried.
+	// served counts the completed requests.
 	served int
-	// expires is when the idle connection must not be used any more, restsSince when
-	// it became idle.
-	expires, restsSince time.Time
+	// expires is when an idle connection must no longer be used; idleSince is when it
+	// became idle.
+	expires, idleSince time.Time
 }
 
-// rested returns how long the connection has rested; false if it is new.
-func (c *connection) rested() (time.Duration, bool) {
-	return time.Since(c.restsSince), c.served > 0
+// idleFor returns how long the connection has been idle, and false if it is new.
+func (c *connection) idleFor() (time.Duration, bool) {
+	return time.Since(c.idleSince), c.served > 0
 }
 
 // pool keeps idle connections by replica. It is safe for concurrent use.
 type pool struct {
 	dialer *net.Dialer
 
-	// mutex guards all below.
+	// mutex guards the rest.
 	mutex sync.Mutex
 	idle  map[Target][]*connection
-	// restLimit holds until restLimited: replicas were found to forget connections
-	// that rested for longer.
-	restLimit   time.Duration
-	restLimited time.Time
+	// idleLimit applies until idleLimitUntil: replicas were found to drop connections
+	// that had been idle for longer.
+	idleLimit      time.Duration
+	idleLimitUntil time.Time
 }
 
-// longestRest returns how long a connection may have rested that a request is to
-// go out on. A replica may forget an idle connection without a word, which leaves
-// open whether a request that was sent on it has run; so one that may not repeat
-// avoids what such replicas have been found to forget.
-func (p *pool) longestRest(repeatable bool) time.Duration {
+// maxIdleTime returns how long a connection may have been idle to be used for a request.
+// A replica may drop an idle connection without closing it, which leaves unknown whether
+// a request sent on it has run. A request that is not repeatable therefore avoids
+// connections idle for longer than the current limit.
+func (p *pool) maxIdleTime(repeatable bool) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if repeatable || time.Now().After(p.restLimited) {
-		return longestLife
+	if repeatable || time.Now().After(p.idleLimitUntil) {
+		return maxIdleTTL
 	}
-	return p.restLimit
+	return p.idleLimit
 }
 
-// noteDead notes that a connection was dead after it had rested for some time.
-func (p *pool) noteDead(rested time.Duration) {
+// recordStale lowers the idle limit after a connection was found stale.
+func (p *pool) recordStale(idle time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
-	limit := max(rested/2, leastRest)
-	if now.Before(p.restLimited) {
-		limit = min(limit, p.restLimit)
+	limit := max(idle/2, minIdleLimit)
+	if now.Before(p.idleLimitUntil) {
+		limit = min(limit, p.idleLimit)
 	}
-	p.restLimit, p.restLimited = limit, now.Add(restMemory)
+	p.idleLimit, p.idleLimitUntil = limit, now.Add(idleLimitTTL)
 }
 
 func newPool() *pool {
 	return &pool{idle: map[Target][]*connection{}, dialer: keepalive.Dialer(dialTimeout)}
 }
 
-// get returns an idle connection that is still sound and has rested for at most
-// longest, or a new one.
-func (p *pool) get(ctx context.Context, target Target, longest time.Duration) (*connection, error) {
+// get returns an idle connection that is still open and has been idle for at most
+// maxIdle, or a new one.
+func (p *pool) get(ctx context.Context, target Target, maxIdle time.Duration) (*connection, error) {
 	for {
-		idle := p.takeIdle(target, longest)
+		idle := p.takeIdle(target, maxIdle)
 		if idle == nil {
 			return p.dial(ctx, target)
 		}
-		if time.Now().Before(idle.expires) && idle.quiet() {
+		if time.Now().Before(idle.expires) && idle.isOpenAndEmpty() {
 			return idle, nil
 		}
 		idle.close()
 	}
 }
 
-// holds tells whether a connection to target is open that takeIdle would return and
-// that has not expired at now.
-func (p *pool) holds(target Target, longest time.Duration, now time.Time) bool {
+// hasIdle reports whether takeIdle would return a connection to target that has not
+// expired at now.
+func (p *pool) hasIdle(target Target, maxIdle time.Duration, now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	last := p.freshest(target, longest)
+	last := p.mostRecent(target, maxIdle)
 	return last != nil && now.Before(last.expires)
 }
 
-// takeIdle returns the connection that was used last, which is the freshest, if it
-// has rested for at most longest.
-func (p *pool) takeIdle(target Target, longest time.Duration) *connection {
+// takeIdle removes and returns the most recently used connection, if it has been idle for
+// at most maxIdle, and nil otherwise.
+func (p *pool) takeIdle(target Target, maxIdle time.Duration) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	last := p.freshest(target, longest)
+	last := p.mostRecent(target, maxIdle)
 	if last != nil {
 		p.idle[target] = p.idle[target][:len(p.idle[target])-1]
 	}
 	return last
 }
 
-// freshest returns the idle connection that was used last, if it has rested for at most
-// longest; else nil. It needs the mutex.
-func (p *pool) freshest(target Target, longest time.Duration) *connection {
-	kept := p.idle[target]
-	if len(kept) == 0 {
+// mostRecent returns the most recently used idle connection, if it has been idle for at
+// most maxIdle, and nil otherwise. The caller holds the mutex.
+func (p *pool) mostRecent(target Target, maxIdle time.Duration) *connection {
+	connections := p.idle[target]
+	if len(connections) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	if rested, _ := last.rested(); rested > longest {
+	last := connections[len(connections)-1]
+	if idle, _ := last.idleFor(); idle > maxIdle {
 		return nil
 	}
 	return last
@@ -147,10 +146,10 @@
 	return &connection{socket: socket, reader: bufio.NewReaderSize(socket, readBuffer), target: target}, nil
 }
 
-// put keeps a connection whose last answer was read whole, for at most life.
-func (p *pool) put(c *connection, life time.Duration) {
-	c.restsSince = time.Now()
-	c.expires = c.restsSince.Add(min(life, longestLife))
+// put keeps a connection whose last response was read completely, for at most ttl.
+func (p *pool) put(c *connection, ttl time.Duration) {
+	c.idleSince = time.Now()
+	c.expires = c.idleSince.Add(min(ttl, maxIdleTTL))
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if len(p.idle[c.target]) >= idlePerReplica {
@@ -160,13 +159,13 @@
 	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// sweep closes idle connections that have expired.
+// sweep closes the idle connections that have expired.
 func (p *pool) sweep(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for target, kept := range p.idle {
-		live := kept[:0]
-		for _, c := range kept {
+	for target, connections := range p.idle {
+		live := connections[:0]
+		for _, c := range connections {
 			if now.After(c.expires) {
 				c.close()
 				continue
@@ -184,12 +183,12 @@
 	p.sweep(time.Now().Add(time.Hour))
 }
 
-// close ends the connection; there is nobody to tell of an error.
+// close closes the socket. Its error is irrelevant, as the connection is discarded.
 func (c *connection) close() { _ = c.socket.Close() }
 
-// quiet tells whether an idle connection is open and holds no unread bytes, which
-// would belong to no request.
-func (c *connection) quiet() bool {
+// isOpenAndEmpty reports whether an idle connection is open and has no unread bytes,
+// which would belong to no request.
+func (c *connection) isOpenAndEmpty() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/internal/exchange/withhold_test.go
+++ b/internal/exchange/withhold_test.go
@@ -11,21 +11,21 @@
 
 var errWithheld = errors.New("withheld")
 
-func TestWithheldRequestDoesNotReachTheReplica(t *testing.T) {
+func TestWithheldRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, func(e *replica.Exchange) bool {
-		answerOf(e, "done")
+		respond(e, "done")
 		return true
 	})
-	request := ask("1")
+	request := newRequest("1")
 	request.MaySend = func() error { return errWithheld }
-	for range 2 { // on a new connection, and where one has been
+	for range 2 { // on a new connection, and after one was used
 		_, _, err := send(t, client, to, request)
 		failure := failureOf(t, err)
 		is.Equal(failure.Reason, ReasonWithheld)
 		is.Equal(failure.Outcome, OutcomeNotRun)
 		is.True(errors.Is(err, errWithheld))
-		_, _, err = send(t, client, to, ask("2"))
+		_, _, err = send(t, client, to, newRequest("2"))
 		is.NoErr(err)
 	}
 	for _, received := range to.Received() {
@@ -33,24 +33,24 @@
 	}
 }
 
-// TestSecondSendingIsAskedAbout: a kept connection turns out to be dead, and meanwhile the
-// request may not be sent any more. The first sending may have run.
-func TestSecondSendingIsAskedAbout(t *testing.T) {
+// TestRetryChecksMaySend rejects the retry after a reused connection turned out to be
+// stale. The outcome is unknown, since the first attempt may have run.
+func TestRetryChecksMaySend(t *testing.T) {
 	is := is.New(t)
 	to, client := start(t, func(e *replica.Exchange) bool {
 		if e.Number == 1 {
-			answerOf(e, "done")
+			respond(e, "done")
 			return true
 		}
 		return false
 	})
-	_, _, err := send(t, client, to, ask("1"))
+	_, _, err := send(t, client, to, newRequest("1"))
 	is.NoErr(err)
-	request, asked := ask("2"), 0
+	request, checks := newRequest("2"), 0
 	request.Repeatable = true
 	request.MaySend = func() error {
-		asked++
-		if asked == 2 {
+		checks++
+		if checks == 2 {
 			return errWithheld
 		}
 		return nil
