--- a/internal/exchange/client.go
+++ b/internal/exchange/client.go
@@ -27,7 +27,7 @@
 	typicalHeadSize = 1 << 10
 )
 
-var errMismatched = errors.New("the answer belongs to another request")
+var errMismatched = errors.New("the response belongs to another request")
 
 // Client sends requests to replicas. It is safe for concurrent use.
 type Client struct {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -47,7 +47,7 @@
 func failureOf(t *testing.T, err error) *FailureError {
 	var failure *FailureError
 	if !errors.As(err, &failure) {
-		t.Fatalf("no failure: %v", err)
+		t.Fatalf("got %v, want a FailureError", err)
 	}
 	return failure
 }
@@ -238,7 +238,7 @@
 	select {
 	case <-closed:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the replica does not see that its caller has gone")
+		t.Fatal("the connection was not closed at the end of the context")
 	}
 }
 
--- a/internal/forwarding/forwarder.go
+++ b/internal/forwarding/forwarder.go
@@ -266,7 +266,7 @@
 		onPart = func(part peer.Message) error {
 			token, expected := part.(*tokenMessage)
 			if !expected {
-				return fmt.Errorf("forwarding: part of kind %d in place of a token", part.Kind())
+				return fmt.Errorf("forwarding: got a part of kind %d, want a token", part.Kind())
 			}
 			return onToken(token.index, token.text)
 		}
@@ -280,7 +280,7 @@
 	}
 	outcome, expected := answer.(*outcomeMessage)
 	if !expected {
-		return nil, fmt.Errorf("forwarding: answer of kind %d in place of an outcome", answer.Kind())
+		return nil, fmt.Errorf("forwarding: got a response of kind %d, want an outcome", answer.Kind())
 	}
 	switch outcome.form {
 	case outcomeNotOwner:
--- a/internal/forwarding/forwarder_test.go
+++ b/internal/forwarding/forwarder_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	var problem *api.Problem
 	if !errors.As(err, &problem) {
-		t.Fatalf("no problem: %v", err)
+		t.Fatalf("got %v, want a problem", err)
 	}
 	return problem
 }
@@ -312,7 +312,7 @@
 			switch {
 			case err != nil:
 				if problem := problemOf(t, err); problem.NotRun && s.executions(1) > 0 {
-					fault = fmt.Sprintf("ran in spite of %v", problem)
+					fault = fmt.Sprintf("ran despite %v", problem)
 				}
 			case answer.Text != wholeText() || got.text != wholeText():
 				fault = fmt.Sprintf("answer %q, tokens %q", answer.Text, got.text)
--- a/internal/forwarding/message.go
+++ b/internal/forwarding/message.go
@@ -248,7 +248,7 @@
 
 // Error implements error.
 func (n *notOwner) Error() string {
-	return fmt.Sprintf("forwarding: not the owner; perhaps %s", n.hint.node.Name)
+	return fmt.Sprintf("forwarding: not the owner; the owner may be %s", n.hint.node.Name)
 }
 
 // addMessages registers the message types of this package.
--- a/internal/forwarding/stream.go
+++ b/internal/forwarding/stream.go
@@ -11,7 +11,7 @@
 
 // errDiverged reports that the tokens of an owner do not continue those already delivered
 // to the caller.
-var errDiverged = errors.New("forwarding: the answer does not continue what was passed on")
+var errDiverged = errors.New("forwarding: the answer does not continue the delivered tokens")
 
 // stream delivers the tokens of a call to the caller across several attempts. Each
 // attempt starts again at the caller's first token. Tokens that the caller already has
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -105,7 +105,7 @@
 func (n *Node) run(ctx context.Context, name string, loop func(context.Context) error) {
 	n.loops.Go(func() {
 		if err := loop(ctx); err != nil && ctx.Err() == nil {
-			n.logger.Error("controller ended", "controller", name, "error", err)
+			n.logger.Error("controller failed", "controller", name, "error", err)
 			select {
 			case n.failed <- fmt.Errorf("node: controller %s: %w", name, err):
 			default: // the first error is kept
@@ -135,7 +135,7 @@
 // lapse.
 func (n *Node) Close(ctx context.Context) {
 	if err := n.network.Shutdown(ctx); err != nil {
-		n.logger.Warn("requests of other nodes were cut off", "error", err)
+		n.logger.Warn("requests of other nodes did not complete before the shutdown timeout", "error", err)
 	}
 	if n.stop != nil {
 		n.stop()
