--- a/internal/forwarding/forwarder.go
+++ b/internal/forwarding/forwarder.go
@@ -42,15 +42,15 @@
 	MaxPause   time.Duration
 	// Jitter is the randomization factor of the backoff; a negative value disables it.
 	Jitter float64
-	// Patience is how long an owner is searched for. It covers a planned handover and
+	// OwnerTimeout is how long an owner is searched for. It covers a planned handover and
 	// most takeovers.
-	Patience time.Duration
-	// OwnerlessPatience replaces Patience within OwnerlessMemory after the search of
+	OwnerTimeout time.Duration
+	// OwnerlessTimeout replaces OwnerTimeout within OwnerlessTTL after the search of
 	// another request has failed.
-	OwnerlessPatience time.Duration
-	OwnerlessMemory   time.Duration
-	// AcceptedPatience replaces Patience for a call that an owner may have accepted.
-	AcceptedPatience time.Duration
+	OwnerlessTimeout time.Duration
+	OwnerlessTTL     time.Duration
+	// AcceptedTimeout replaces OwnerTimeout for a call that an owner may have accepted.
+	AcceptedTimeout time.Duration
 	// RetryAfter is the retry delay of callers for which no owner was found.
 	RetryAfter time.Duration
 	// AliveTimeout bounds one ProgramAlive query.
@@ -61,10 +61,10 @@
 	t.FirstPause = cmp.Or(t.FirstPause, 20*time.Millisecond)
 	t.MaxPause = cmp.Or(t.MaxPause, 250*time.Millisecond)
 	t.Jitter = max(cmp.Or(t.Jitter, 0.5), 0)
-	t.Patience = cmp.Or(t.Patience, 8*time.Second)
-	t.OwnerlessPatience = cmp.Or(t.OwnerlessPatience, 100*time.Millisecond)
-	t.OwnerlessMemory = cmp.Or(t.OwnerlessMemory, 5*time.Second)
-	t.AcceptedPatience = cmp.Or(t.AcceptedPatience, time.Minute)
+	t.OwnerTimeout = cmp.Or(t.OwnerTimeout, 8*time.Second)
+	t.OwnerlessTimeout = cmp.Or(t.OwnerlessTimeout, 100*time.Millisecond)
+	t.OwnerlessTTL = cmp.Or(t.OwnerlessTTL, 5*time.Second)
+	t.AcceptedTimeout = cmp.Or(t.AcceptedTimeout, time.Minute)
 	t.RetryAfter = cmp.Or(t.RetryAfter, time.Second)
 	t.AliveTimeout = cmp.Or(t.AliveTimeout, 3*time.Second)
 	return t
--- a/internal/forwarding/search.go
+++ b/internal/forwarding/search.go
@@ -80,11 +80,11 @@
 	timing := s.forwarder.config.Timing
 	switch {
 	case s.isCall && (s.accepted || s.uncertain):
-		return timing.AcceptedPatience
+		return timing.AcceptedTimeout
 	case s.ownerless:
-		return timing.OwnerlessPatience
+		return timing.OwnerlessTimeout
 	default:
-		return timing.Patience
+		return timing.OwnerTimeout
 	}
 }
 
@@ -224,7 +224,7 @@
 // ownerless reports whether a search for the shard's owner failed recently.
 func (f *Forwarder) ownerless(shard identity.ShardID) bool {
 	failed, found := f.ownerlessSince.Load(shard)
-	return found && time.Since(failed) < f.config.Timing.OwnerlessMemory
+	return found && time.Since(failed) < f.config.Timing.OwnerlessTTL
 }
 
 // cacheOwner stores the node that responded as the first remote candidate for later
--- a/internal/node/providers.go
+++ b/internal/node/providers.go
@@ -96,8 +96,8 @@
 			return controller.ExpectedWait(model, adapter)
 		},
 		Timing: serving.Timing{
-			GapWait: chosen.Limits.SequenceGapWait,
-			Audit:   chosen.Backends.AuditInterval,
+			SequenceGapTimeout: chosen.Limits.SequenceGapWait,
+			AuditInterval:      chosen.Backends.AuditInterval,
 		},
 		CachedTokens: do.MustInvoke[*backends.Controller](injector).CacheMap().Tokens,
 		Hooks:        do.MustInvoke[serving.Hooks](injector),
--- a/internal/serving/config.go
+++ b/internal/serving/config.go
@@ -44,60 +44,60 @@
 	ModelWait func(model, adapter string) (time.Duration, bool)
 
 	Timing Timing
-	Bounds Bounds
+	Limits Limits
 	Hooks  Hooks
 }
 
 // Timing holds the timeouts and intervals of an Owner.
 type Timing struct {
-	// GapWait is how long a call waits for an earlier call of its branch that has not
-	// arrived.
-	GapWait time.Duration
-	// MaxCall is the time limit of a call whose class sets none.
-	MaxCall time.Duration
-	// AttemptRetry is the initial interval of the exponential backoff between attempts.
-	AttemptRetry time.Duration
-	// Stall is how long an attempt may make no progress at a back end that is ejected,
-	// unknown or has not reported for as long.
-	Stall time.Duration
-	// FenceLimit is how long cancelling a stream of unknown outcome is retried before the
-	// call runs elsewhere without a confirmation.
-	FenceLimit time.Duration
-	// ReleaseRetry and ReleaseRetryMax bound the backoff between attempts to release
-	// cache. GoneAfter is how long releases are retried before an engine that is missing
-	// from the machine list counts as removed, with its memory.
-	ReleaseRetry    time.Duration
-	ReleaseRetryMax time.Duration
-	GoneAfter       time.Duration
+	// SequenceGapTimeout is how long a call waits for an earlier call of its branch that
+	// has not arrived.
+	SequenceGapTimeout time.Duration
+	// DefaultCallTimeout is the time limit of a call whose class sets none.
+	DefaultCallTimeout time.Duration
+	// RetryInterval is the initial interval of the exponential backoff between attempts.
+	RetryInterval time.Duration
+	// StallTimeout is how long an attempt may make no progress at a back end that is
+	// ejected, unknown or has not reported for as long.
+	StallTimeout time.Duration
+	// FenceTimeout is how long cancelling a stream of unknown outcome is retried before
+	// the call runs elsewhere without a confirmation.
+	FenceTimeout time.Duration
+	// ReleaseRetryMin and ReleaseRetryMax bound the backoff between attempts to release
+	// cache. RemovedEngineDelay is how long releases are retried before an engine that is
+	// missing from the machine list counts as removed, with its memory.
+	ReleaseRetryMin    time.Duration
+	ReleaseRetryMax    time.Duration
+	RemovedEngineDelay time.Duration
 	// RequestTimeout bounds one cancel, release or listing request to an engine.
 	RequestTimeout time.Duration
-	// Sweep is the interval between checks for idle and over-age programs.
-	Sweep time.Duration
-	// Tombstone is how long an ended program is retained to answer repeated requests.
-	Tombstone time.Duration
-	// Audit is the interval between audits of the engines' memory.
-	Audit time.Duration
-	// Evict is the interval between searches for paused branches whose cache is no longer
-	// worth its memory.
-	Evict time.Duration
-	// CloseWait bounds the wait for application calls during a planned handover.
-	CloseWait time.Duration
+	// SweepInterval is the interval between checks for idle and over-age programs.
+	SweepInterval time.Duration
+	// TombstoneTTL is how long an ended program is retained to answer repeated requests.
+	TombstoneTTL time.Duration
+	// AuditInterval is the interval between audits of the engines' memory.
+	AuditInterval time.Duration
+	// EvictionInterval is the interval between searches for paused branches whose cache
+	// is no longer worth its memory.
+	EvictionInterval time.Duration
+	// HandoverTimeout bounds the wait for application calls during a planned handover.
+	HandoverTimeout time.Duration
 }
 
-// Bounds holds the limits on memory and retries of an Owner.
-type Bounds struct {
-	// Attempts limits the attempts of one call that may have run.
-	Attempts int
+// Limits holds the limits on memory and retries of an Owner.
+type Limits struct {
+	// MaxAttempts limits the attempts of one call that may have run.
+	MaxAttempts int
 	// RetryRate and RetryBurst limit the retries of such attempts on this node.
 	RetryRate  float64
 	RetryBurst int
-	// EarlyCalls limits how far the sequence of an arriving call may be ahead of its
+	// MaxSequenceLead limits how far the sequence of an arriving call may be ahead of its
 	// branch.
-	EarlyCalls int
-	// Tombstones limits the ended programs retained per shard.
-	Tombstones int
-	// Explanations limits the decisions retained for Explain.
-	Explanations int
+	MaxSequenceLead int
+	// MaxTombstones limits the ended programs retained per shard.
+	MaxTombstones int
+	// MaxExplanations limits the decisions retained for Explain.
+	MaxExplanations int
 }
 
 // Hooks replace single rules by incorrect ones, so that a test can verify that its checks
@@ -107,11 +107,11 @@
 	Reserve func(prompt, answer int64) int64
 	// CheckLease replaces the check of the shard's lease.
 	CheckLease func(shard journal.Shard) error
-	// Durable reports whether the intent of a call must be durable in the log before
-	// dispatch.
-	Durable func(call identity.CallID, unrepeatable bool) bool
-	// RunsAgain reports whether a call with a lost attempt may run again.
-	RunsAgain func(call identity.CallID, unrepeatable bool) bool
+	// RequiresDurableIntent reports whether the intent of a call must be durable in the
+	// log before dispatch.
+	RequiresDurableIntent func(call identity.CallID, unrepeatable bool) bool
+	// MayRetry reports whether a call with a lost attempt may run again.
+	MayRetry func(call identity.CallID, unrepeatable bool) bool
 	// Fence replaces the cancellation of a lost stream.
 	Fence func(stream identity.StreamID) error
 	// Release reports whether the outbox of a program is processed.
@@ -120,60 +120,60 @@
 
 func defaultTiming() Timing {
 	return Timing{
-		GapWait:         5 * time.Second,
-		MaxCall:         10 * time.Minute,
-		AttemptRetry:    50 * time.Millisecond,
-		Stall:           5 * time.Second,
-		FenceLimit:      20 * time.Second,
-		ReleaseRetry:    100 * time.Millisecond,
-		ReleaseRetryMax: 5 * time.Second,
-		GoneAfter:       30 * time.Second,
-		RequestTimeout:  3 * time.Second,
-		Sweep:           time.Second,
-		Tombstone:       10 * time.Minute,
-		Audit:           15 * time.Second,
-		Evict:           5 * time.Second,
-		CloseWait:       30 * time.Second,
+		SequenceGapTimeout: 5 * time.Second,
+		DefaultCallTimeout: 10 * time.Minute,
+		RetryInterval:      50 * time.Millisecond,
+		StallTimeout:       5 * time.Second,
+		FenceTimeout:       20 * time.Second,
+		ReleaseRetryMin:    100 * time.Millisecond,
+		ReleaseRetryMax:    5 * time.Second,
+		RemovedEngineDelay: 30 * time.Second,
+		RequestTimeout:     3 * time.Second,
+		SweepInterval:      time.Second,
+		TombstoneTTL:       10 * time.Minute,
+		AuditInterval:      15 * time.Second,
+		EvictionInterval:   5 * time.Second,
+		HandoverTimeout:    30 * time.Second,
 	}
 }
 
-func defaultBounds() Bounds {
-	return Bounds{
-		Attempts:     4,
-		RetryRate:    10,
-		RetryBurst:   50,
-		EarlyCalls:   32,
-		Tombstones:   256,
-		Explanations: 4096,
+func defaultLimits() Limits {
+	return Limits{
+		MaxAttempts:     4,
+		RetryRate:       10,
+		RetryBurst:      50,
+		MaxSequenceLead: 32,
+		MaxTombstones:   256,
+		MaxExplanations: 4096,
 	}
 }
 
 func (t *Timing) setDefaults() {
 	fallback := defaultTiming()
-	defaults.Set(&t.GapWait, fallback.GapWait)
-	defaults.Set(&t.MaxCall, fallback.MaxCall)
-	defaults.Set(&t.AttemptRetry, fallback.AttemptRetry)
-	defaults.Set(&t.Stall, fallback.Stall)
-	defaults.Set(&t.FenceLimit, fallback.FenceLimit)
-	defaults.Set(&t.ReleaseRetry, fallback.ReleaseRetry)
+	defaults.Set(&t.SequenceGapTimeout, fallback.SequenceGapTimeout)
+	defaults.Set(&t.DefaultCallTimeout, fallback.DefaultCallTimeout)
+	defaults.Set(&t.RetryInterval, fallback.RetryInterval)
+	defaults.Set(&t.StallTimeout, fallback.StallTimeout)
+	defaults.Set(&t.FenceTimeout, fallback.FenceTimeout)
+	defaults.Set(&t.ReleaseRetryMin, fallback.ReleaseRetryMin)
 	defaults.Set(&t.ReleaseRetryMax, fallback.ReleaseRetryMax)
-	defaults.Set(&t.GoneAfter, fallback.GoneAfter)
+	defaults.Set(&t.RemovedEngineDelay, fallback.RemovedEngineDelay)
 	defaults.Set(&t.RequestTimeout, fallback.RequestTimeout)
-	defaults.Set(&t.Sweep, fallback.Sweep)
-	defaults.Set(&t.Tombstone, fallback.Tombstone)
-	defaults.Set(&t.Audit, fallback.Audit)
-	defaults.Set(&t.Evict, fallback.Evict)
-	defaults.Set(&t.CloseWait, fallback.CloseWait)
+	defaults.Set(&t.SweepInterval, fallback.SweepInterval)
+	defaults.Set(&t.TombstoneTTL, fallback.TombstoneTTL)
+	defaults.Set(&t.AuditInterval, fallback.AuditInterval)
+	defaults.Set(&t.EvictionInterval, fallback.EvictionInterval)
+	defaults.Set(&t.HandoverTimeout, fallback.HandoverTimeout)
 }
 
-func (b *Bounds) setDefaults() {
-	fallback := defaultBounds()
-	defaults.Set(&b.Attempts, fallback.Attempts)
+func (b *Limits) setDefaults() {
+	fallback := defaultLimits()
+	defaults.Set(&b.MaxAttempts, fallback.MaxAttempts)
 	defaults.Set(&b.RetryRate, fallback.RetryRate)
 	defaults.Set(&b.RetryBurst, fallback.RetryBurst)
-	defaults.Set(&b.EarlyCalls, fallback.EarlyCalls)
-	defaults.Set(&b.Tombstones, fallback.Tombstones)
-	defaults.Set(&b.Explanations, fallback.Explanations)
+	defaults.Set(&b.MaxSequenceLead, fallback.MaxSequenceLead)
+	defaults.Set(&b.MaxTombstones, fallback.MaxTombstones)
+	defaults.Set(&b.MaxExplanations, fallback.MaxExplanations)
 }
 
 // notOwnerRetry is the retry delay of a caller that reached a node which does not own the
--- a/internal/serving/dispatch.go
+++ b/internal/serving/dispatch.go
@@ -190,8 +190,8 @@
 // backoff returns the exponential backoff between attempts, with jitter.
 func (o *Owner) backoff() *backoff.ExponentialBackOff {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = o.config.Timing.AttemptRetry
-	pause.MaxInterval = 20 * o.config.Timing.AttemptRetry
+	pause.InitialInterval = o.config.Timing.RetryInterval
+	pause.MaxInterval = 20 * o.config.Timing.RetryInterval
 	return pause
 }
 
@@ -262,7 +262,7 @@
 // mayRetry reports whether a call with a lost attempt may be sent again.
 func (d *driver) mayRetry() bool {
 	unrepeatable := d.run.request.Unrepeatable
-	if rule := d.owner().config.Hooks.RunsAgain; rule != nil {
+	if rule := d.owner().config.Hooks.MayRetry; rule != nil {
 		return rule(d.run.id, unrepeatable)
 	}
 	return !unrepeatable
@@ -279,7 +279,7 @@
 	if result := d.fence(); result != nil {
 		return result, true
 	}
-	if d.lostAttempts >= d.owner().config.Bounds.Attempts || !d.owner().retries.Allow() {
+	if d.lostAttempts >= d.owner().config.Limits.MaxAttempts || !d.owner().retries.Allow() {
 		return d.withdraw(failed(api.NewProblem(api.CodeBackendFailed, "call %s failed at %s: %s",
 			d.run.id, d.attempt.Backend, end.err).WithRetryAfter(deadlineRetry))), true
 	}
@@ -299,9 +299,9 @@
 
 // fence cancels the stream of the pending attempt, so that a delayed request cannot run
 // after later calls of the branch. It proceeds without the engine's confirmation once the
-// engine is not in the machine list or FenceLimit has passed. A stream that has delivered
-// a token has already reached its engine and cannot arrive late; it is cancelled in the
-// background, only to stop its work.
+// engine is not in the machine list or FenceTimeout has passed. A stream that has
+// delivered a token has already reached its engine and cannot arrive late; it is
+// cancelled in the background, only to stop its work.
 func (d *driver) fence() *outcome {
 	if d.run.request.Kind != api.CallModel {
 		return nil
@@ -317,7 +317,7 @@
 		go d.shard.cancelOnce(client, d.attempt.Stream)
 		return nil
 	}
-	limit := time.Now().Add(d.owner().config.Timing.FenceLimit)
+	limit := time.Now().Add(d.owner().config.Timing.FenceTimeout)
 	pause := d.owner().backoff()
 	for {
 		ctx, cancel := context.WithTimeout(d.run.context, d.owner().config.Timing.RequestTimeout)
--- a/internal/serving/drive.go
+++ b/internal/serving/drive.go
@@ -124,9 +124,9 @@
 func (d *driver) mayHaveRun() bool { return d.pending || d.lostAttempts > 0 || d.ranBefore }
 
 // awaitPredecessors waits until every earlier call of the branch is answered. It waits at
-// most GapWait for an earlier call that has not arrived.
+// most SequenceGapTimeout for an earlier call that has not arrived.
 func (d *driver) awaitPredecessors() *outcome {
-	gap := d.shard.owner.config.Timing.GapWait
+	gap := d.shard.owner.config.Timing.SequenceGapTimeout
 	var missingSince time.Time
 	for {
 		verdict, changed, missing := d.evaluate()
@@ -169,7 +169,7 @@
 func (d *driver) predecessorTimeout(missing bool) *outcome {
 	if missing {
 		return failed(api.NewProblem(api.CodeSequenceGap, "the call before %s did not arrive", d.run.id).
-			WithRetryAfter(d.shard.owner.config.Timing.GapWait))
+			WithRetryAfter(d.shard.owner.config.Timing.SequenceGapTimeout))
 	}
 	return failed(api.NewProblem(api.CodeDeadline, "the calls before %s had no answer by its deadline", d.run.id).
 		WithNotRun(!d.mayHaveRun()).WithRetryAfter(deadlineRetry))
@@ -252,7 +252,7 @@
 	s := d.shard
 	unrepeatable := d.run.request.Unrepeatable
 	durable := unrepeatable
-	if rule := s.owner.config.Hooks.Durable; rule != nil {
+	if rule := s.owner.config.Hooks.RequiresDurableIntent; rule != nil {
 		durable = rule(d.run.id, unrepeatable)
 	}
 	s.machine.mutex.Lock()
--- a/internal/serving/outbox.go
+++ b/internal/serving/outbox.go
@@ -18,7 +18,7 @@
 	defer s.drivers.Done()
 	timing := s.owner.config.Timing
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = timing.ReleaseRetry
+	pause.InitialInterval = timing.ReleaseRetryMin
 	pause.MaxInterval = timing.ReleaseRetryMax
 	began := time.Now()
 	for s.context.Err() == nil {
@@ -70,7 +70,7 @@
 	}
 	if err := s.releaseAtEngine(id, release); err != nil {
 		s.owner.metrics.releaseFailures.WithLabelValues(release.Backend).Inc()
-		gone := time.Since(startedAt) >= s.owner.config.Timing.GoneAfter && !s.owner.listed(release.Address)
+		gone := time.Since(startedAt) >= s.owner.config.Timing.RemovedEngineDelay && !s.owner.listed(release.Address)
 		if !gone {
 			return false
 		}
--- a/internal/serving/owner.go
+++ b/internal/serving/owner.go
@@ -41,7 +41,7 @@
 // NewOwner returns an owner without shards. Run starts its background work.
 func NewOwner(config Config) *Owner {
 	config.Timing.setDefaults()
-	config.Bounds.setDefaults()
+	config.Limits.setDefaults()
 	logger := config.Logger
 	if logger == nil {
 		logger = slog.New(slog.DiscardHandler)
@@ -50,8 +50,8 @@
 		config:     config,
 		logger:     logger,
 		inFlight:   newInFlightTracker(),
-		retries:    rate.NewLimiter(rate.Limit(config.Bounds.RetryRate), config.Bounds.RetryBurst),
-		explained:  newExplanations(config.Bounds.Explanations),
+		retries:    rate.NewLimiter(rate.Limit(config.Limits.RetryRate), config.Limits.RetryBurst),
+		explained:  newExplanations(config.Limits.MaxExplanations),
 		durations:  newDurations(),
 		pauses:     newPauses(),
 		candidates: newCandidates(config.Board),
@@ -65,9 +65,9 @@
 // Run expires programs, audits engines and evicts idle cache until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return o.every(ctx, o.config.Timing.Sweep, o.sweep) })
-	group.Go(func() error { return o.every(ctx, o.config.Timing.Audit, o.audit) })
-	group.Go(func() error { return o.every(ctx, o.config.Timing.Evict, o.evictIdle) })
+	group.Go(func() error { return o.every(ctx, o.config.Timing.SweepInterval, o.sweep) })
+	group.Go(func() error { return o.every(ctx, o.config.Timing.AuditInterval, o.audit) })
+	group.Go(func() error { return o.every(ctx, o.config.Timing.EvictionInterval, o.evictIdle) })
 	if err := group.Wait(); err != nil && ctx.Err() == nil {
 		return fmt.Errorf("serving: %w", err)
 	}
@@ -149,8 +149,8 @@
 
 // Closing implements journal.Host. From now on new calls are sent to the next owner.
 // Application calls in flight cannot be resumed elsewhere, so Closing waits up to
-// CloseWait for them. Model streams continue at their engines, and the next owner resumes
-// them.
+// HandoverTimeout for them. Model streams continue at their engines, and the next owner
+// resumes them.
 func (o *Owner) Closing(ctx context.Context, owned journal.Shard) {
 	o.mutex.RLock()
 	s := o.shards[owned.ID()]
@@ -158,7 +158,7 @@
 	if s == nil || s.journal != owned {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.config.Timing.CloseWait)
+	ctx, cancel := context.WithTimeout(ctx, o.config.Timing.HandoverTimeout)
 	defer cancel()
 	s.close(ctx)
 	o.removeShard(s)
--- a/internal/serving/programs.go
+++ b/internal/serving/programs.go
@@ -302,9 +302,9 @@
 // branch.
 func (s *shard) checkArrival(p *program.Program, call program.Request) error {
 	next := p.Next(call.ID.Branch)
-	if call.ID.Sequence > next+identity.Sequence(s.owner.config.Bounds.EarlyCalls) {
+	if call.ID.Sequence > next+identity.Sequence(s.owner.config.Limits.MaxSequenceLead) {
 		return api.NewProblem(api.CodeSequenceGap, "call %s is far ahead of the branch's next, %d", call.ID, next).
-			WithRetryAfter(s.owner.config.Timing.GapWait)
+			WithRetryAfter(s.owner.config.Timing.SequenceGapTimeout)
 	}
 	if call.Kind != api.CallModel {
 		return nil
@@ -327,7 +327,7 @@
 	if timeout := p.Limits().CallTimeout; timeout > 0 {
 		return timeout
 	}
-	return s.owner.config.Timing.MaxCall
+	return s.owner.config.Timing.DefaultCallTimeout
 }
 
 // start creates the run of call and starts its driver. The caller holds the mutex.
--- a/internal/serving/schedule_test.go
+++ b/internal/serving/schedule_test.go
@@ -82,7 +82,7 @@
 		defer s.close()
 		s.hooks = of.hooks
 		// All engines recover, so a fence never has to time out.
-		s.timing = serving.Timing{FenceLimit: time.Hour, Audit: of.audit}
+		s.timing = serving.Timing{FenceTimeout: time.Hour, AuditInterval: of.audit}
 		s.publish(s.class(tightBudget))
 		owner, _ := s.open()
 		go s.report()
@@ -429,7 +429,7 @@
 func TestSchedulesDetectIncorrectVariants(t *testing.T) {
 	wrong := map[string]variant{
 		"unrepeatable calls run again": {
-			hooks: serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}, engines: 2,
+			hooks: serving.Hooks{MayRetry: func(identity.CallID, bool) bool { return true }}, engines: 2,
 		},
 		// With two engines, the release at the first one cancels the stream too.
 		"lost streams are not fenced": {
--- a/internal/serving/sweep.go
+++ b/internal/serving/sweep.go
@@ -68,15 +68,15 @@
 	return limit > 0 && now.Sub(p.Created()) >= limit
 }
 
-// removeEnded removes ended programs that are older than Tombstone, and the oldest ones
-// beyond the limit. The caller holds the mutex.
+// removeEnded removes ended programs that are older than TombstoneTTL, and the oldest
+// ones beyond MaxTombstones. The caller holds the mutex.
 func (s *shard) removeEnded(now time.Time, ended []*program.Program) {
 	slices.SortFunc(ended, func(a, b *program.Program) int {
 		return cmp.Or(a.Ended().Compare(b.Ended()), cmp.Compare(a.ID(), b.ID()))
 	})
-	surplus := len(ended) - s.owner.config.Bounds.Tombstones
+	surplus := len(ended) - s.owner.config.Limits.MaxTombstones
 	for i, p := range ended {
-		if i >= surplus && now.Sub(p.Ended()) < s.owner.config.Timing.Tombstone {
+		if i >= surplus && now.Sub(p.Ended()) < s.owner.config.Timing.TombstoneTTL {
 			return
 		}
 		if _, err := s.commit(false, program.Removed{ID: p.ID()}); err != nil {
--- a/internal/serving/variants_test.go
+++ b/internal/serving/variants_test.go
@@ -80,10 +80,10 @@
 		run   scenario
 	}{
 		"unrepeatable calls run again": {
-			serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}, losePaymentResponse,
+			serving.Hooks{MayRetry: func(identity.CallID, bool) bool { return true }}, losePaymentResponse,
 		},
 		"intents are not durable": {
-			serving.Hooks{Durable: func(identity.CallID, bool) bool { return false }}, payWhileLogUnavailable,
+			serving.Hooks{RequiresDurableIntent: func(identity.CallID, bool) bool { return false }}, payWhileLogUnavailable,
 		},
 		"lost streams are not fenced": {
 			serving.Hooks{Fence: func(identity.StreamID) error { return nil }}, pauseOwnerBeforeSend,
@@ -115,7 +115,7 @@
 		s := newSite(t, 1) // with two engines, the release at the other one would hide a missing fence
 		defer s.close()
 		s.hooks = hooks
-		s.timing.Audit = time.Hour // the audit would release the memory in place of the outbox
+		s.timing.AuditInterval = time.Hour // the audit would release the memory in place of the outbox
 		owner, _ := s.open()
 		s.create(owner, p1)
 		seen = run(s, owner)
--- a/internal/serving/watchdog.go
+++ b/internal/serving/watchdog.go
@@ -39,7 +39,7 @@
 	}
 	w := &watchdog{driver: d, cancel: cancel, seenTokens: len(d.run.received()), progress: time.Now()}
 	w.mutex.Lock()
-	w.timer = time.AfterFunc(d.owner().config.Timing.Stall/watchdogChecksPerStall, w.check)
+	w.timer = time.AfterFunc(d.owner().config.Timing.StallTimeout/watchdogChecksPerStall, w.check)
 	w.mutex.Unlock()
 	return ctx, func() {
 		w.mutex.Lock()
@@ -52,7 +52,7 @@
 func (w *watchdog) check() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	stall := w.driver.owner().config.Timing.Stall
+	stall := w.driver.owner().config.Timing.StallTimeout
 	if received := len(w.driver.run.received()); received != w.seenTokens {
 		w.seenTokens, w.progress = received, time.Now()
 	}
--- a/test/replay/variants_test.go
+++ b/test/replay/variants_test.go
@@ -37,8 +37,8 @@
 )
 
 func variants() []variant {
-	runsAgain := simulated.Wrong{Hooks: serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}}
-	notDurable := simulated.Wrong{Hooks: serving.Hooks{Durable: func(identity.CallID, bool) bool { return false }}}
+	runsAgain := simulated.Wrong{Hooks: serving.Hooks{MayRetry: func(identity.CallID, bool) bool { return true }}}
+	notDurable := simulated.Wrong{Hooks: serving.Hooks{RequiresDurableIntent: func(identity.CallID, bool) bool { return false }}}
 	noReservation := simulated.Wrong{Hooks: serving.Hooks{Reserve: func(int64, int64) int64 { return 0 }}}
 	noLease := simulated.Wrong{Hooks: serving.Hooks{CheckLease: func(journal.Shard) error { return nil }}}
 	forgets := simulated.Wrong{Directory: wrongly(wrongBackends{forget: true})}
--- a/test/simulation/variants_test.go
+++ b/test/simulation/variants_test.go
@@ -25,7 +25,7 @@
 		{
 			name: "unrepeatable calls run again after a lost attempt", point: pointUnrepeatable,
 			change: func(p *plan) {
-				p.hooks.RunsAgain = func(identity.CallID, bool) bool { return true }
+				p.hooks.MayRetry = func(identity.CallID, bool) bool { return true }
 			},
 			faults: []faultKind{applicationLosesAnswers, killNode}, tries: 30,
 		},
