--- a/internal/serving/assign.go
+++ b/internal/serving/assign.go
@@ -62,12 +62,12 @@
 // went through this node, so at the back end of a call that another owner answered, the
 // count in the journal replaces an estimate of 0.
 func (o *Owner) expectedCachedTokens(backend string, query *schedulingQuery) int {
-	believed := 0
+	estimated := 0
 	if o.config.CachedTokens != nil && query.call.Model != "" {
-		believed = o.config.CachedTokens(backend, query.call.ID.Program, query.call.ID.Branch)
+		estimated = o.config.CachedTokens(backend, query.call.ID.Program, query.call.ID.Branch)
 	}
-	if backend != query.lastBackend || believed > 0 || (query.answeredByOwner && o.config.CachedTokens != nil) {
-		return min(believed, query.call.PromptTokens)
+	if backend != query.lastBackend || estimated > 0 || (query.answeredByOwner && o.config.CachedTokens != nil) {
+		return min(estimated, query.call.PromptTokens)
 	}
 	return query.countedTokens
 }
--- a/internal/serving/audit.go
+++ b/internal/serving/audit.go
@@ -105,10 +105,10 @@
 }
 
 // update records whether found is a suspect and returns true if it was one before, too.
-func (a *auditor) update(found suspect, gone bool) bool {
+func (a *auditor) update(found suspect, notAlive bool) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if !gone {
+	if !notAlive {
 		delete(a.suspects, found)
 		return false
 	}
--- a/internal/serving/outbox.go
+++ b/internal/serving/outbox.go
@@ -70,8 +70,8 @@
 	}
 	if err := s.releaseAtEngine(id, release); err != nil {
 		s.owner.metrics.releaseFailures.WithLabelValues(release.Backend).Inc()
-		gone := time.Since(startedAt) >= s.owner.config.Timing.RemovedEngineDelay && !s.owner.listed(release.Address)
-		if !gone {
+		removed := time.Since(startedAt) >= s.owner.config.Timing.RemovedEngineDelay && !s.owner.listed(release.Address)
+		if !removed {
 			return false
 		}
 		s.owner.logger.Info("engine is not in the machine list; treating its cache as released", "program", id, "backend", release.Backend,
--- a/internal/serving/owner_test.go
+++ b/internal/serving/owner_test.go
@@ -326,9 +326,9 @@
 		s := newSite(t, 2)
 		defer s.close()
 		policy := &recordingPolicy{shown: map[string]int{}}
-		believed := map[string]int{}
+		estimated := map[string]int{}
 		s.policy = policy
-		s.cached = func(backend string, _ identity.ProgramID, _ identity.BranchID) int { return believed[backend] }
+		s.cached = func(backend string, _ identity.ProgramID, _ identity.BranchID) int { return estimated[backend] }
 		owner, held := s.open()
 		s.create(owner, p1)
 		first, err := s.call(owner, p1, modelCall(1, "one"))
@@ -339,7 +339,7 @@
 		_, err = s.call(owner, p1, modelCall(2, "two"))
 		is.NoErr(err)
 		is.Equal(policy.shown[first.Backend], counted) // another owner answered, so the journal's count applies
-		believed["engine-0"], believed["engine-1"] = 3, 0
+		estimated["engine-0"], estimated["engine-1"] = 3, 0
 		_, err = s.call(owner, p1, modelCall(3, "three"))
 		is.NoErr(err)
 		is.Equal(policy.shown["engine-0"], 3)
--- a/internal/serving/schedule_test.go
+++ b/internal/serving/schedule_test.go
@@ -31,8 +31,8 @@
 // faultKinds are the kinds of steps. Kinds that do harm only in combination, such as the
 // delayed dispatch of a paused owner, are listed several times to be drawn more often.
 var faultKinds = []string{
-	"freeze a dispatch", "freeze a dispatch", "freeze a dispatch", "replace owner unseen", "replace owner unseen",
-	"replace owner unseen", "thaw", "thaw", "kill owner", "restart engine", "engine down", "engine frozen",
+	"pause a dispatch", "pause a dispatch", "pause a dispatch", "replace owner unseen", "replace owner unseen",
+	"replace owner unseen", "resume dispatches", "resume dispatches", "kill owner", "restart engine", "engine down", "engine frozen",
 	"engine loses answers", "engine drains", "heal engine", "portal down", "portal loses answers", "heal portal",
 	"log down", "log up", "lease lapses", "lease lapses", "lease returns",
 }
@@ -53,7 +53,7 @@
 	clients  sync.WaitGroup
 	mutex    sync.Mutex
 	faults   []string
-	thaws    []func()
+	resumes  []func()
 	payments map[string]api.Code
 	drains   []bool
 }
@@ -126,11 +126,11 @@
 	return s.current
 }
 
-func (s *scheduledSite) takeOver(told bool) {
+func (s *scheduledSite) takeOver(notify bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	former := s.opened[len(s.opened)-1]
-	if told {
+	if notify {
 		former.lose()
 	}
 	s.open()
@@ -144,10 +144,10 @@
 		s.takeOver(true)
 	case "replace owner unseen":
 		s.takeOver(false)
-	case "freeze a dispatch":
-		s.thaws = append(s.thaws, s.freezeNext())
-	case "thaw":
-		s.thaw()
+	case "pause a dispatch":
+		s.resumes = append(s.resumes, s.pauseNextDispatch())
+	case "resume dispatches":
+		s.resume()
 	case "restart engine":
 		e.Restart()
 	case "engine down":
@@ -175,22 +175,22 @@
 	}
 }
 
-// freezeNext blocks the next dispatch between the owner's last lease check and the send.
-func (s *scheduledSite) freezeNext() (thaw func()) {
-	frozen := make(chan struct{})
+// pauseNextDispatch blocks the next dispatch between the owner's last lease check and the send.
+func (s *scheduledSite) pauseNextDispatch() (resume func()) {
+	paused := make(chan struct{})
 	var stopped atomic.Bool
 	s.setBeforeSend(func(identity.StreamID) {
 		if stopped.CompareAndSwap(false, true) {
-			<-frozen
+			<-paused
 		}
 	})
-	return sync.OnceFunc(func() { close(frozen) })
+	return sync.OnceFunc(func() { close(paused) })
 }
 
-func (s *scheduledSite) thaw() {
+func (s *scheduledSite) resume() {
 	s.setBeforeSend(nil)
-	for _, thaw := range s.thaws {
-		thaw()
+	for _, resume := range s.resumes {
+		resume()
 	}
 }
 
@@ -237,7 +237,7 @@
 }
 
 func (s *scheduledSite) heal() {
-	s.thaw()
+	s.resume()
 	s.setLapsed(false)
 	for number := range s.engines {
 		s.healEngine(number)
--- a/internal/serving/stall_test.go
+++ b/internal/serving/stall_test.go
@@ -27,10 +27,10 @@
 		is.True(len(s.engines[silent].Truth().Arrivals) == 1)
 		s.engines[silent].SetFaults(engine.Faults{Frozen: true})
 		s.setHealth(s.engines[silent].Name(), scheduling.Ejected)
-		frozen := time.Now()
+		pausedAt := time.Now()
 		got := <-call
 		is.NoErr(got.err)
-		is.True(time.Since(frozen) < bound)
+		is.True(time.Since(pausedAt) < bound)
 		is.Equal(strings.Join(got.tokens, ""), got.answer.Text) // one complete stream
 		s.engines[silent].SetFaults(engine.Faults{})
 		time.Sleep(time.Minute)
--- a/internal/serving/takeover_test.go
+++ b/internal/serving/takeover_test.go
@@ -53,22 +53,22 @@
 	})
 }
 
-// freeze blocks the first dispatch of a call between the owner's last lease check and the
+// pauseDispatch blocks the first dispatch of a call between the owner's last lease check and the
 // send, until the returned function is called.
-func (s *site) freeze(id identity.CallID) (thaw func()) {
-	frozen := make(chan struct{})
+func (s *site) pauseDispatch(id identity.CallID) (resume func()) {
+	paused := make(chan struct{})
 	var stopped atomic.Bool
 	s.setBeforeSend(func(stream identity.StreamID) {
 		if stream.Call == id && stopped.CompareAndSwap(false, true) {
-			<-frozen
+			<-paused
 		}
 	})
-	return func() { close(frozen) }
+	return func() { close(paused) }
 }
 
 func TestDelayedDispatchOfPausedOwnerIsFenced(t *testing.T) {
 	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
-		thaw := s.freeze(callID(1))
+		resume := s.pauseDispatch(callID(1))
 		late := s.start(owner, p1, modelCall(1, "one"), 0)
 		time.Sleep(10 * time.Millisecond)
 		next, _ := s.open()
@@ -76,7 +76,7 @@
 			_, err := s.call(next, p1, modelCall(uint64(sequence+1), content))
 			is.NoErr(err)
 		}
-		thaw()
+		resume()
 		is.True(serving.IsNotOwner((<-late).err))
 		time.Sleep(time.Minute)
 		is.Equal(len(s.arrivals(callID(1))), 1) // the late stream was refused
@@ -86,7 +86,7 @@
 
 func TestUnrepeatableCallOfPausedOwnerRunsAtMostOnce(t *testing.T) {
 	inBubble(t, func(is *is.I, s *site, owner *serving.Owner, _ *ownedShard) {
-		thaw := s.freeze(callID(1))
+		resume := s.pauseDispatch(callID(1))
 		late := s.start(owner, p1, payment(1, "fee-1"), 0)
 		time.Sleep(10 * time.Millisecond)
 		next, _ := s.open()
@@ -94,7 +94,7 @@
 		problem := problemOf(t, err)
 		is.Equal(problem.Code, api.CodeOutcomeUnknown)
 		is.True(!problem.NotRun)
-		thaw()
+		resume()
 		is.True(serving.IsNotOwner((<-late).err))
 		time.Sleep(time.Minute)
 		is.Equal(s.ledger.Executions("pay_fee", "fee-1"), 1)
--- a/internal/serving/variants_test.go
+++ b/internal/serving/variants_test.go
@@ -37,14 +37,14 @@
 }
 
 func pauseOwnerBeforeSend(s *site, owner *serving.Owner) string {
-	thaw := s.freeze(callID(1))
+	resume := s.pauseDispatch(callID(1))
 	s.start(owner, p1, modelCall(1, "one"), 0)
 	time.Sleep(10 * time.Millisecond)
 	next, _ := s.open()
 	for sequence, content := range []string{"one", "two"} {
 		_, _ = s.call(next, p1, modelCall(uint64(sequence+1), content))
 	}
-	thaw()
+	resume()
 	time.Sleep(time.Minute)
 	if len(s.arrivals(callID(1))) > 1 {
 		return "a call ran after a later call of its branch"
@@ -88,7 +88,7 @@
 		"lost streams are not fenced": {
 			serving.Hooks{Fence: func(identity.StreamID) error { return nil }}, pauseOwnerBeforeSend,
 		},
-		"no look at the lease": {
+		"lease is not checked": {
 			serving.Hooks{CheckLease: func(journal.Shard) error { return nil }}, queryFormerOwner,
 		},
 		"no release": {
