--- a/internal/serving/config.go
+++ b/internal/serving/config.go
@@ -17,168 +17,172 @@
 	"stepseam.example/stepseam/internal/scheduling"
 )
 
-// Config is what an Owner needs. Self, ShardCount, Board, Directory and Policy
-// are required; zero durations and counts take the defaults.
+// Config configures an Owner. Self, ShardCount, Board, Directory and Policy are required;
+// zero durations and counts take their defaults.
 type Config struct {
 	Self       identity.NodeName
 	ShardCount int
 	Board      *blackboard.Board
 	Directory  backend.Directory
 	Policy     scheduling.Policy
-	// Logger may be nil, Registerer too.
+	// Logger and Registerer may be nil.
 	Logger     *slog.Logger
 	Registerer prometheus.Registerer
-	// ProgramAlive asks the site whether a program runs; the audit releases
-	// nothing without it. known is false where nobody could say for certain.
+	// ProgramAlive queries the site for whether a program runs. known is false if no
+	// authoritative answer is available. Without this function, the audit releases
+	// nothing.
 	ProgramAlive func(ctx context.Context, program identity.ProgramID) (alive, known bool, err error)
 
-	// CachedTokens is what is believed of a prefix at an engine, 0 also where
-	// nothing is; it steers choices only. Without it, the engine of the branch's
-	// last call counts as holding the whole conversation.
+	// CachedTokens estimates the cached tokens of a branch at an engine; 0 if nothing is
+	// known. It only influences the choice of an engine. Without this function, the
+	// engine of the branch's last call is assumed to have the whole conversation cached.
 	CachedTokens func(backend string, program identity.ProgramID, branch identity.BranchID) int
 
-	// ModelWait returns how long it takes until some engine has a model and its
-	// adapter, false where one has them already or none will. Without it callers
-	// are told the policy's time to come back.
+	// ModelWait returns the expected time until an engine has a model and its adapter
+	// loaded, and false if one has them already or none is going to. Without this
+	// function, refused callers get the retry delay of the policy.
 	ModelWait func(model, adapter string) (time.Duration, bool)
 
 	Timing Timing
-	Bounds Bounds
+	Limits Limits
 	Hooks  Hooks
 }
 
-// Timing holds the owner's times.
+// Timing holds the timeouts and intervals of an Owner.
 type Timing struct {
-	// GapWait is how long a call waits for an earlier one that nobody has sent.
-	GapWait time.Duration
-	// MaxCall bounds one call where its class sets no bound.
-	MaxCall time.Duration
-	// AttemptRetry is the first pause between attempts; it grows with jitter.
-	AttemptRetry time.Duration
-	// Stall is how long an attempt may make no progress at a back end that is
-	// ejected, gone or has not reported for as long.
-	Stall time.Duration
-	// FenceLimit is how long a stream whose fate is unknown is cancelled before
-	// the call runs again elsewhere without the confirmation.
-	FenceLimit time.Duration
-	// ReleaseRetry and ReleaseRetryMax bound the pauses between tries to release
-	// cache; GoneAfter is how long an engine must be off the machine list until
-	// its memory counts as gone with it.
-	ReleaseRetry    time.Duration
-	ReleaseRetryMax time.Duration
-	GoneAfter       time.Duration
-	// RequestTimeout bounds one cancel, release or held request.
+	// SequenceGapTimeout is how long a call waits for an earlier call of its branch that
+	// has not arrived.
+	SequenceGapTimeout time.Duration
+	// DefaultCallTimeout is the time limit of a call whose class sets none.
+	DefaultCallTimeout time.Duration
+	// RetryInterval is the initial interval of the exponential backoff between attempts.
+	RetryInterval time.Duration
+	// StallTimeout is how long an attempt may make no progress at a back end that is
+	// ejected, unknown or has not reported for as long.
+	StallTimeout time.Duration
+	// FenceTimeout is how long cancelling a stream of unknown outcome is retried before
+	// the call runs elsewhere without a confirmation.
+	FenceTimeout time.Duration
+	// ReleaseRetryMin and ReleaseRetryMax bound the backoff between attempts to release
+	// cache. RemovedEngineDelay is how long releases are retried before an engine that is
+	// missing from the machine list counts as removed, with its memory.
+	ReleaseRetryMin    time.Duration
+	ReleaseRetryMax    time.Duration
+	RemovedEngineDelay time.Duration
+	// RequestTimeout bounds one cancel, release or listing request to an engine.
 	RequestTimeout time.Duration
-	// Sweep is the time between looks for programs that are idle or over age.
-	Sweep time.Duration
-	// Tombstone is how long an ended program answers repeats.
-	Tombstone time.Duration
-	// Audit is the time between comparisons of an engine's memory with the owners.
-	Audit time.Duration
-	// Evict is the time between looks for paused branches whose cache is not worth
-	// its memory any more.
-	Evict time.Duration
-	// CloseWait bounds the wait for application calls at a planned hand-over.
-	CloseWait time.Duration
+	// SweepInterval is the interval between checks for idle and over-age programs.
+	SweepInterval time.Duration
+	// TombstoneTTL is how long an ended program is retained to answer repeated requests.
+	TombstoneTTL time.Duration
+	// AuditInterval is the interval between audits of the engines' memory.
+	AuditInterval time.Duration
+	// EvictionInterval is the interval between searches for paused branches whose cache
+	// is no longer worth its memory.
+	EvictionInterval time.Duration
+	// HandoverTimeout bounds the wait for application calls during a planned handover.
+	HandoverTimeout time.Duration
 }
 
-// Bounds holds the owner's limits of memory and retries.
-type Bounds struct {
-	// Attempts bounds the dispatches of one call that may have run.
-	Attempts int
-	// RetryRate and RetryBurst are the node's budget of such retries.
+// Limits holds the limits on memory and retries of an Owner.
+type Limits struct {
+	// MaxAttempts limits the attempts of one call that may have run.
+	MaxAttempts int
+	// RetryRate and RetryBurst limit the retries of such attempts on this node.
 	RetryRate  float64
 	RetryBurst int
-	// EarlyCalls is how far ahead of its branch a call may arrive.
-	EarlyCalls int
-	// Tombstones bounds the ended programs kept for each shard.
-	Tombstones int
-	// Explanations bounds the decisions kept for Explain.
-	Explanations int
+	// MaxSequenceLead limits how far the sequence of an arriving call may be ahead of its
+	// branch.
+	MaxSequenceLead int
+	// MaxTombstones limits the ended programs retained per shard.
+	MaxTombstones int
+	// MaxExplanations limits the decisions retained for Explain.
+	MaxExplanations int
 }
 
-// Hooks replace single rules by wrong ones, so that checkers can show that they
-// notice. All are nil in a daemon.
+// Hooks replace single rules by incorrect ones, so that a test can verify that its checks
+// detect the violation. All are nil in a daemon.
 type Hooks struct {
 	// Reserve replaces program.WorstCase.
 	Reserve func(prompt, answer int64) int64
-	// CheckLease replaces the look at the lease.
+	// CheckLease replaces the check of the shard's lease.
 	CheckLease func(shard journal.Shard) error
-	// Durable tells whether a call's intent must stand in the log.
-	Durable func(call identity.CallID, unrepeatable bool) bool
-	// RunsAgain tells whether a call with a lost attempt may run again.
-	RunsAgain func(call identity.CallID, unrepeatable bool) bool
-	// Fence replaces the cancelling of a lost stream.
+	// RequiresDurableIntent reports whether the intent of a call must be durable in the
+	// log before dispatch.
+	RequiresDurableIntent func(call identity.CallID, unrepeatable bool) bool
+	// MayRetry reports whether a call with a lost attempt may run again.
+	MayRetry func(call identity.CallID, unrepeatable bool) bool
+	// Fence replaces the cancellation of a lost stream.
 	Fence func(stream identity.StreamID) error
-	// Release tells whether the outbox is worked off.
+	// Release reports whether the outbox of a program is processed.
 	Release func(program identity.ProgramID) bool
 }
 
 func defaultTiming() Timing {
 	return Timing{
-		GapWait:         5 * time.Second,
-		MaxCall:         10 * time.Minute,
-		AttemptRetry:    50 * time.Millisecond,
-		Stall:           5 * time.Second,
-		FenceLimit:      20 * time.Second,
-		ReleaseRetry:    100 * time.Millisecond,
-		ReleaseRetryMax: 5 * time.Second,
-		GoneAfter:       30 * time.Second,
-		RequestTimeout:  3 * time.Second,
-		Sweep:           time.Second,
-		Tombstone:       10 * time.Minute,
-		Audit:           15 * time.Second,
-		Evict:           5 * time.Second,
-		CloseWait:       30 * time.Second,
+		SequenceGapTimeout: 5 * time.Second,
+		DefaultCallTimeout: 10 * time.Minute,
+		RetryInterval:      50 * time.Millisecond,
+		StallTimeout:       5 * time.Second,
+		FenceTimeout:       20 * time.Second,
+		ReleaseRetryMin:    100 * time.Millisecond,
+		ReleaseRetryMax:    5 * time.Second,
+		RemovedEngineDelay: 30 * time.Second,
+		RequestTimeout:     3 * time.Second,
+		SweepInterval:      time.Second,
+		TombstoneTTL:       10 * time.Minute,
+		AuditInterval:      15 * time.Second,
+		EvictionInterval:   5 * time.Second,
+		HandoverTimeout:    30 * time.Second,
 	}
 }
 
-func defaultBounds() Bounds {
-	return Bounds{
-		Attempts:     4,
-		RetryRate:    10,
-		RetryBurst:   50,
-		EarlyCalls:   32,
-		Tombstones:   256,
-		Explanations: 4096,
+func defaultLimits() Limits {
+	return Limits{
+		MaxAttempts:     4,
+		RetryRate:       10,
+		RetryBurst:      50,
+		MaxSequenceLead: 32,
+		MaxTombstones:   256,
+		MaxExplanations: 4096,
 	}
 }
 
 func (t *Timing) setDefaults() {
 	fallback := defaultTiming()
-	defaults.Set(&t.GapWait, fallback.GapWait)
-	defaults.Set(&t.MaxCall, fallback.MaxCall)
-	defaults.Set(&t.AttemptRetry, fallback.AttemptRetry)
-	defaults.Set(&t.Stall, fallback.Stall)
-	defaults.Set(&t.FenceLimit, fallback.FenceLimit)
-	defaults.Set(&t.ReleaseRetry, fallback.ReleaseRetry)
+	defaults.Set(&t.SequenceGapTimeout, fallback.SequenceGapTimeout)
+	defaults.Set(&t.DefaultCallTimeout, fallback.DefaultCallTimeout)
+	defaults.Set(&t.RetryInterval, fallback.RetryInterval)
+	defaults.Set(&t.StallTimeout, fallback.StallTimeout)
+	defaults.Set(&t.FenceTimeout, fallback.FenceTimeout)
+	defaults.Set(&t.ReleaseRetryMin, fallback.ReleaseRetryMin)
 	defaults.Set(&t.ReleaseRetryMax, fallback.ReleaseRetryMax)
-	defaults.Set(&t.GoneAfter, fallback.GoneAfter)
+	defaults.Set(&t.RemovedEngineDelay, fallback.RemovedEngineDelay)
 	defaults.Set(&t.RequestTimeout, fallback.RequestTimeout)
-	defaults.Set(&t.Sweep, fallback.Sweep)
-	defaults.Set(&t.Tombstone, fallback.Tombstone)
-	defaults.Set(&t.Audit, fallback.Audit)
-	defaults.Set(&t.Evict, fallback.Evict)
-	defaults.Set(&t.CloseWait, fallback.CloseWait)
+	defaults.Set(&t.SweepInterval, fallback.SweepInterval)
+	defaults.Set(&t.TombstoneTTL, fallback.TombstoneTTL)
+	defaults.Set(&t.AuditInterval, fallback.AuditInterval)
+	defaults.Set(&t.EvictionInterval, fallback.EvictionInterval)
+	defaults.Set(&t.HandoverTimeout, fallback.HandoverTimeout)
 }
 
-func (b *Bounds) setDefaults() {
-	fallback := defaultBounds()
-	defaults.Set(&b.Attempts, fallback.Attempts)
+func (b *Limits) setDefaults() {
+	fallback := defaultLimits()
+	defaults.Set(&b.MaxAttempts, fallback.MaxAttempts)
 	defaults.Set(&b.RetryRate, fallback.RetryRate)
 	defaults.Set(&b.RetryBurst, fallback.RetryBurst)
-	defaults.Set(&b.EarlyCalls, fallback.EarlyCalls)
-	defaults.Set(&b.Tombstones, fallback.Tombstones)
-	defaults.Set(&b.Explanations, fallback.Explanations)
+	defaults.Set(&b.MaxSequenceLead, fallback.MaxSequenceLead)
+	defaults.Set(&b.MaxTombstones, fallback.MaxTombstones)
+	defaults.Set(&b.MaxExplanations, fallback.MaxExplanations)
 }
 
-// notOwnerRetry is when a caller who met no owner should come back.
+// notOwnerRetry is the retry delay of a caller that reached a node which does not own the
+// shard.
 const notOwnerRetry = 500 * time.Millisecond
 
-// NotOwnerError tells that this node does not own the program's shard, or not
-// any more. It is journal.ErrNotOwner and an *api.Problem with
-// api.CodeNoOwner. A request that fails with it is to be repeated, unchanged,
-// at the next owner, who joins it, replays it or runs it.
+// NotOwnerError reports that this node does not own, or no longer owns, the shard of the
+// program. It wraps journal.ErrNotOwner and an *api.Problem with api.CodeNoOwner. The
+// request is to be repeated unchanged at the next owner, which joins, replays or runs it.
 type NotOwnerError struct {
 	Shard   identity.ShardID
 	Problem *api.Problem
@@ -190,8 +194,8 @@
 	return &NotOwnerError{Shard: shard, Problem: problem}
 }
 
-// neverOwner is notOwner for a request that this node did nothing with.
-func neverOwner(shard identity.ShardID) error {
+// notOwnerNotRun is notOwner for a request that this node has not accepted.
+func notOwnerNotRun(shard identity.ShardID) error {
 	problem := api.NewProblem(api.CodeNoOwner, "shard %d has no owner here", shard).WithRetryAfter(notOwnerRetry)
 	return &NotOwnerError{Shard: shard, Problem: problem}
 }
@@ -199,8 +203,9 @@
 // Error implements error.
 func (e *NotOwnerError) Error() string { return "serving: " + e.Problem.Error() }
 
-// Unwrap makes errors.Is and errors.As see both sides.
+// Unwrap returns journal.ErrNotOwner and the problem.
 func (e *NotOwnerError) Unwrap() []error { return []error{journal.ErrNotOwner, e.Problem} }
 
-// IsNotOwner tells that err asks for the next owner of the shard.
+// IsNotOwner reports whether err means that the request must go to the next owner of the
+// shard.
 func IsNotOwner(err error) bool { return errors.Is(err, journal.ErrNotOwner) }
--- a/test/replay/variants_test.go
+++ b/test/replay/variants_test.go
@@ -37,8 +37,8 @@
 )
 
 func variants() []variant {
-	runsAgain := simulated.Mutations{Hooks: serving.Hooks{RunsAgain: func(identity.CallID, bool) bool { return true }}}
-	notDurable := simulated.Mutations{Hooks: serving.Hooks{Durable: func(identity.CallID, bool) bool { return false }}}
+	runsAgain := simulated.Mutations{Hooks: serving.Hooks{MayRetry: func(identity.CallID, bool) bool { return true }}}
+	notDurable := simulated.Mutations{Hooks: serving.Hooks{RequiresDurableIntent: func(identity.CallID, bool) bool { return false }}}
 	noReservation := simulated.Mutations{Hooks: serving.Hooks{Reserve: func(int64, int64) int64 { return 0 }}}
 	noLease := simulated.Mutations{Hooks: serving.Hooks{CheckLease: func(journal.Shard) error { return nil }}}
 	forgets := simulated.Mutations{Directory: wrongly(wrongBackends{forget: true})}
