--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -12,22 +12,23 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// Board is all state that a node's controllers share.
+// Board is the state that a node's controllers share.
 type Board struct {
 	// Members is written by the membership controller.
 	Members *Cell[membership.View]
-	// Machines is the platform's list as last read, written by the machine list
-	// controller. It lags.
+	// Machines is the platform's machine list as last read, written by the machine
+	// list controller. It may be stale.
 	Machines *Cell[[]siteservices.Machine]
-	// Table is the version in force here, nil before the first. It is written by
-	// the table controller, which never stores an older version over a newer one.
+	// Table is the version in force on this node, nil before the first. It is
+	// written by the table controller, which never replaces a version by an older
+	// one.
 	Table *Cell[*table.Table]
 	// Backends is keyed by back-end name and written by the back-end controller;
-	// in-flight counts are written by serving.
+	// serving sets Leaving when a back end refuses a request.
 	Backends *Map[string, Backend]
-	// Owners is what this node knows of who owns a shard: a hint that may be stale.
+	// Owners are hints of each shard's owner, which may be stale.
 	Owners *Map[identity.ShardID, Owner]
-	// Draining is true once this node has begun a planned stop.
+	// Draining is true once a planned stop of this node has begun.
 	Draining *Cell[bool]
 }
 
@@ -38,14 +39,14 @@
 	Address netip.AddrPort
 	Zone    identity.Zone
 	Service string
-	// Leaving is true from the first sign: the machine list, the back end's own
-	// report or a refusal.
+	// Leaving is set by the first source that reports it: the machine list, the
+	// back end's own report, or a refused request.
 	Leaving bool
 	Health  scheduling.Health
 	Report  backend.LoadReport
 	// ReportedAt is when Report was read, on this node's clock.
 	ReportedAt time.Time
-	// PrefillRate and DecodeRate are observed, in tokens per second.
+	// PrefillRate and DecodeRate are the observed rates in tokens per second.
 	PrefillRate float64
 	DecodeRate  float64
 	Latency     time.Duration
--- a/internal/blackboard/cell.go
+++ b/internal/blackboard/cell.go
@@ -1,10 +1,10 @@
-// Package blackboard holds the state that a node's controllers share. A
-// controller reads what others wrote and writes what it alone is responsible
-// for; controllers never call each other.
+// Package blackboard provides the state that a node's controllers share. Each
+// value has one writer, except where its field says otherwise; all controllers
+// may read it. Controllers never call each other.
 //
-// Single values stand in a Cell, keyed values in a Map whose shards have a lock
-// each. Values are replaced whole and never changed in place, so a reader may
-// keep what it read.
+// Single values are in a Cell, keyed values in a Map with a lock for each of its
+// shards. Values are replaced and never modified in place, so a reader may
+// retain a value that it loaded.
 package blackboard
 
 import (
@@ -12,7 +12,8 @@
 	"sync"
 )
 
-// Cell holds one value that is replaced whole.
+// Cell contains one value that is replaced atomically. It is safe for concurrent
+// use.
 type Cell[T any] struct {
 	mutex   sync.Mutex
 	value   T
@@ -20,7 +21,7 @@
 	changed chan struct{}
 }
 
-// NewCell returns a cell that holds value.
+// NewCell returns a cell that contains value.
 func NewCell[T any](value T) *Cell[T] {
 	return &Cell[T]{value: value, changed: make(chan struct{})}
 }
@@ -32,12 +33,13 @@
 	return c.value
 }
 
-// Store replaces the value and wakes all who wait for a change.
+// Store replaces the value and notifies all watchers.
 func (c *Cell[T]) Store(value T) {
 	c.Update(func(T) T { return value })
 }
 
-// Update replaces the value by change of it, atomically.
+// Update atomically replaces the value by the result of change. change runs under
+// the cell's lock and must not use the cell.
 func (c *Cell[T]) Update(change func(T) T) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -54,7 +56,8 @@
 	return c.value, c.version, c.changed
 }
 
-// Await returns the value once it satisfies condition, or ctx's error.
+// Await waits until the value satisfies condition and returns it, or ctx's error
+// if ctx ends first.
 func (c *Cell[T]) Await(ctx context.Context, condition func(T) bool) (T, error) {
 	for {
 		value, _, changed := c.Watch()
--- a/internal/blackboard/map.go
+++ b/internal/blackboard/map.go
@@ -8,7 +8,8 @@
 // shardCount is the number of locks of a Map; a power of two.
 const shardCount = 32
 
-// Map holds keyed values in shards, each under its own lock.
+// Map is a map in shards, each guarded by its own lock. It is safe for concurrent
+// use.
 type Map[K comparable, V any] struct {
 	seed   maphash.Seed
 	shards [shardCount]mapShard[K, V]
@@ -49,8 +50,9 @@
 	shard.values[key] = value
 }
 
-// Update replaces the value of key by change of it, atomically. change gets the
-// zero value and false where there is none; it returns false to remove the key.
+// Update atomically replaces the value of key by the result of change. change
+// gets the zero value and false if the key is absent, and returns false to remove
+// the key. It runs under the shard's lock and must not use the map.
 func (m *Map[K, V]) Update(key K, change func(value V, found bool) (V, bool)) {
 	shard := m.shard(key)
 	shard.mutex.Lock()
@@ -71,7 +73,8 @@
 	delete(shard.values, key)
 }
 
-// Copy returns all keys and values at about one time; each shard is consistent.
+// Copy returns a copy of the map. Each shard is copied atomically, the map as a
+// whole is not.
 func (m *Map[K, V]) Copy() map[K]V {
 	all := map[K]V{}
 	for i := range m.shards {
@@ -85,7 +88,7 @@
 	return all
 }
 
-// Len returns the number of keys at about one time.
+// Len returns the number of keys. Like Copy it is atomic only for each shard.
 func (m *Map[K, V]) Len() int {
 	count := 0
 	for i := range m.shards {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -16,8 +16,8 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// BenchmarkHandler measures the gateway without sockets, on programs that
-// answer at once.
+// BenchmarkHandler measures the gateway without sockets, with calls that return
+// at once.
 func BenchmarkHandler(b *testing.B) {
 	handler := gateway.New(gateway.Config{Programs: &programs{}, Board: blackboard.NewBoard()}).Handler()
 	for _, bench := range []struct{ name, path, body, accept string }{
@@ -41,7 +41,7 @@
 	}
 }
 
-// manyTokens is a programs whose streams have count tokens.
+// manyTokens is a fake serving.Programs whose calls stream count tokens.
 type manyTokens struct {
 	programs
 	count int
@@ -59,8 +59,8 @@
 	return api.Answer{}, nil
 }
 
-// BenchmarkLoopback measures requests a second through sockets, client included:
-// whole answers, and streams of 100 tokens.
+// BenchmarkLoopback measures requests per second over sockets, including the
+// client: JSON answers, and streams of 100 tokens.
 func BenchmarkLoopback(b *testing.B) {
 	b.Run("call", func(b *testing.B) { loopback(b, "application/json") })
 	b.Run("stream_100_tokens", func(b *testing.B) { loopback(b, "text/event-stream") })
--- a/internal/gateway/calls.go
+++ b/internal/gateway/calls.go
@@ -15,18 +15,19 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// deadlineGrace is how much longer the gateway waits than the call's deadline,
-// so that the owner, who knows whether the call ran, answers first.
+// deadlineGrace is added to a call's deadline, so that the owner, which knows
+// whether the call ran, responds before the gateway times out.
 const deadlineGrace = 2 * time.Second
 
-// withoutTokens is the value of the query's tokens that leaves them out. It is a
-// text, since a default of true would be put over a false that was given.
+// withoutTokens is the value of the query parameter tokens that omits them from
+// a stream. The parameter is a string because huma replaces an explicit false by
+// a default of true.
 const withoutTokens = "false"
 
 type callInput struct {
 	ID     string `path:"id" maxLength:"64" doc:"The program's id."`
 	Accept string `header:"Accept" doc:"text/event-stream asks for a stream, as stream does."`
-	// LastEventID is a text so that an unset one is told from 0.
+	// LastEventID is a string so that an absent header differs from 0.
 	LastEventID string `header:"Last-Event-ID" doc:"Leaves out the tokens up to this event."`
 	Tokens      string `query:"tokens" enum:"true,false" doc:"With false a stream has no tokens, only comments and its last event."`
 	Body        api.CallRequest
@@ -61,7 +62,8 @@
 	})
 }
 
-// answerFunc gets an answer, with its tokens before it if onToken is not nil.
+// answerFunc returns a call's answer. If onToken is not nil, it is called for
+// each token before answerFunc returns.
 type answerFunc func(ctx context.Context, onToken serving.TokenFunc) (api.Answer, error)
 
 func (g *Gateway) call(input *callInput) (*huma.StreamResponse, error) {
@@ -73,8 +75,8 @@
 		input.Body.Branch = string(identity.MainBranch)
 	}
 	request := serving.CallRequest{Program: identity.ProgramID(input.ID), Call: input.Body, From: from}
-	wanted := wish{stream: input.Body.Stream || wantsEvents(input.Accept), from: from, tokens: input.Tokens != withoutTokens}
-	return g.respond(wanted, g.wait(input.Body.DeadlineSeconds), func(ctx context.Context, onToken serving.TokenFunc) (api.Answer, error) {
+	options := responseOptions{stream: input.Body.Stream || wantsEvents(input.Accept), from: from, tokens: input.Tokens != withoutTokens}
+	return g.respond(options, g.wait(input.Body.DeadlineSeconds), func(ctx context.Context, onToken serving.TokenFunc) (api.Answer, error) {
 		return g.config.Programs.Call(ctx, request, onToken)
 	}), nil
 }
@@ -92,13 +94,14 @@
 		Program: identity.ProgramID(input.ID), Branch: branch, Sequence: identity.Sequence(input.Sequence),
 	}}
 	stream := input.Stream || input.LastEventID != "" || wantsEvents(input.Accept)
-	wanted := wish{stream: stream, from: from, tokens: input.Tokens != withoutTokens}
-	return g.respond(wanted, g.wait(input.Deadline), func(ctx context.Context, onToken serving.TokenFunc) (api.Answer, error) {
+	options := responseOptions{stream: stream, from: from, tokens: input.Tokens != withoutTokens}
+	return g.respond(options, g.wait(input.Deadline), func(ctx context.Context, onToken serving.TokenFunc) (api.Answer, error) {
 		return g.config.Programs.Fetch(ctx, request, onToken)
 	}), nil
 }
 
-// wait is how long the gateway waits for an answer.
+// wait returns how long the gateway waits for the answer of a call with the
+// given deadline; 0 means none.
 func (g *Gateway) wait(deadlineSeconds float64) time.Duration {
 	if deadlineSeconds <= 0 {
 		return g.config.MaxWait
@@ -106,26 +109,26 @@
 	return min(time.Duration(deadlineSeconds*float64(time.Second)), g.config.MaxWait) + deadlineGrace
 }
 
-// wish is the form in which a caller wants an answer.
-type wish struct {
+// responseOptions is the form in which a caller wants an answer.
+type responseOptions struct {
 	stream bool
-	// from is the first token that the caller lacks; tokens tells whether a stream
-	// has them at all.
+	// from is the index of the first token to send; tokens is false for a stream
+	// without tokens.
 	from   int
 	tokens bool
 }
 
-// respond answers with one JSON document or a stream of events.
-func (g *Gateway) respond(wanted wish, wait time.Duration, ask answerFunc) *huma.StreamResponse {
+// respond sends the answer as one JSON document or as a stream of events.
+func (g *Gateway) respond(options responseOptions, wait time.Duration, run answerFunc) *huma.StreamResponse {
 	return &huma.StreamResponse{Body: func(face huma.Context) {
 		request, writer := humago.Unwrap(face)
 		ctx, cancel := context.WithTimeout(request.Context(), wait)
 		defer cancel()
-		if wanted.stream {
-			g.streamAnswer(ctx, writer, wanted, ask)
+		if options.stream {
+			g.streamAnswer(ctx, writer, options, run)
 			return
 		}
-		answer, err := ask(ctx, nil)
+		answer, err := run(ctx, nil)
 		if err != nil {
 			writeProblem(writer, request.URL.Path, outcomeOf(ctx, err))
 			return
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -18,9 +18,9 @@
 
 const (
 	chatPath = "/v1/chat/completions"
-	// classModel is the model name that takes the model of the program's class.
+	// classModel is the model name that selects the model of the program's class.
 	classModel = "default"
-	// defaultClass is the class of programs of one call, where the table has it.
+	// defaultClass is the class of single-call programs if the table defines it.
 	defaultClass = "default"
 )
 
@@ -44,7 +44,7 @@
 	failure := schemas.Schema(reflect.TypeFor[chatFailure](), true, "ChatFailure")
 	op.Responses["default"].Content = map[string]*huma.MediaType{api.MediaJSON: {Schema: failure}}
 	op.Responses["200"].Content[api.MediaEventStream].Schema = schemas.Schema(reflect.TypeFor[chatChunk](), true, "ChatChunk")
-	op.SkipValidateBody = true // chatRequest checks itself, to answer in its clients' shape
+	op.SkipValidateBody = true // chatRequest.validate reports errors in the OpenAI format
 	op.SkipValidateParams = true
 	huma.Register(face, op, func(_ context.Context, input *chatInput) (*huma.StreamResponse, error) {
 		return &huma.StreamResponse{Body: func(face huma.Context) {
@@ -52,21 +52,21 @@
 			g.chat(request.Context(), writer, input)
 		}}, nil
 	})
-	// huma documents a raw body as bytes; clients are told what it holds.
+	// huma documents a raw body as bytes; replace that by the request's schema.
 	face.OpenAPI().Paths[chatPath].Post.RequestBody = &huma.RequestBody{Required: true, Content: map[string]*huma.MediaType{
 		api.MediaJSON: {Schema: schemas.Schema(reflect.TypeFor[chatRequest](), true, "ChatRequest")},
 	}}
 }
 
-// chatCall is a chat request with its place.
+// chatCall is a chat request with the call and the program that it maps to.
 type chatCall struct {
 	request chatRequest
 	call    serving.CallRequest
 	create  serving.CreateRequest
-	// begins tells that the program is created first; single that it has no other
-	// call and is ended afterwards.
-	begins bool
-	single bool
+	// createsProgram is true if the program is created before the call; single is true if
+	// it has no other call and is ended after it.
+	createsProgram bool
+	single         bool
 }
 
 func (g *Gateway) chat(ctx context.Context, writer http.ResponseWriter, input *chatInput) {
@@ -77,7 +77,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, g.config.MaxWait)
 	defer cancel()
-	if chat.begins {
+	if chat.createsProgram {
 		if _, err := g.config.Programs.Create(ctx, chat.create); err != nil {
 			writeProblem(writer, chatPath, problem.Of(err))
 			return
@@ -102,9 +102,9 @@
 	writeJSON(writer, newChatCompletion(chat, &answer, time.Now()))
 }
 
-// finishSingle ends a program of one call, or cancels it if its caller left:
-// nobody will come back for it. It goes on behind the answer; the class's idle
-// timeout ends the program if this fails.
+// finishSingle ends a single-call program in the background, or cancels it if
+// its caller disconnected. If that fails, the idle timeout of the class ends the
+// program.
 func (g *Gateway) finishSingle(ctx context.Context, program identity.ProgramID) {
 	left := ctx.Err() != nil
 	g.endings.Go(func() {
@@ -120,28 +120,28 @@
 	})
 }
 
-// parseChat checks body and headers and reports everything it finds together.
+// parseChat validates the body and the headers and reports all findings at once.
 func (g *Gateway) parseChat(input *chatInput) (*chatCall, *api.Problem) {
 	chat := &chatCall{}
 	if err := decodeJSON(input.RawBody, &chat.request); err != nil {
-		return nil, brokenChat(err)
+		return nil, invalidChatBody(err)
 	}
-	findings := chat.request.check()
+	findings := chat.request.validate()
 	sequence, placeFindings := parsePlace(input)
 	findings = append(findings, placeFindings...)
-	findings = append(findings, checkNames(input)...)
+	findings = append(findings, validateNames(input)...)
 	if len(findings) > 0 {
 		refusal := api.NewProblem(api.CodeInvalid, "%d findings, the first: %s: %s", len(findings), findings[0].Place, findings[0].Message)
 		refusal.Findings = findings
 		return nil, refusal
 	}
 	chat.single = input.Program == ""
-	chat.begins = chat.single || (sequence == 1 && input.Class != "")
+	chat.createsProgram = chat.single || (sequence == 1 && input.Class != "")
 	program := identity.ProgramID(input.Program)
 	if chat.single {
 		program = identity.ProgramID(g.config.NewID())
 	}
-	chat.create = serving.CreateRequest{ID: program, Tenant: orText(input.Tenant, g.config.DefaultTenant), Class: input.Class}
+	chat.create = serving.CreateRequest{ID: program, Tenant: orDefault(input.Tenant, g.config.DefaultTenant), Class: input.Class}
 	if chat.create.Class == "" {
 		chat.create.Class = g.classOfSingle()
 	}
@@ -149,7 +149,7 @@
 	return chat, nil
 }
 
-// parsePlace returns the call's sequence.
+// parsePlace returns the call's sequence, or findings if the headers are invalid.
 func parsePlace(input *chatInput) (uint64, []api.Finding) {
 	if input.Program == "" {
 		if input.Sequence == "" {
@@ -167,8 +167,8 @@
 	return sequence, nil
 }
 
-// checkNames checks the names that the headers give.
-func checkNames(input *chatInput) []api.Finding {
+// validateNames validates the program and branch names in the headers.
+func validateNames(input *chatInput) []api.Finding {
 	var findings []api.Finding
 	for _, header := range [][2]string{{api.HeaderProgram, input.Program}, {api.HeaderBranch, input.Branch}} {
 		if header[1] != "" && !api.ValidName(header[1]) {
@@ -181,8 +181,8 @@
 	return findings
 }
 
-// classOfSingle is the class of calls that name none: the configured one, else
-// the table's class "default", else its only one.
+// classOfSingle returns the class of calls that name none: the configured class,
+// or the table's only class, or "default".
 func (g *Gateway) classOfSingle() string {
 	if g.config.DefaultClass != "" {
 		return g.config.DefaultClass
@@ -197,7 +197,7 @@
 	return defaultClass
 }
 
-func orText(text, fallback string) string {
+func orDefault(text, fallback string) string {
 	if text == "" {
 		return fallback
 	}
--- a/internal/gateway/chat_stream.go
+++ b/internal/gateway/chat_stream.go
@@ -8,10 +8,10 @@
 	"stepseam.example/stepseam/api"
 )
 
-// chatStreamEnd is the line after which OpenAI clients expect no more.
+// chatStreamEnd terminates a stream for OpenAI clients.
 const chatStreamEnd = "data: [DONE]\n\n"
 
-// streamChat answers with chunks in the shape of OpenAI clients.
+// streamChat streams the answer as OpenAI chat completion chunks.
 func (g *Gateway) streamChat(ctx context.Context, writer http.ResponseWriter, chat *chatCall) {
 	stream, ctx, finish := g.beginStream(ctx, writer)
 	created := time.Now()
@@ -31,7 +31,7 @@
 		return stream.send("", "", chat.chunk(created, chatDelta{Content: text}, nil))
 	})
 	finish()
-	// From here on a failed send means that the caller is gone and wants no more.
+	// Send errors from here on mean that the caller disconnected; they are ignored.
 	if err != nil {
 		problem := outcomeOf(ctx, err)
 		if !stream.isOpen() {
--- a/internal/gateway/chat_test.go
+++ b/internal/gateway/chat_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestChatWithoutHeadersIsAProgramOfOneCall(t *testing.T) {
+func TestChatWithoutHeadersIsSingleCallProgram(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{}, gateway.Config{})
@@ -69,7 +69,7 @@
 		is.Equal(answer.header.Get(api.HeaderSequence), "1")
 		is.Equal(f.do(t, "POST", "/v1/chat/completions", chatBody, api.HeaderProgram, "p", api.HeaderSequence, "2").status, 200)
 		synctest.Wait()
-		is.Equal(f.programs.acts, []string{"create p"}) // begun by its first call, and not ended
+		is.Equal(f.programs.acts, []string{"create p"}) // created by its first call, and not ended
 		is.Equal(f.programs.created[0].Tenant, "t")
 		is.Equal(f.programs.calls[0].Call.Model, "")
 		is.Equal(f.programs.calls[0].Call.Branch, "b")
@@ -110,7 +110,7 @@
 		f.programs.failure, f.programs.failAfter = api.NewProblem(api.CodeInterrupted, "cut"), 2
 		cut := f.do(t, "POST", "/v1/chat/completions", body, api.HeaderProgram, "p", api.HeaderSequence, "2")
 		is.True(strings.Contains(cut.body, `"code":"interrupted","not_run":false`))
-		is.True(!strings.Contains(cut.body, "[DONE]")) // never looks whole
+		is.True(!strings.Contains(cut.body, "[DONE]")) // a failed stream must not look complete
 	})
 }
 
@@ -135,7 +135,7 @@
 	})
 }
 
-func TestChatWhoseCallerLeftIsCancelled(t *testing.T) {
+func TestChatIsCancelledOnDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{pause: time.Hour}, gateway.Config{})
--- a/internal/gateway/chat_types.go
+++ b/internal/gateway/chat_types.go
@@ -15,8 +15,8 @@
 	"stepseam.example/stepseam/internal/problem"
 )
 
-// chatRequest is the part of an OpenAI chat request that has a meaning here.
-// Other fields, such as temperature, are let through and have no effect.
+// chatRequest has the supported fields of an OpenAI chat request. Other fields,
+// such as temperature, are accepted and ignored.
 type chatRequest struct {
 	_                   struct{}      `json:"-" additionalProperties:"true"`
 	Model               string        `json:"model" doc:"A model of the table; default takes the model of the program's class."`
@@ -39,7 +39,8 @@
 	Content chatContent `json:"content"`
 }
 
-// chatContent is a text, or a list of parts of which the texts are taken.
+// chatContent is the text of a message. In JSON it is a string, or a list of
+// parts of type text, which are concatenated.
 type chatContent string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -79,8 +80,8 @@
 	"system": "system", "developer": "system", "user": "user", "assistant": "assistant", "tool": "tool", "function": "tool",
 }
 
-// check returns everything that is wrong with the request.
-func (r *chatRequest) check() []api.Finding {
+// validate returns all validation errors of the request.
+func (r *chatRequest) validate() []api.Finding {
 	var findings []api.Finding
 	add := func(place, format string, arguments ...any) {
 		findings = append(findings, api.Finding{Place: place, Message: fmt.Sprintf(format, arguments...)})
@@ -105,11 +106,11 @@
 	return findings
 }
 
-// call returns the request as a call of a program.
+// call converts the request to a call of a program.
 func (r *chatRequest) call(sequence uint64, branch string) api.CallRequest {
 	call := api.CallRequest{
 		Sequence:     sequence,
-		Branch:       orText(branch, string(identity.MainBranch)),
+		Branch:       orDefault(branch, string(identity.MainBranch)),
 		Kind:         api.CallModel,
 		Model:        r.Model,
 		WholeHistory: true,
@@ -125,7 +126,7 @@
 	return call
 }
 
-func brokenChat(err error) *api.Problem {
+func invalidChatBody(err error) *api.Problem {
 	refusal := api.NewProblem(api.CodeInvalid, "the body cannot be read: %s", err)
 	refusal.Status = http.StatusBadRequest
 	refusal.Findings = []api.Finding{problem.FindingOf(&huma.ErrorDetail{Location: "body", Message: err.Error()})}
@@ -179,7 +180,7 @@
 	Content string `json:"content,omitempty"`
 }
 
-// chatFailure is an error in the shape of OpenAI clients.
+// chatFailure is an error in the OpenAI format.
 type chatFailure struct {
 	Error chatError `json:"error"`
 }
@@ -194,7 +195,7 @@
 	Findings          []api.Finding `json:"findings,omitempty"`
 }
 
-// The types of errors that OpenAI clients know.
+// The error types of the OpenAI format.
 const (
 	chatInvalid   = "invalid_request_error"
 	chatRateLimit = "rate_limit_error"
@@ -243,7 +244,7 @@
 	}
 }
 
-// chunk returns an event of chat's stream with one delta.
+// chunk returns a streamed event with one delta.
 func (c *chatCall) chunk(created time.Time, delta chatDelta, finishReason *string) chatChunk {
 	return chatChunk{
 		ID: c.id(), Object: "chat.completion.chunk", Created: created.Unix(), Model: c.request.Model,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway is the HTTP face for callers: programs, calls and their
-// streams, and an endpoint in the shape that OpenAI clients use. It holds no
-// state of programs; every request goes to a serving.Programs, which takes any
-// program on any node.
+// Package gateway is the HTTP API for callers: programs, calls and their
+// streams, and an endpoint compatible with OpenAI clients. It keeps no state of
+// programs; every request goes to a serving.Programs, which serves any program
+// on any node.
 package gateway
 
 import (
@@ -37,41 +37,45 @@
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 
-	// drainRetry is when callers of a draining node should come back, to another.
+	// drainRetry is the Retry-After of requests that a draining or overloaded node
+	// refuses.
 	drainRetry = time.Second
-	// endTimeout bounds the end of a program of one call after its answer.
+	// endTimeout bounds the request that ends a single-call program.
 	endTimeout = 10 * time.Second
 )
 
-// keepAlive finds half-open connections of callers who wait for an answer.
+// keepAlive detects half-open connections of callers that wait for an answer.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 10 * time.Second, Interval: 5 * time.Second, Count: 3}
 
-// Config is what a Gateway needs. Programs and Board are required; zero fields
-// take their defaults.
+// Config configures a Gateway. Programs and Board are required; other fields
+// that are zero get their defaults.
 type Config struct {
 	Programs serving.Programs
-	// Board tells whether the node drains and which classes the table has.
+	// Board provides the node's draining state and the table.
 	Board  *blackboard.Board
 	Logger *slog.Logger
-	// Registerer takes the gateway's metrics; it may be nil.
+	// Registerer registers the gateway's metrics; it may be nil.
 	Registerer prometheus.Registerer
-	// MaxBodyBytes bounds a request's body, BodyTimeout the time until it is there.
+	// MaxBodyBytes bounds the size of a request body, BodyTimeout the time to
+	// receive it.
 	MaxBodyBytes int64
 	BodyTimeout  time.Duration
-	// WriteTimeout bounds each write to a caller who reads slowly.
+	// WriteTimeout bounds each write to a caller.
 	WriteTimeout time.Duration
-	// Heartbeat is the time between comments on a quiet stream; they find
-	// callers that are gone.
+	// Heartbeat is the time between comments on an idle stream; they detect
+	// callers that disconnected.
 	Heartbeat time.Duration
-	// MaxWait bounds the wait for an answer where the call has no deadline.
+	// MaxWait bounds the wait for an answer. It applies to calls without a
+	// deadline and caps longer deadlines.
 	MaxWait time.Duration
-	// MaxInFlight bounds the requests under way; more are refused as overloaded.
+	// MaxInFlight bounds the requests in flight; more are refused as overloaded.
 	MaxInFlight int64
-	// DefaultTenant and DefaultClass are for OpenAI-shaped calls without headers.
-	// With no DefaultClass it is the table's class "default", or its only one.
+	// DefaultTenant and DefaultClass apply to OpenAI-compatible calls without
+	// headers. If DefaultClass is empty, the class is the table's only class, or
+	// "default".
 	DefaultTenant string
 	DefaultClass  string
-	// NewID makes program ids; nil makes random UUIDs.
+	// NewID generates program ids; nil means random UUIDs.
 	NewID func() string
 }
 
@@ -92,7 +96,7 @@
 	return c
 }
 
-// Gateway answers callers. It is safe for concurrent use.
+// Gateway serves the API. It is safe for concurrent use.
 type Gateway struct {
 	config   Config
 	metrics  *metrics
@@ -100,11 +104,11 @@
 	server   *http.Server
 	draining atomic.Bool
 	inFlight atomic.Int64
-	// endings counts the ends of one-call programs that are under way.
+	// endings counts the single-call programs that are being ended.
 	endings sync.WaitGroup
 }
 
-// New returns a gateway that does not listen yet.
+// New returns a gateway; Serve starts it.
 func New(config Config) *Gateway {
 	g := &Gateway{config: config.withDefaults()}
 	g.metrics = newMetrics(g.config.Registerer, g)
@@ -119,10 +123,11 @@
 	return g
 }
 
-// Handler returns the whole interface as a handler.
+// Handler returns the HTTP handler of the API.
 func (g *Gateway) Handler() http.Handler { return g.handler }
 
-// Serve answers on listener until Shutdown or Close, and then returns nil.
+// Serve serves requests on listener until Shutdown or Close, and then returns
+// nil.
 func (g *Gateway) Serve(listener net.Listener) error {
 	err := g.server.Serve(keepAliveListener{listener})
 	if errors.Is(err, http.ErrServerClosed) {
@@ -136,19 +141,19 @@
 func (l keepAliveListener) Accept() (net.Conn, error) {
 	socket, err := l.Listener.Accept()
 	if tcp, isTCP := socket.(*net.TCPConn); isTCP {
-		_ = tcp.SetKeepAliveConfig(keepAlive) // without it the connection works all the same
+		_ = tcp.SetKeepAliveConfig(keepAlive) // best effort: the connection works without it
 	}
 	return socket, err
 }
 
-// Drain refuses new requests from now on as node_draining and lets those under
-// way finish. The node's Draining cell has the same effect.
+// Drain makes the gateway refuse new requests with node_draining; requests in
+// flight finish. The Draining cell of the board has the same effect.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-func (g *Gateway) drains() bool { return g.draining.Load() || g.config.Board.Draining.Load() }
+func (g *Gateway) isDraining() bool { return g.draining.Load() || g.config.Board.Draining.Load() }
 
-// Shutdown drains, waits until every request under way is answered, or ctx ends,
-// and closes the listener.
+// Shutdown drains the gateway, closes the listener, and waits until every request
+// in flight is answered or ctx ends.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	g.Drain()
 	if err := g.server.Shutdown(ctx); err != nil {
@@ -158,5 +163,5 @@
 	return nil
 }
 
-// Close cuts off everything.
+// Close closes the listener and all connections immediately.
 func (g *Gateway) Close() error { return g.server.Close() }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -25,11 +25,11 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// programs is a serving.Programs whose calls answer with the words of a text,
-// and that fails as the test wants.
+// programs is a fake serving.Programs whose calls return a fixed text word by
+// word, or a configured failure.
 type programs struct {
 	pause time.Duration
-	// failure ends requests, after failAfter tokens for calls.
+	// failure is returned by all requests, by calls after failAfter tokens.
 	failure   error
 	failAfter int
 
@@ -118,8 +118,8 @@
 	}, nil
 }
 
-// face is a gateway with its HTTP client over in-memory connections, so that it
-// runs in a synctest bubble.
+// face is a gateway and an HTTP client over in-memory connections, for use in a
+// synctest bubble.
 type face struct {
 	programs *programs
 	gateway  *gateway.Gateway
@@ -181,7 +181,7 @@
 	}
 }
 
-// response is an answer read to its end.
+// response is a fully read HTTP response.
 type response struct {
 	status int
 	header http.Header
@@ -224,7 +224,7 @@
 	return problem
 }
 
-// events returns the events of a stream, comments left out.
+// events returns the events of a stream without comments.
 func (r response) events(t *testing.T) []api.Event {
 	t.Helper()
 	var events []api.Event
@@ -304,7 +304,7 @@
 		asked := strings.Replace(modelCall, `"sequence"`, `"stream":true,"sequence"`, 1)
 		answer := f.do(t, "POST", "/v1/programs/p/calls", asked)
 		is.Equal(answer.header.Get("Content-Type"), api.MediaEventStream)
-		is.True(strings.Contains(answer.body, ": waiting\n\n")) // finds callers that are gone
+		is.True(strings.Contains(answer.body, ": waiting\n\n")) // the keep-alive comment
 		is.True(strings.Contains(answer.body, "id: 0\nevent: token\ndata: "))
 		events := answer.events(t)
 		is.Equal(len(events), len(words)+1)
@@ -335,8 +335,8 @@
 	})
 }
 
-// Every code reaches callers with its status, certainty and time to come back,
-// in each of the shapes that answers have.
+// TestEveryCode checks the status, not_run and retry delay of every error code in
+// each response format.
 func TestEveryCode(t *testing.T) {
 	for _, code := range api.Codes() {
 		t.Run(string(code), func(t *testing.T) {
@@ -375,7 +375,7 @@
 	}
 }
 
-func TestFaultOfTheProgramIsInternal(t *testing.T) {
+func TestUnknownErrorIsInternal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{failure: errors.New("surprise")}, gateway.Config{})
@@ -413,7 +413,7 @@
 	})
 }
 
-func TestBodiesThatAreTooLarge(t *testing.T) {
+func TestOversizedBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{}, gateway.Config{MaxBodyBytes: 1000})
@@ -432,7 +432,7 @@
 	})
 }
 
-func TestSlowSenderIsToldSo(t *testing.T) {
+func TestSlowRequestBodyTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{}, gateway.Config{BodyTimeout: 3 * time.Second})
@@ -440,7 +440,7 @@
 		go func() {
 			for range 100 {
 				_, _ = writer.Write([]byte("{"))
-				// Never at the same instant as the answer, after which the connection is closed.
+				// Never at the same instant as the response, which closes the connection.
 				time.Sleep(700 * time.Millisecond)
 			}
 		}()
@@ -456,10 +456,10 @@
 		is.Equal(problem.Code, api.CodeSlowSender)
 		is.True(problem.NotRun)
 		is.Equal(time.Since(start), 3*time.Second)
-		// The limit is for the body; the answer may take its time.
+		// The limit covers only the body, not the answer.
 		f.programs.pause = 10 * time.Second
 		is.Equal(f.do(t, "POST", "/v1/programs/p/calls", modelCall).status, 200)
-		time.Sleep(100 * time.Second) // lets the slow sender run out
+		time.Sleep(100 * time.Second) // the slow sender finishes
 	})
 }
 
@@ -483,9 +483,9 @@
 	})
 }
 
-// A caller that vanished without closing its connection is found by the writes
-// to it, and the call's context ends.
-func TestHalfOpenCallerIsFound(t *testing.T) {
+// A write to a caller that stopped reading without closing its connection must time
+// out and end the call's context.
+func TestHalfOpenConnectionIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{pause: time.Hour}, gateway.Config{})
@@ -500,7 +500,7 @@
 	})
 }
 
-func TestCallerThatLeavesEndsItsWait(t *testing.T) {
+func TestDisconnectCancelsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{pause: time.Hour}, gateway.Config{})
@@ -517,7 +517,7 @@
 	})
 }
 
-func TestAnswersThatDoNotComeInTime(t *testing.T) {
+func TestLateAnswerMissesDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{pause: time.Hour}, gateway.Config{Heartbeat: time.Hour})
@@ -526,12 +526,12 @@
 		late := f.do(t, "POST", "/v1/programs/p/calls", body).problem(t)
 		is.Equal(late.Code, api.CodeDeadline)
 		is.Equal(late.NotRun, false)
-		is.Equal(time.Since(start), 5*time.Second) // the owner has two seconds more to say it itself
+		is.Equal(time.Since(start), 5*time.Second) // the deadline plus deadlineGrace
 		is.Equal(f.do(t, "GET", "/v1/programs/p/calls/1?deadline_seconds=1&stream=true", "").problem(t).Code, api.CodeDeadline)
 	})
 }
 
-func TestDrainingFinishesWhatIsUnderWay(t *testing.T) {
+func TestDrainingFinishesRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{pause: 10 * time.Second}, gateway.Config{})
@@ -551,7 +551,7 @@
 	})
 }
 
-func TestRequestsUnderWayAreBounded(t *testing.T) {
+func TestRequestsInFlightAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFace(t, &programs{pause: time.Second}, gateway.Config{MaxInFlight: 1})
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics counts what callers asked for and got.
+// metrics are the gateway's request metrics.
 type metrics struct {
 	requests  *prometheus.CounterVec
 	durations *prometheus.HistogramVec
@@ -40,7 +40,8 @@
 	return m
 }
 
-// request counts one request. pattern is empty where no route was reached.
+// request records one request. pattern is empty if the request was refused before
+// routing.
 func (m *metrics) request(pattern string, status int, took time.Duration) {
 	if pattern == "" {
 		pattern = "refused"
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -13,8 +13,8 @@
 	"stepseam.example/stepseam/internal/problem"
 )
 
-// outcomeOf is problem.Of for a request that the gateway waited for until ctx
-// ended. An answer that did not come in time is not a caller that left.
+// outcomeOf converts err to a problem. If the gateway's own deadline in ctx
+// expired, an interruption or an internal error is reported as a missed deadline.
 func outcomeOf(ctx context.Context, err error) *api.Problem {
 	found := problem.Of(err)
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
@@ -25,10 +25,10 @@
 		WithNotRun(found.NotRun).WithRetryAfter(lateRetry)
 }
 
-// lateRetry is when callers should come back for an answer that is still made.
+// lateRetry is the Retry-After for an answer that is still being computed.
 const lateRetry = time.Second
 
-// writeProblem answers with a problem, in the shape that the path's clients know.
+// writeProblem responds with a problem, in the OpenAI format for the chat path.
 func writeProblem(writer http.ResponseWriter, path string, refusal *api.Problem) {
 	body, media := any(refusal), api.MediaProblem
 	if path == chatPath {
@@ -37,10 +37,10 @@
 	problem.SetRetryAfter(writer.Header(), refusal)
 	writer.Header().Set("Content-Type", media)
 	writer.WriteHeader(refusal.Status)
-	_ = json.NewEncoder(writer).Encode(body) // a caller that is gone wants no answer
+	_ = json.NewEncoder(writer).Encode(body) // fails only if the caller disconnected
 }
 
-// decodeJSON is json.Unmarshal whose errors tell line and column.
+// decodeJSON is json.Unmarshal with the line and column in syntax errors.
 func decodeJSON(data []byte, into any) error {
 	err := json.Unmarshal(data, into)
 	var syntax *json.SyntaxError
@@ -53,7 +53,7 @@
 	return fmt.Errorf("line %d, column %d: %w", line, column, err)
 }
 
-// unknownPath answers what is no part of the interface.
+// unknownPath responds to requests for paths outside the API.
 func unknownPath(writer http.ResponseWriter, request *http.Request) {
 	refusal := api.NewProblem(api.CodeInvalid, "%s %s is no part of this interface; see /openapi.json",
 		request.Method, request.URL.Path)
--- a/internal/gateway/protect.go
+++ b/internal/gateway/protect.go
@@ -11,8 +11,8 @@
 	"stepseam.example/stepseam/api"
 )
 
-// protect puts the limits that hold for every request before next: draining,
-// requests under way, size and time of the body, time of each write.
+// protect wraps next with the limits of all requests: draining, requests in
+// flight, size and receive time of the body, and time of each write.
 func (g *Gateway) protect(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		writer := &timedWriter{
@@ -29,7 +29,7 @@
 		}
 		defer g.inFlight.Add(-1)
 		if problem := g.receiveBody(writer, request); problem != nil {
-			// What is left of the body is not worth reading.
+			// Close the connection instead of reading the rest of the body.
 			writer.Header().Set("Connection", "close")
 			writeProblem(writer, request.URL.Path, problem)
 			return
@@ -38,9 +38,9 @@
 	})
 }
 
-// admit counts the request in, or tells why not.
+// admit counts the request as in flight, or returns why it is refused.
 func (g *Gateway) admit() *api.Problem {
-	if g.drains() {
+	if g.isDraining() {
 		return api.NewProblem(api.CodeDraining, "this node is stopping; use another one").WithRetryAfter(drainRetry)
 	}
 	if g.inFlight.Add(1) > g.config.MaxInFlight {
@@ -52,7 +52,7 @@
 }
 
 // receiveBody reads the whole body, bounded in size and time. Nothing runs
-// before the body is complete, so its problems are certain not to have run.
+// before the body is complete, so a request that fails here certainly did not run.
 func (g *Gateway) receiveBody(writer *timedWriter, request *http.Request) *api.Problem {
 	if request.Body == nil || request.Body == http.NoBody {
 		return nil
@@ -61,10 +61,10 @@
 	if request.ContentLength > limit {
 		return api.NewProblem(api.CodeTooLarge, "the body has %d bytes, the limit is %d", request.ContentLength, limit)
 	}
-	// A deadline that cannot be set belongs to a test's recorder, not to a socket.
+	// Only a test's recorder fails to set a deadline, never a socket.
 	_ = writer.controller.SetReadDeadline(time.Now().Add(g.config.BodyTimeout))
 	body, err := readAll(http.MaxBytesReader(writer, request.Body, limit), request.ContentLength)
-	// From here on only the caller's leaving ends the request.
+	// Clear the deadline: it covers only the body.
 	_ = writer.controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -82,16 +82,17 @@
 	}
 }
 
-// maxReserve bounds the memory that a promised length takes before bytes come.
-const maxReserve = 64 << 10
+// maxPreallocation bounds the memory allocated for a declared body length before any
+// byte arrives.
+const maxPreallocation = 64 << 10
 
-func readAll(reader io.Reader, promised int64) ([]byte, error) {
-	buffer := bytes.NewBuffer(make([]byte, 0, min(max(promised, 0)+bytes.MinRead, maxReserve)))
+func readAll(reader io.Reader, declaredLength int64) ([]byte, error) {
+	buffer := bytes.NewBuffer(make([]byte, 0, min(max(declaredLength, 0)+bytes.MinRead, maxPreallocation)))
 	_, err := buffer.ReadFrom(reader)
 	return buffer.Bytes(), err
 }
 
-// timedWriter gives every write a deadline of its own and notes the status.
+// timedWriter sets a deadline for each write and records the status.
 type timedWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
@@ -99,7 +100,7 @@
 	status     int
 }
 
-// WriteHeader notes the status.
+// WriteHeader sends the header and records the status.
 func (w *timedWriter) WriteHeader(status int) {
 	if w.status == 0 {
 		w.status = status
@@ -116,19 +117,19 @@
 	return w.ResponseWriter.Write(data)
 }
 
-// Flush sends what is buffered, within the timeout.
-func (w *timedWriter) Flush() { _ = w.FlushError() } // the next write meets the error
+// Flush sends buffered data, within the timeout.
+func (w *timedWriter) Flush() { _ = w.FlushError() } // the next write returns the error
 
-// FlushError is Flush with its error.
+// FlushError is Flush, but returns the error.
 func (w *timedWriter) FlushError() error {
 	w.extend()
 	return w.controller.Flush()
 }
 
 func (w *timedWriter) extend() {
-	// A deadline that cannot be set belongs to a test's recorder.
+	// Only a test's recorder fails to set a deadline.
 	_ = w.controller.SetWriteDeadline(time.Now().Add(w.timeout))
 }
 
-// Unwrap lets http.ResponseController find the connection.
+// Unwrap gives http.ResponseController access to the wrapped writer.
 func (w *timedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/gateway/routes.go
+++ b/internal/gateway/routes.go
@@ -12,13 +12,13 @@
 	"stepseam.example/stepseam/internal/problem"
 )
 
-// interfaceVersion is the version of the callers' interface in the OpenAPI document.
+// interfaceVersion is the version of the API in the OpenAPI document.
 const interfaceVersion = "1.0.0"
 
-// noLimit leaves a body's limits to protect, which comes before huma.
+// noLimit disables huma's limits on bodies; protect enforces them before huma.
 const noLimit = -1
 
-// routes builds the whole interface.
+// routes returns the handler of all operations.
 func (g *Gateway) routes() http.Handler {
 	mux := http.NewServeMux()
 	config := huma.DefaultConfig("stepseam, for callers", interfaceVersion)
@@ -27,7 +27,7 @@
 		"not_run is true only where it is certain that the request did not run."
 	config.DocsPath = ""
 	config.SchemasPath = ""
-	config.CreateHooks = nil // no $schema links in answers
+	config.CreateHooks = nil // omits $schema links from responses
 	config.Transformers = []huma.Transformer{problem.Transform}
 	format := huma.Format{Marshal: huma.DefaultJSONFormat.Marshal, Unmarshal: decodeJSON}
 	config.Formats = map[string]huma.Format{api.MediaJSON: format, "json": format}
@@ -40,8 +40,8 @@
 	return mux
 }
 
-// operation fills in what all operations have in common. Its answers are body
-// as JSON, events if streams, or a problem.
+// operation completes op with the settings of all operations. The documented
+// responses are body as JSON, also events if streams is true, or a problem.
 func operation(face huma.API, op huma.Operation, body any, streams bool) huma.Operation {
 	schemas := face.OpenAPI().Components.Schemas
 	schema := schemas.Schema(reflect.TypeOf(body), true, "Answer")
@@ -63,9 +63,9 @@
 	return op
 }
 
-// writeJSON answers with a body.
+// writeJSON responds with body as JSON and status 200.
 func writeJSON(writer http.ResponseWriter, body any) {
 	writer.Header().Set("Content-Type", api.MediaJSON)
 	writer.WriteHeader(http.StatusOK)
-	_ = json.NewEncoder(writer).Encode(body) // a caller that is gone wants no answer
+	_ = json.NewEncoder(writer).Encode(body) // fails only if the caller disconnected
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,14 +14,14 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// eventWriter writes server-sent events. Until the first one the response's
-// status is open, so that a request which is refused gets a proper problem.
-// While nothing happens it writes comments, which find callers that are gone.
+// eventWriter writes server-sent events. It sends the status with the first one,
+// so that a request that fails earlier gets a problem with its own status. While
+// the stream is idle it writes comments, which detect callers that disconnected.
 type eventWriter struct {
 	writer  http.ResponseWriter
 	flusher *http.ResponseController
 
-	// mutex guards all below and the order of writes.
+	// mutex guards the fields below and serializes writes.
 	mutex   sync.Mutex
 	buffer  bytes.Buffer
 	opened  bool
@@ -33,7 +33,7 @@
 	return &eventWriter{writer: writer, flusher: http.NewResponseController(writer), written: time.Now()}
 }
 
-// open sends the header; the caller holds the mutex.
+// open sends the header. The caller holds mutex.
 func (w *eventWriter) open() {
 	if w.opened {
 		return
@@ -44,14 +44,14 @@
 	w.writer.WriteHeader(http.StatusOK)
 }
 
-// isOpen tells whether anything was sent.
+// isOpen reports whether the header was sent.
 func (w *eventWriter) isOpen() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.opened
 }
 
-// send writes one event; an empty name or id is left out.
+// send writes one event; an empty name or id is omitted.
 func (w *eventWriter) send(name, id string, data any) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -76,7 +76,7 @@
 	return w.flush()
 }
 
-// sendText writes data as it is.
+// sendText writes text verbatim.
 func (w *eventWriter) sendText(text string) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -89,7 +89,7 @@
 	return w.flush()
 }
 
-// flush sends the buffer; the caller holds the mutex.
+// flush sends the buffer. The caller holds mutex.
 func (w *eventWriter) flush() error {
 	w.written = time.Now()
 	if _, w.err = w.writer.Write(w.buffer.Bytes()); w.err == nil {
@@ -98,9 +98,10 @@
 	return w.err
 }
 
-// keepAlive writes a comment whenever nothing was written for interval, until
-// ctx ends. A caller who cannot be written to is gone: gone is called.
-func (w *eventWriter) keepAlive(ctx context.Context, interval time.Duration, gone func()) {
+// keepAlive checks the stream every interval and writes a comment if it was idle
+// for half of it, until ctx ends. If a write fails it calls onDisconnect and
+// returns.
+func (w *eventWriter) keepAlive(ctx context.Context, interval time.Duration, onDisconnect func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -113,14 +114,15 @@
 		quiet := time.Since(w.written) >= interval/2
 		w.mutex.Unlock()
 		if quiet && w.sendText(": waiting\n\n") != nil {
-			gone()
+			onDisconnect()
 			return
 		}
 	}
 }
 
-// beginStream starts the comments. finish stops them and returns once no more
-// is written behind the handler's back.
+// beginStream returns a stream that sends keep-alive comments in the background.
+// streamContext ends when the caller disconnects. finish stops the comments and
+// returns once no background write is in progress.
 func (g *Gateway) beginStream(ctx context.Context, writer http.ResponseWriter) (stream *eventWriter, streamContext context.Context, finish func()) {
 	stream = newEventWriter(writer)
 	streamContext, cancel := context.WithCancel(ctx)
@@ -135,21 +137,21 @@
 	}
 }
 
-// streamAnswer answers with tokens and then one answer or problem. The events'
-// ids are the tokens' indexes; the last event has the id of the last token, so
-// that a caller who lost it can resume and gets it again.
-func (g *Gateway) streamAnswer(ctx context.Context, writer http.ResponseWriter, wanted wish, ask answerFunc) {
+// streamAnswer streams tokens, then one answer or problem. Token events have the
+// token's index as their id. The last event has none, so a caller that resumes
+// after the last token receives it again.
+func (g *Gateway) streamAnswer(ctx context.Context, writer http.ResponseWriter, options responseOptions, run answerFunc) {
 	stream, ctx, finish := g.beginStream(ctx, writer)
-	next := wanted.from
+	next := options.from
 	var onToken serving.TokenFunc
-	if wanted.tokens {
+	if options.tokens {
 		onToken = func(index int, text string) error {
 			next = index + 1
 			g.metrics.tokens.Inc()
 			return stream.send(string(api.EventToken), strconv.Itoa(index), api.Event{Kind: api.EventToken, Index: index, Text: text})
 		}
 	}
-	answer, err := ask(ctx, onToken)
+	answer, err := run(ctx, onToken)
 	finish()
 	if err != nil {
 		problem := outcomeOf(ctx, err)
@@ -157,17 +159,19 @@
 			writeProblem(writer, "", problem)
 			return
 		}
-		// A caller that is gone wants no answer.
+		// An error means that the caller disconnected.
 		_ = stream.send(string(api.EventProblem), "", api.Event{Kind: api.EventProblem, Index: next, Problem: problem})
 		return
 	}
 	_ = stream.send(string(api.EventAnswer), "", api.Event{Kind: api.EventAnswer, Index: next, Answer: &answer})
 }
 
-// maxTokenIndex is far above any answer's length and far below what an index holds.
+// maxTokenIndex bounds the index in a Last-Event-ID: longer than any answer, and
+// safe against integer overflow.
 const maxTokenIndex = 1 << 30
 
-// resumeFrom is the first token that a caller lacks who has seen event id last.
+// resumeFrom returns the index of the first token to send to a caller whose last
+// received event is id; an empty id means none.
 func resumeFrom(id string) (int, *api.Problem) {
 	if id == "" {
 		return 0, nil
--- a/internal/journal/claim.go
+++ b/internal/journal/claim.go
@@ -14,54 +14,54 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// The reasons why a claim is not made or does not hold.
+// Reasons why a claim is not made, or not valid.
 var (
-	errHeldElsewhere = errors.New("journal: another node holds the shard")
-	errLostRace      = errors.New("journal: another claim came first")
-	errNoQuorum      = errors.New("journal: too few of the former replicas answer")
-	errNotDesired    = errors.New("journal: this node should not own the shard")
-	errClaimUnderWay = errors.New("journal: another node is claiming the shard")
-	errNoNodes       = errors.New("journal: no live node to hold the tail")
+	errOwnedElsewhere = errors.New("journal: another node holds the shard")
+	errLostRace       = errors.New("journal: another claim came first")
+	errNoQuorum       = errors.New("journal: too few of the former replicas answer")
+	errNotDesired     = errors.New("journal: this node should not own the shard")
+	errRivalClaim     = errors.New("journal: another node is claiming the shard")
+	errNoNodes        = errors.New("journal: no live node to hold the tail")
 )
 
-// leaseRunsError tells that the former owner's lease may still run at so many of
-// its replicas that a claim must wait for remaining.
+// leaseRunsError reports that a claim must wait: the former owner's lease may still
+// be valid for remaining at too many of its replicas.
 type leaseRunsError struct {
 	former    Claim
 	remaining time.Duration
 }
 
-// Error names the owner and how long to wait.
+// Error returns the former owner and the remaining time.
 func (e *leaseRunsError) Error() string {
 	return fmt.Sprintf("journal: the lease of epoch %d of %s may still run for %v",
 		e.former.Epoch, e.former.Owner.Name, e.remaining)
 }
 
-// claimant is one try to claim one shard.
+// claimant is one attempt to claim one shard.
 type claimant struct {
 	manager *Manager
 	shard   identity.ShardID
-	// machine is the fold of what was read, the next owner's state in the end.
+	// machine is built from the records read; it becomes the new owner's state.
 	machine StateMachine
 	stream  *stream
 	// former is the claim that was active before.
 	former Claim
 }
 
-// claim takes the shard over: it reads the log, makes sure that the former owner
-// is gone, appends its claim, reads it back, recovers the tail from the former
-// replicas, and opens the shard.
+// claim takes the shard over: it reads the log, verifies that the former owner is
+// not active any more, appends a claim and reads it back, recovers the tail from
+// the former replicas, and opens the shard.
 func (m *Manager) claim(ctx context.Context, shard identity.ShardID) error {
 	ctx, cancel := context.WithTimeout(ctx, m.config.ClaimTimeout)
 	defer cancel()
 	c := &claimant{manager: m, shard: shard, machine: m.config.Host.NewStateMachine(shard)}
-	stream, err := m.openStream(ctx, shard, c.fold)
+	stream, err := m.openStream(ctx, shard, c.apply)
 	if err != nil {
 		return err
 	}
 	c.stream = stream
-	m.noteClaim(shard, stream.ledger)
-	if err := c.clearTheWay(ctx); err != nil {
+	m.recordClaim(shard, stream.ledger)
+	if err := c.checkPredecessor(ctx); err != nil {
 		return err
 	}
 	c.former = stream.ledger.Active()
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	m.noteClaim(shard, stream.ledger)
+	m.recordClaim(shard, stream.ledger)
 	if stream.ledger.Active().Epoch != claim.Epoch {
 		if err := c.recover(ctx, claim); err != nil {
 			return err
@@ -78,9 +78,9 @@
 	return m.open(c, claim)
 }
 
-// fold applies one log record to the machine.
-func (c *claimant) fold(step Step) error {
-	if step.Restored {
+// apply applies the effect of one log record to the machine.
+func (c *claimant) apply(step Effect) error {
+	if step.Restore {
 		c.machine = c.manager.config.Host.NewStateMachine(c.shard)
 		if err := c.machine.Restore(step.State); err != nil {
 			return fmt.Errorf("restore: %w", err)
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// clearTheWay returns nil once no owner stands in the way: the shard was never
-// owned, or was released, or its replicas agree that the lease ran out. A live
-// owner is asked to hand over.
-func (c *claimant) clearTheWay(ctx context.Context) error {
+// checkPredecessor returns nil once no other owner can be active: the shard was
+// never owned, or was released, or a quorum of its replicas reports that the lease
+// expired. A live owner is requested to hand the shard over.
+func (c *claimant) checkPredecessor(ctx context.Context) error {
 	ledger := c.stream.ledger
 	if err := c.yieldToRival(); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	}
 	self := c.manager.config.Self.Reference()
 	if active.Owner.Reference() != self && c.manager.isAlive(active.Owner) {
-		if err := c.askHandOver(ctx, active); err != nil {
+		if err := c.requestHandOver(ctx, active); err != nil {
 			return err
 		}
 		if ledger.Released() {
@@ -118,7 +118,8 @@
 	return c.preVote(ctx, active)
 }
 
-// yieldToRival leaves another node some time to finish a claim it made.
+// yieldToRival returns errRivalClaim for a while if a live node has a claim that is
+// not yet activated, so that it can complete its claim.
 func (c *claimant) yieldToRival() error {
 	m, ledger := c.manager, c.stream.ledger
 	current := ledger.Current()
@@ -132,29 +133,30 @@
 		slot.rival, slot.rivalSeen = current.Epoch, time.Now()
 	}
 	if time.Since(slot.rivalSeen) < m.config.Lease.Hold() {
-		return errClaimUnderWay
+		return errRivalClaim
 	}
 	return nil
 }
 
-// isAlive tells whether this life of node is live by the members' view.
+// isAlive reports whether this incarnation of node is live according to the
+// membership view.
 func (m *Manager) isAlive(node identity.Node) bool {
 	return slices.ContainsFunc(m.config.Members.Load().Members, func(member membership.Member) bool {
 		return member.Node.Reference() == node.Reference() && member.Status != membership.Dead
 	})
 }
 
-// preVote asks the replicas of the active claim whether the owner's lease ran
-// out. A node that is cut off from them learns nothing, and so does not claim
-// what it could not recover.
+// preVote queries the replicas of the active claim whether the owner's lease
+// expired. A node that is partitioned from them gets no responses, and so does not
+// claim a shard that it could not recover.
 func (c *claimant) preVote(ctx context.Context, active Claim) error {
-	answers := c.ask(active, func(node identity.Node) (answer, error) { return c.askVote(ctx, node) })
-	lapsed := survey{count: len(active.Replicas)}
+	answers := c.queryReplicas(active, func(node identity.Node) (replicaResponse, error) { return c.requestVote(ctx, node) })
+	lapsed := responseCount{replicas: len(active.Replicas)}
 	for _, answer := range answers {
 		switch {
 		case answer.remaining > 0:
-		case answer.gone:
-			lapsed.gone++
+		case answer.restarted:
+			lapsed.restarted++
 		default:
 			lapsed.answered++
 		}
@@ -166,38 +168,38 @@
 	if len(answers) < quorum {
 		return errNoQuorum
 	}
-	slices.SortFunc(answers, func(a, b answer) int { return cmp.Compare(a.remaining, b.remaining) })
+	slices.SortFunc(answers, func(a, b replicaResponse) int { return cmp.Compare(a.remaining, b.remaining) })
 	return &leaseRunsError{former: active, remaining: answers[quorum-1].remaining}
 }
 
-// answer is what one replica told a claimant.
-type answer struct {
-	gone      bool
+// replicaResponse is what one replica reports to a claimant.
+type replicaResponse struct {
+	restarted bool
 	remaining time.Duration
-	refused   bool
+	fenced    bool
 	tail      Tail
-	held      bool
-	// term is that of the tail's writer; vote is the whole answer to a pre-vote.
+	hasTail   bool
+	// term is that of the tail's writer; vote is the full response to a pre-vote.
 	term uint64
-	vote *preVoteAnswer
+	vote *preVoteResponse
 }
 
-// ask puts one question to all replicas of a claim at the same time and returns
-// the answers of those that answer. A replica whose name lives on with a higher
-// incarnation counts as gone even if it cannot be reached.
-func (c *claimant) ask(claim Claim, question func(node identity.Node) (answer, error)) []answer {
+// queryReplicas sends a query to all replicas of a claim concurrently and returns
+// the responses. A replica whose name is now used by a higher incarnation counts as
+// restarted even if it is unreachable.
+func (c *claimant) queryReplicas(claim Claim, question func(node identity.Node) (replicaResponse, error)) []replicaResponse {
 	var mutex sync.Mutex
 	var group sync.WaitGroup
-	var answers []answer
+	var answers []replicaResponse
 	for _, replica := range claim.Replicas {
 		group.Go(func() {
 			given, err := question(replica)
 			if err != nil {
-				// No lease of the former life runs any more by then.
-				if !c.manager.reach.replaced(replica.Reference(), c.manager.config.Lease.Hold()) {
+				// After this delay no lease of the former incarnation is valid.
+				if !c.manager.reachability.hasNewerIncarnation(replica.Reference(), c.manager.config.Lease.Hold()) {
 					return
 				}
-				given = answer{gone: true}
+				given = replicaResponse{restarted: true}
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -208,8 +210,8 @@
 	return answers
 }
 
-// appendClaim claims the next epoch and reads back whether it holds. Where no
-// tail is to be recovered, the activation goes in the same append.
+// appendClaim claims the next epoch and returns the claim if it is valid when read
+// back. If no tail has to be recovered, the activation is in the same append.
 func (c *claimant) appendClaim(ctx context.Context) (Claim, error) {
 	m, ledger := c.manager, c.stream.ledger
 	replicas := m.wantedReplicas(c.shard, m.view())
@@ -243,28 +245,30 @@
 	}
 }
 
-// turn out to be dead, the sweep exchanges them.
+// open serves the shard: it acquires the lease and notifies the host. The claim is
+// in the log by now, so the wait for the lease has no timeout: if replicas turn out
+// to be dead, sweepLoop replaces them.
 func (m *Manager) open(c *claimant, claim Claim) error {
 	shard := m.newOwnedShard(c.shard, claim, c.stream.ledger.Index(), c.machine)
-	c.stream.onStep = nil
+	c.stream.onEffect = nil
 	slot := &m.slots[c.shard]
 	slot.mutex.Lock()
 	slot.owned = shard
-	slot.known = claim
+	slot.latestClaim = claim
 	slot.mutex.Unlock()
 	m.renew(m.running, []*ownedShard{shard})
 	m.tasks.Go(func() { shard.write(c.stream) })
 	if err := shard.awaitLease(m.running); err != nil {
 		return err
 	}
-	m.dropFormer(c, claim)
+	m.dropFormerReplicas(c, claim)
 	m.counters.claims.Add(1)
 	shard.logger.Info("shard opened", "epoch", uint64(claim.Epoch), "index", c.stream.ledger.Index())
 	m.config.Host.Opened(shard, c.machine)
 	return nil
 }
 
-// awaitLease waits for the first grant of the lease.
+// awaitLease waits until the lease is granted for the first time.
 func (s *ownedShard) awaitLease(ctx context.Context) error {
 	for {
 		err := s.CheckLease()
@@ -277,13 +281,14 @@
 	}
 }
 
-// leasePoll is the time between two looks for the first grant of a lease.
+// leasePoll is the interval of polls for the first grant of a lease and for
+// replicated records.
 const leasePoll = time.Millisecond
 
-// dropFormer lets the former replicas forget a tail that the log holds now.
-func (m *Manager) dropFormer(c *claimant, claim Claim) {
+// dropFormerReplicas makes former replicas drop a tail that is now in the log.
+func (m *Manager) dropFormerReplicas(c *claimant, claim Claim) {
 	for _, replica := range c.former.Replicas {
-		if !holdsLife(claim.Replicas, replica) {
+		if !containsIncarnation(claim.Replicas, replica) {
 			m.dropReplica(replica, c.shard, claim.Epoch)
 		}
 	}
--- a/internal/journal/schedule.go
+++ b/internal/journal/claim_loop.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// claimInterval is the time between two looks at which shards to claim while
-	// some are missing, idleInterval while none is.
+	// claimInterval is the interval of the claim loop while wanted shards are missing,
+	// idleInterval while none is.
 	claimInterval = 100 * time.Millisecond
 	idleInterval  = time.Second
 )
 
-// The bounds of the pause after a claim that failed.
+// Bounds of the backoff after a failed claim.
 const (
-	claimPauseShortest = 50 * time.Millisecond
-	claimPauseLongest  = 2 * time.Second
+	minClaimBackoff = 50 * time.Millisecond
+	maxClaimBackoff = 2 * time.Second
 )
 
-// claimLoop claims the shards that this node should own and does not, at a
-// limited rate and in random order, until ctx ends.
+// claimLoop claims the shards that this node should own and does not, at a limited
+// rate and in random order, until ctx ends.
 func (m *Manager) claimLoop(ctx context.Context) {
 	var wanted []identity.ShardID
 	var version uint64
@@ -36,12 +36,12 @@
 	for {
 		_, _, changed := m.config.Members.Watch()
 		view := m.view()
-		m.reach.see(view)
+		m.reachability.observeView(view)
 		if !fresh || view.Version != version {
 			wanted, version, fresh = m.wantedShards(view), view.Version, true
 		}
 		interval := idleInterval
-		if m.claimSome(wanted) {
+		if m.startClaims(wanted) {
 			interval = claimInterval
 		}
 		timer := time.NewTimer(interval/2 + m.random.duration(interval))
@@ -59,7 +59,7 @@
 
 func (m *Manager) wakeClaims() { signal(m.wake) }
 
-// wantedShards returns the shards that this node should own by view.
+// wantedShards returns the shards that this node should own according to view.
 func (m *Manager) wantedShards(view membership.View) []identity.ShardID {
 	var wanted []identity.ShardID
 	for i := range m.slots {
@@ -72,10 +72,10 @@
 	return wanted
 }
 
-// claimSome begins as many claims as the rate allows, and tells whether any of the
-// wanted shards is missing.
-func (m *Manager) claimSome(wanted []identity.ShardID) (missing bool) {
-	if m.draining.Load() || (m.health.isDown() && !m.logAway()) {
+// startClaims starts as many claims as the rate allows, and reports whether any of
+// the wanted shards is missing.
+func (m *Manager) startClaims(wanted []identity.ShardID) (missing bool) {
+	if m.draining.Load() || (m.health.isDown() && !m.interimAllowed()) {
 		return false
 	}
 	var due []identity.ShardID
@@ -91,12 +91,12 @@
 		if !m.claims.Allow() {
 			break
 		}
-		m.begin(shard)
+		m.startClaim(shard)
 	}
 	return missing
 }
 
-// state tells whether the shard is owned, and whether a claim of it may start.
+// state reports whether the shard is owned, and whether a claim of it may start.
 func (s *slot) state(now time.Time) (owned, ready bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -104,9 +104,10 @@
 	return owned, !owned && s.attempt == nil && !now.Before(s.notBefore)
 }
 
-// begin starts a claim of shard unless one is under way or the shard is owned,
-// and returns what is closed when it ends; nil if there is nothing to wait for.
-func (m *Manager) begin(shard identity.ShardID) <-chan struct{} {
+// startClaim starts a claim of shard unless one is in progress or the shard is
+// owned. It returns a channel that is closed when the claim ends; nil if there is
+// nothing to wait for.
+func (m *Manager) startClaim(shard identity.ShardID) <-chan struct{} {
 	slot := &m.slots[shard]
 	slot.mutex.Lock()
 	defer slot.mutex.Unlock()
@@ -120,13 +121,13 @@
 	slot.attempt = attempt
 	m.tasks.Go(func() {
 		defer close(attempt)
-		m.finish(shard, m.takeShard(m.running, shard))
+		m.finishClaim(shard, m.acquireShard(m.running, shard))
 	})
 	return attempt
 }
 
-// finish notes how a claim ended and when the next may start.
-func (m *Manager) finish(shard identity.ShardID, err error) {
+// finishClaim records the outcome of a claim and when the next may start.
+func (m *Manager) finishClaim(shard identity.ShardID, err error) {
 	slot := &m.slots[shard]
 	slot.mutex.Lock()
 	defer slot.mutex.Unlock()
@@ -136,12 +137,12 @@
 		return
 	}
 	m.counters.claimsFailed.Add(1)
-	m.logFailure(shard, slot.failures, err)
-	pause := min(claimPauseShortest<<min(slot.failures, 6), claimPauseLongest)
+	m.logClaimFailure(shard, slot.failures, err)
+	pause := min(minClaimBackoff<<min(slot.failures, 6), maxClaimBackoff)
 	pause = pause/2 + m.random.duration(pause)
 	if runs, known := errors.AsType[*leaseRunsError](err); known && runs.remaining > 0 {
-		// The lease of an owner that died is not renewed: its end is when to come.
-		pause = min(runs.remaining+leaseMargin, claimPauseLongest)
+		// A dead owner does not renew its lease: retry when it expires.
+		pause = min(runs.remaining+leaseMargin, maxClaimBackoff)
 		time.AfterFunc(pause, m.wakeClaims)
 	}
 	slot.failures++
@@ -149,24 +150,24 @@
 	slot.notBefore = time.Now().Add(pause)
 }
 
-// remarkableFailures is how many claims of a shard fail in a row before each
-// further one is a warning: the shard is without an owner for long.
-const remarkableFailures = 10
+// failuresBeforeWarning is how many consecutive claims of a shard may fail with an
+// expected error before failures are logged as warnings.
+const failuresBeforeWarning = 10
 
-// logFailure reports a claim that failed. Waiting for a lease or for another node
-// is ordinary, as long as it ends.
-func (m *Manager) logFailure(shard identity.ShardID, failures int, err error) {
+// logClaimFailure logs a failed claim. Waiting for a lease or for another node is
+// expected, as long as it ends.
+func (m *Manager) logClaimFailure(shard identity.ShardID, failures int, err error) {
 	ordinary := m.running.Err() != nil
 	if _, waits := errors.AsType[*leaseRunsError](err); waits {
 		ordinary = true
-		if m.logAway() {
-			failures = 0 // an interim owner keeps the shard until the log is back
+		if m.interimAllowed() {
+			failures = 0 // expected while an interim owner serves the shard
 		}
 	}
-	for _, reason := range []error{errHeldElsewhere, errLostRace, errClaimUnderWay, errLogAway} {
+	for _, reason := range []error{errOwnedElsewhere, errLostRace, errRivalClaim, errLogUnavailable} {
 		ordinary = ordinary || errors.Is(err, reason)
 	}
-	if ordinary && failures < remarkableFailures {
+	if ordinary && failures < failuresBeforeWarning {
 		m.config.Logger.Debug("claim not made", "shard", uint32(shard), "error", err)
 		return
 	}
@@ -176,12 +177,12 @@
 // leaseMargin is added to the end of a lease that a claimant waits for.
 const leaseMargin = time.Millisecond
 
-// claimFloor is the least time between two claims of one shard, however often it
-// is asked for.
-const claimFloor = 50 * time.Millisecond
+// minClaimInterval is the minimum time between the failure of a claim and a claim
+// that EnsureOwned starts.
+const minClaimInterval = 50 * time.Millisecond
 
-// EnsureOwned claims shard at once, if this node should own it, and waits until
-// it is open. Errors wrap ErrNotOwner; OwnerHint tells who may own it instead.
+// EnsureOwned claims shard at once if this node should own it, and waits until it is
+// open. Errors wrap ErrNotOwner; OwnerHint may name the owner.
 func (m *Manager) EnsureOwned(ctx context.Context, shard identity.ShardID) error {
 	if int(shard) >= len(m.slots) {
 		return fmt.Errorf("%w: shard %d of %d", ErrNotOwner, shard, len(m.slots))
@@ -195,12 +196,12 @@
 	}
 	slot := &m.slots[shard]
 	slot.mutex.Lock()
-	tooSoon := slot.failure != nil && time.Since(slot.failedAt) < claimFloor
+	tooSoon := slot.failure != nil && time.Since(slot.failedAt) < minClaimInterval
 	slot.mutex.Unlock()
 	if tooSoon {
 		return slot.notOwned(shard)
 	}
-	if attempt := m.begin(shard); attempt != nil {
+	if attempt := m.startClaim(shard); attempt != nil {
 		select {
 		case <-attempt:
 		case <-ctx.Done():
@@ -210,7 +211,7 @@
 	return slot.notOwned(shard)
 }
 
-// notOwned returns nil if shard is served here, and else why it is not.
+// notOwned returns nil if shard is served here, or the reason why it is not.
 func (s *slot) notOwned(shard identity.ShardID) error {
 	s.mutex.Lock()
 	owned, failure := s.owned, s.failure
--- a/internal/journal/claim_recover.go
+++ b/internal/journal/claim_recover.go
@@ -11,9 +11,9 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// recover gets the tail from the former replicas, which refuse the former owner
-// from then on, waits out what is left of its lease, and brings the tail to the
-// log together with the activation.
+// recover gets the tail from the former replicas, which reject the former owner
+// from then on, waits until its lease has expired, and appends the tail to the log
+// together with the activation.
 func (c *claimant) recover(ctx context.Context, claim Claim) error {
 	former := c.stream.ledger.Active()
 	answers, err := c.collectPromises(ctx, claim, former)
@@ -24,7 +24,7 @@
 	if err := wait.For(ctx, remaining); err != nil {
 		return err
 	}
-	tail, err := recovered.behind(c.stream.ledger.Index())
+	tail, err := recovered.after(c.stream.ledger.Index())
 	if err != nil {
 		return err
 	}
@@ -38,15 +38,15 @@
 	return nil
 }
 
-// newestTail returns the longest tail of the highest term among answers, and how
-// long the leases that they tell of may still run. Whoever wrote under a term had
-// recovered all that was held under the lower ones.
-func newestTail(answers []answer) (tail Tail, remaining time.Duration) {
+// newestTail returns the longest tail of the highest term among responses, and how
+// long leases that they report may still be valid. The writer of a term has
+// recovered all records that were replicated under lower terms.
+func newestTail(answers []replicaResponse) (tail Tail, remaining time.Duration) {
 	var tails []Tail
 	var term uint64
 	for _, answer := range answers {
 		remaining = max(remaining, answer.remaining)
-		if !answer.held || answer.term < term {
+		if !answer.hasTail || answer.term < term {
 			continue
 		}
 		if answer.term > term {
@@ -57,12 +57,12 @@
 	return Longest(tails), remaining
 }
 
-// recoveryRecords returns the log records that bring tail to the log and end
-// with the activation.
+// recoveryRecords returns the log records that contain tail, with the activation
+// last.
 func (c *claimant) recoveryRecords(claim, former Claim, tail Tail) []*Record {
 	m := c.manager
 	var records []*Record
-	if tail.Folded {
+	if tail.Compacted {
 		records = append(records, &Record{
 			Kind: SnapshotRecord, ID: m.random.recordID(), Shard: c.shard, Epoch: claim.Epoch,
 			Index: tail.After, State: tail.State, Claim: claim, Active: former,
@@ -79,70 +79,68 @@
 	return append(records, c.activation(claim))
 }
 
-// collectPromises asks the former replicas until enough of them promised.
-func (c *claimant) collectPromises(ctx context.Context, claim, former Claim) ([]answer, error) {
+// collectPromises queries the former replicas until enough of them promised.
+func (c *claimant) collectPromises(ctx context.Context, claim, former Claim) ([]replicaResponse, error) {
 	for attempt := 0; ; attempt++ {
-		answers := c.ask(former, func(node identity.Node) (answer, error) {
-			return c.askPromise(ctx, node, &promiseMessage{Epoch: claim.Epoch}, former)
+		answers := c.queryReplicas(former, func(node identity.Node) (replicaResponse, error) {
+			return c.requestPromise(ctx, node, &promiseRequest{Epoch: claim.Epoch}, former)
 		})
-		counted := survey{count: len(former.Replicas)}
+		counted := responseCount{replicas: len(former.Replicas)}
 		for _, answer := range answers {
 			switch {
-			case answer.refused:
+			case answer.fenced:
 				return nil, fmt.Errorf("%w: replicas promised a higher epoch", errLostRace)
-			case answer.gone:
-				counted.gone++
+			case answer.restarted:
+				counted.restarted++
 			default:
 				counted.answered++
 			}
 		}
 		if counted.complete() {
-			c.noteSurvey(counted, former)
+			c.reportMissingRecords(counted, former)
 			return answers, nil
 		}
-		if err := wait.For(ctx, replicaPauseShortest<<min(attempt, 5)); err != nil {
-			return nil, fmt.Errorf("%w: %d of %d", errNoQuorum, counted.answered, counted.count)
+		if err := wait.For(ctx, minReplicaBackoff<<min(attempt, 5)); err != nil {
+			return nil, fmt.Errorf("%w: %d of %d", errNoQuorum, counted.answered, counted.replicas)
 		}
 	}
 }
 
-// noteSurvey reports a recovery that may lack records.
-func (c *claimant) noteSurvey(counted survey, former Claim) {
-	if !counted.mayLack() {
+// reportMissingRecords logs and counts a recovery after which acknowledged records
+// may be missing.
+func (c *claimant) reportMissingRecords(counted responseCount, former Claim) {
+	if !counted.mayMissRecords() {
 		return
 	}
 	c.manager.counters.mayLack.Add(1)
 	c.manager.config.Logger.Error("recovered from too few replicas: acknowledged records may be missing",
-		"shard", uint32(c.shard), "epoch", uint64(former.Epoch), "answered", counted.answered, "gone", counted.gone)
+		"shard", uint32(c.shard), "epoch", uint64(former.Epoch), "answered", counted.answered, "gone", counted.restarted)
 }
 
-func (c *claimant) askPromise(ctx context.Context, node identity.Node, request *promiseMessage, former Claim) (answer, error) {
+func (c *claimant) requestPromise(ctx context.Context, node identity.Node, request *promiseRequest, former Claim) (replicaResponse, error) {
 	var encoded []byte
 	request.To, request.Shard = node.Reference(), c.shard
 	message, err := c.manager.callWithin(ctx, c.manager.config.LogTimeout, node, request, func(part peer.Message) error {
 		piece, fits := part.(*promisePart)
 		if !fits {
-			return errUnexpectedAnswer
+			return errUnexpectedResponse
 		}
 		encoded = append(encoded, piece.Bytes...)
 		return nil
 	})
 	if err != nil {
-		return answer{}, err
+		return replicaResponse{}, err
 	}
-	promise, fits := message.(*promiseAnswer)
+	promise, fits := message.(*promiseResponse)
 	if !fits {
-		return answer{}, errUnexpectedAnswer
+		return replicaResponse{}, errUnexpectedResponse
 	}
-	given := answer{gone: promise.Refusal == OtherLife, remaining: promise.Remaining, refused: promise.Refusal == Fenced}
-	if promise.Refusal != Granted || !former.accepts(promise.TailEpoch) {
+	given := replicaResponse{restarted: promise.Status == OtherIncarnation, remaining: promise.Remaining, fenced: promise.Status == Fenced}
+	if promise.Status != Granted || !former.accepts(promise.TailEpoch) {
 		return given, nil
 	}
 	decoder := wire.NewDecoder(encoded)
 	given.tail.decode(decoder)
-	given.held, given.term = true, promise.TailTerm
+	given.hasTail, given.term = true, promise.TailTerm
 	return given, decoder.Finish()
 }
-
-// open serves the shard: it gets the lease and tells the host. The claim stands
-// in the log by now, so the wait for the lease has no end of its own: if replicas
--- a/internal/journal/config.go
+++ b/internal/journal/config.go
@@ -17,87 +17,88 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// leaseDriftShare is the part of a lease's duration that replicas add by default:
-// it covers clocks that differ in speed by one part in ten.
-const leaseDriftShare = 10
+// leaseDriftDivisor gives the default of LeaseTerms.Drift as a fraction of the
+// lease's duration: a tenth covers clocks whose rates differ by 10%.
+const leaseDriftDivisor = 10
 
-// The defaults of Config.
+// Defaults of Config.
 const (
-	// DefaultLeaseDuration is the longest time that a shard stays without service
-	// after its owner died, apart from the claim itself.
-	DefaultLeaseDuration   = 2 * time.Second
-	DefaultRenewInterval   = 500 * time.Millisecond
-	DefaultReplicaTimeout  = time.Second
-	DefaultLogTimeout      = 5 * time.Second
-	DefaultDurableWait     = 5 * time.Second
-	DefaultClaimTimeout    = 20 * time.Second
-	DefaultClosingTimeout  = 35 * time.Second
-	DefaultCopyTimeout     = 10 * time.Second
-	DefaultReplaceDelay    = 2 * time.Second
-	DefaultSettleDelay     = time.Second
-	DefaultArmDelay        = time.Second
-	DefaultGather          = 5 * time.Millisecond
-	DefaultClaimRate       = 250
-	DefaultMoveRate        = 100
-	DefaultConcurrentMoves = 32
-	DefaultBatchBytes      = 256 << 10
-	DefaultSnapshotBytes   = 256 << 10
+	// DefaultLeaseDuration bounds how long a shard is without an owner after a crash,
+	// apart from the time that the claim takes.
+	DefaultLeaseDuration       = 2 * time.Second
+	DefaultRenewInterval       = 500 * time.Millisecond
+	DefaultReplicaTimeout      = time.Second
+	DefaultLogTimeout          = 5 * time.Second
+	DefaultDurableWait         = 5 * time.Second
+	DefaultClaimTimeout        = 20 * time.Second
+	DefaultClosingTimeout      = 35 * time.Second
+	DefaultCopyTimeout         = 10 * time.Second
+	DefaultReplaceDelay        = 2 * time.Second
+	DefaultSettleDelay         = time.Second
+	DefaultInterimDelay        = time.Second
+	DefaultGather              = 5 * time.Millisecond
+	DefaultClaimRate           = 250
+	DefaultHandOverRate        = 100
+	DefaultConcurrentHandOvers = 32
+	DefaultBatchBytes          = 256 << 10
+	DefaultSnapshotBytes       = 256 << 10
 )
 
-// Config is what a Manager works with. Fields with a default may be zero.
+// Config configures a Manager. Fields with a default may be zero.
 type Config struct {
 	Self       identity.Node
 	ShardCount int
 	Lease      LeaseTerms
 	// RenewInterval is the time between two renewals of all leases.
 	RenewInterval time.Duration
-	// ReplicaTimeout bounds one message to a replica, LogTimeout one request to
-	// the log.
+	// ReplicaTimeout bounds one request to a replica, LogTimeout one request to the
+	// log.
 	ReplicaTimeout time.Duration
 	LogTimeout     time.Duration
-	// DurableWait bounds how long EnqueueDurable's wait lasts.
+	// DurableWait bounds the wait that EnqueueDurable returns.
 	DurableWait    time.Duration
 	ClaimTimeout   time.Duration
 	ClosingTimeout time.Duration
-	// ReplaceDelay is how long a replica must be gone from the view before its
-	// shards are claimed again without it.
+	// ReplaceDelay is how long a replica must be missing from the membership view, or
+	// unreachable, before it is replaced.
 	ReplaceDelay time.Duration
-	// CopyTimeout bounds how long new replicas have to take the tail.
+	// CopyTimeout bounds the time for new replicas to receive the tail.
 	CopyTimeout time.Duration
-	// SettleDelay is how long a node that has just started waits for its view of the
-	// members to fill before it claims.
+	// SettleDelay is how long a starting node waits for its membership view to fill
+	// before it claims shards.
 	SettleDelay time.Duration
-	// ArmDelay is how long the log must have been away before owners leave whole
-	// states with their replicas and others may own shards without the log.
-	ArmDelay time.Duration
-	// Gather is how long the log writer lets records of one shard gather.
+	// InterimDelay is how long the log must have been unavailable before owners
+	// authorize interim takeovers and other nodes may own shards without the log.
+	InterimDelay time.Duration
+	// Gather is how long the log writer waits to batch records of one shard.
 	Gather time.Duration
-	// ClaimRate and MoveRate limit claims begun and shards handed over, per
-	// second, so that a restart is no stampede.
-	ClaimRate       rate.Limit
-	MoveRate        rate.Limit
-	ConcurrentMoves int
-	// BatchBytes bounds one batch record. SnapshotBytes of records, or twice the
-	// last snapshot's size if that is more, call for the next snapshot.
+	// ClaimRate and HandOverRate limit the claims and hand-overs that start in a
+	// second, which spreads the load of a restart.
+	ClaimRate           rate.Limit
+	HandOverRate        rate.Limit
+	ConcurrentHandOvers int
+	// BatchBytes bounds one batch record. The next snapshot is taken after
+	// SnapshotBytes of records, or twice the size of the last snapshot if that is more.
 	BatchBytes    int
 	SnapshotBytes int
 
 	Log     siteservices.Log
 	Peers   peer.Client
 	Members *blackboard.Cell[membership.View]
-	// Desired tells where a shard should be by a view; false where no node lives.
+	// Desired returns the desired placement of a shard for a view; false if no node can
+	// have it.
 	Desired func(shard identity.ShardID, view membership.View) (placement.Assignment, bool)
 	Host    Host
 	Logger  *slog.Logger
-	// Registerer takes the metrics; nil leaves them out.
+	// Registerer registers the metrics; nil disables them.
 	Registerer prometheus.Registerer
-	// Random gives record ids and jitter; the Manager guards it with a lock.
+	// Random is the source of record ids and jitter; the Manager guards it with a lock.
 	Random rand.Source
 }
 
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.Lease.Duration, DefaultLeaseDuration)
-	defaults.Set(&c.Lease.Drift, c.Lease.Duration/leaseDriftShare)
+	defaults.Set(&c.Lease.Drift, c.Lease.Duration/leaseDriftDivisor)
 	defaults.Set(&c.RenewInterval, DefaultRenewInterval)
 	defaults.Set(&c.ReplicaTimeout, DefaultReplicaTimeout)
 	defaults.Set(&c.LogTimeout, DefaultLogTimeout)
@@ -107,11 +108,11 @@
 	defaults.Set(&c.CopyTimeout, DefaultCopyTimeout)
 	defaults.Set(&c.ReplaceDelay, DefaultReplaceDelay)
 	defaults.Set(&c.SettleDelay, DefaultSettleDelay)
-	defaults.Set(&c.ArmDelay, DefaultArmDelay)
+	defaults.Set(&c.InterimDelay, DefaultInterimDelay)
 	defaults.Set(&c.Gather, DefaultGather)
 	defaults.Set(&c.ClaimRate, DefaultClaimRate)
-	defaults.Set(&c.MoveRate, DefaultMoveRate)
-	defaults.Set(&c.ConcurrentMoves, DefaultConcurrentMoves)
+	defaults.Set(&c.HandOverRate, DefaultHandOverRate)
+	defaults.Set(&c.ConcurrentHandOvers, DefaultConcurrentHandOvers)
 	defaults.Set(&c.BatchBytes, DefaultBatchBytes)
 	defaults.Set(&c.SnapshotBytes, DefaultSnapshotBytes)
 	if c.Desired == nil {
--- a/internal/journal/figures_test.go
+++ b/internal/journal/figures_test.go
@@ -17,8 +17,8 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// figuresVariable is the environment variable that says how many runs the figures
-// are taken from; a test run takes few.
+// figuresVariable is the environment variable with the number of runs that a
+// measurement uses; the default is small to keep test runs short.
 const (
 	figuresVariable = "FIGURES"
 	defaultFigures  = 3
@@ -36,10 +36,10 @@
 	return durations[min(int(share*float64(len(durations))), len(durations)-1)]
 }
 
-// TestLatencyFigures measures, in virtual time with 1.5 ms between any two nodes,
-// what the journal adds to a call, by the state of the log, and checks that it
-// does not follow the log.
-func TestLatencyFigures(t *testing.T) {
+// TestLatencyIndependentOfLog measures the latency of an append in virtual time,
+// with 1.5 ms between any two nodes, and checks that a slow or unavailable log does
+// not increase it.
+func TestLatencyIndependentOfLog(t *testing.T) {
 	for _, state := range []struct {
 		name   string
 		faults logservice.Faults
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestTakeoverFigures measures the time without service after an owner's kill, in
-// virtual time, with the members' view told of the death after a second.
-func TestTakeoverFigures(t *testing.T) {
+// TestTakeoverTime measures the time without service after an owner's crash in
+// virtual time. The membership view reports the death after one second.
+func TestTakeoverTime(t *testing.T) {
 	var gaps []time.Duration
 	for seed := range figureRuns() {
 		synctest.Test(t, func(t *testing.T) {
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestInterimFigures measures the time without service after an owner's kill while
-// the log is away, and when an interim owner steps down because it is back.
-func TestInterimFigures(t *testing.T) {
+// TestInterimTakeoverTime measures the time without service after an owner's crash
+// during an outage of the log, and when an interim owner steps down after it.
+func TestInterimTakeoverTime(t *testing.T) {
 	var deaths, returns []time.Duration
 	for seed := range figureRuns() {
 		synctest.Test(t, func(t *testing.T) {
@@ -142,8 +142,8 @@
 	}
 }
 
-// silences returns how long from now each of shards is not served, of those that
-// are served within a minute.
+// silences returns how long each of shards is not served from now on. Shards that
+// are not served within a minute are left out.
 func (s *testSite) silences(shards []identity.ShardID) (gaps []time.Duration) {
 	began := time.Now()
 	waiting := slices.Clone(shards)
@@ -160,9 +160,9 @@
 	return gaps
 }
 
-// TestSizeFigures measures the bytes that a record of 100 bytes takes in the log
+// TestRecordOverhead measures how many bytes a record of 100 bytes takes in the log
 // and on the network.
-func TestSizeFigures(t *testing.T) {
+func TestRecordOverhead(t *testing.T) {
 	const size = 100
 	for _, interval := range []time.Duration{time.Millisecond, 50 * time.Millisecond} {
 		err := scenario(t, variant{}, 6, func(site *testSite) error {
@@ -195,8 +195,8 @@
 	}
 }
 
-// BenchmarkEnqueue measures the processor time of the write path on one node, up
-// to the log stand-in.
+// BenchmarkEnqueue measures the CPU time of the write path on one node, up to the
+// fake log.
 func BenchmarkEnqueue(b *testing.B) {
 	site := newTestSite(1, 1)
 	defer site.net.Close()
--- a/internal/journal/handlers.go
+++ b/internal/journal/handlers.go
@@ -11,7 +11,7 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// replicaSlot is this node's replica of one shard under its lock.
+// replicaSlot is this node's replica of one shard. mutex guards replica.
 type replicaSlot struct {
 	mutex   sync.Mutex
 	replica Replica
@@ -23,14 +23,15 @@
 	return s.replica.Bytes()
 }
 
-func (s *replicaSlot) holder(now time.Time) (identity.Reference, identity.Epoch, bool) {
+func (s *replicaSlot) leaseHolder(now time.Time) (identity.Reference, identity.Epoch, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.replica.Holder(now)
+	return s.replica.LeaseHolder(now)
 }
 
-// unattended returns the epoch of a tail whose lease ran out.
-func (s *replicaSlot) unattended(now time.Time) (identity.Epoch, bool) {
+// lapsedEpoch returns the epoch of the tail, and whether there is a tail whose
+// lease has expired.
+func (s *replicaSlot) lapsedEpoch(now time.Time) (identity.Epoch, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.replica.epoch, s.replica.Bytes() > 0 && s.replica.Remaining(now) == 0
@@ -44,7 +45,7 @@
 
 // Register adds the journal's messages and handlers to registry.
 func (m *Manager) Register(registry *peer.Registry) {
-	registry.Add(messageMakers...)
+	registry.Add(messageConstructors...)
 	for _, kind := range []peer.Kind{
 		kindAppend, kindRenew, kindPreVote, kindPromise, kindHandOver, kindClaimNow, kindRelease,
 	} {
@@ -52,29 +53,28 @@
 	}
 }
 
-// handle answers one request of another node, or of this one.
+// handle serves one request, from another node or from this one.
 func (m *Manager) handle(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 	switch request := request.(type) {
-	case *appendMessage:
+	case *appendRequest:
 		return m.handleAppend(request)
-	case *renewMessage:
+	case *renewRequest:
 		return m.handleRenew(request)
-	case *preVoteMessage:
+	case *preVoteRequest:
 		return m.handlePreVote(request)
-	case *promiseMessage:
+	case *promiseRequest:
 		return m.handlePromise(request, sendPart)
-	case *releaseMessage:
+	case *releaseRequest:
 		return m.handleRelease(request)
-	case *handOverMessage:
+	case *handOverRequest:
 		return m.handleHandOver(ctx, request)
-	case *claimNowMessage:
+	case *claimNowRequest:
 		return m.handleClaimNow(request)
 	}
 	return nil, fmt.Errorf("journal: unexpected message kind %d", request.Kind())
 }
 
-// replica returns the slot of shard, with an error for a shard that this site
-// does not have.
+// replica returns the slot of shard, or an error if the number is out of range.
 func (m *Manager) replica(shard identity.ShardID) (*replicaSlot, error) {
 	if int(shard) >= len(m.replicas) {
 		return nil, fmt.Errorf("journal: shard %d of %d", shard, len(m.replicas))
@@ -82,28 +82,28 @@
 	return &m.replicas[shard], nil
 }
 
-func (m *Manager) handleAppend(request *appendMessage) (peer.Message, error) {
+func (m *Manager) handleAppend(request *appendRequest) (peer.Message, error) {
 	slot, err := m.replica(request.Shard)
 	if err != nil {
 		return nil, err
 	}
 	if request.To != m.config.Self.Reference() {
-		return &appendAnswer{Answer: WriteAnswer{Refusal: OtherLife}}, nil
+		return &appendResponse{Response: WriteResponse{Status: OtherIncarnation}}, nil
 	}
 	slot.mutex.Lock()
 	answer := slot.replica.Append(request.Write)
 	slot.mutex.Unlock()
-	if answer.Refusal == Fenced {
+	if answer.Status == Fenced {
 		m.counters.fenced.Add(1)
 	}
-	return &appendAnswer{Answer: answer}, nil
+	return &appendResponse{Response: answer}, nil
 }
 
-func (m *Manager) handleRenew(request *renewMessage) (peer.Message, error) {
+func (m *Manager) handleRenew(request *renewRequest) (peer.Message, error) {
 	if request.To != m.config.Self.Reference() {
-		return &renewAnswer{OtherLife: true}, nil
+		return &renewResponse{OtherIncarnation: true}, nil
 	}
-	answer := &renewAnswer{}
+	answer := &renewResponse{}
 	for _, renewal := range request.Renewals {
 		slot, err := m.replica(renewal.Shard)
 		if err != nil {
@@ -120,41 +120,41 @@
 	return answer, nil
 }
 
-// formerGrants returns how long a lease that a former life of this node granted
-// may still run: that life ended before this one began.
-func (m *Manager) formerGrants() time.Duration {
+// formerLeaseRemaining returns how long a lease that an earlier incarnation of this
+// node granted may still be valid; that incarnation ended before this one started.
+func (m *Manager) formerLeaseRemaining() time.Duration {
 	return max(m.config.Lease.Hold()-time.Since(m.start), 0)
 }
 
-func (m *Manager) handlePreVote(request *preVoteMessage) (peer.Message, error) {
+func (m *Manager) handlePreVote(request *preVoteRequest) (peer.Message, error) {
 	slot, err := m.replica(request.Shard)
 	if err != nil {
 		return nil, err
 	}
 	if request.To != m.config.Self.Reference() {
-		return &preVoteAnswer{OtherLife: true, Remaining: m.formerGrants()}, nil
+		return &preVoteResponse{OtherIncarnation: true, Remaining: m.formerLeaseRemaining()}, nil
 	}
 	slot.mutex.Lock()
 	defer slot.mutex.Unlock()
-	return &preVoteAnswer{
-		Remaining: slot.replica.Remaining(time.Now()),
-		Promised:  slot.replica.Promised(),
-		Term:      slot.replica.term,
-		Armed:     slot.replica.isArmed(),
-		Claim:     slot.replica.claim,
+	return &preVoteResponse{
+		Remaining:  slot.replica.Remaining(time.Now()),
+		Promised:   slot.replica.Promised(),
+		Term:       slot.replica.term,
+		Authorized: slot.replica.authorizesInterim(),
+		Claim:      slot.replica.claim,
 	}, nil
 }
 
-// promisePartBytes is the size of one piece of a tail.
+// promisePartBytes is the maximum size of one part of an encoded tail.
 const promisePartBytes = 256 << 10
 
-func (m *Manager) handlePromise(request *promiseMessage, sendPart func(peer.Message) error) (peer.Message, error) {
+func (m *Manager) handlePromise(request *promiseRequest, sendPart func(peer.Message) error) (peer.Message, error) {
 	slot, err := m.replica(request.Shard)
 	if err != nil {
 		return nil, err
 	}
 	if request.To != m.config.Self.Reference() {
-		return &promiseAnswer{Refusal: OtherLife, Remaining: m.formerGrants()}, nil
+		return &promiseResponse{Status: OtherIncarnation, Remaining: m.formerLeaseRemaining()}, nil
 	}
 	slot.mutex.Lock()
 	var promise Promise
@@ -173,8 +173,8 @@
 		}
 		rest = rest[size:]
 	}
-	return &promiseAnswer{
-		Refusal:   promise.Refusal,
+	return &promiseResponse{
+		Status:    promise.Status,
 		Promised:  promise.Promised,
 		Remaining: promise.Remaining,
 		TailEpoch: promise.TailEpoch,
@@ -182,7 +182,7 @@
 	}, nil
 }
 
-func (m *Manager) handleRelease(request *releaseMessage) (peer.Message, error) {
+func (m *Manager) handleRelease(request *releaseRequest) (peer.Message, error) {
 	slot, err := m.replica(request.Shard)
 	if err != nil {
 		return nil, err
--- a/internal/journal/health.go
+++ b/internal/journal/health.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// logHealth is this node's view of whether the log service answers. Writers that
-// meet an outage wait here, so that one probe asks for all of them.
+// logHealth is this node's view of whether the log is available. During an outage
+// writers wait here while a single probe checks the log for all of them.
 type logHealth struct {
 	mutex sync.Mutex
 	down  bool
@@ -24,14 +24,14 @@
 	return h.down
 }
 
-// isAway tells whether the log has been down for at least patience.
-func (h *logHealth) isAway(patience time.Duration) bool {
+// isDownFor reports whether the log has been unavailable for at least minimum.
+func (h *logHealth) isDownFor(minimum time.Duration) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.down && time.Since(h.since) >= patience
+	return h.down && time.Since(h.since) >= minimum
 }
 
-// set stores the state and tells whether it changed.
+// set stores the state and reports whether it changed.
 func (h *logHealth) set(down bool) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -50,7 +50,7 @@
 	return h.down, h.changed
 }
 
-// await waits until the log is down or up as wanted.
+// await waits until the log is down or up, as given by wanted.
 func (h *logHealth) await(ctx context.Context, wanted bool) error {
 	for {
 		down, changed := h.watch()
--- a/internal/journal/interim.go
+++ b/internal/journal/interim.go
@@ -10,28 +10,28 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// errInterimOver is why an interim ownership ends: the log is back.
-var errInterimOver = errors.New("journal: the log is back")
+// errLogRecovered ends an interim ownership once the log is available.
+var errLogRecovered = errors.New("journal: the log is back")
 
-// takeShard takes the shard over by a claim in the log or, while the log is away,
-// as its interim owner.
-func (m *Manager) takeShard(ctx context.Context, shard identity.ShardID) error {
-	if m.logAway() {
+// acquireShard takes the shard over by a claim in the log or, during an outage of
+// the log, as its interim owner.
+func (m *Manager) acquireShard(ctx context.Context, shard identity.ShardID) error {
+	if m.interimAllowed() {
 		return m.claimInterim(ctx, shard)
 	}
 	return m.claim(ctx, shard)
 }
 
-// claimInterim takes a shard over whose owner died while the log is away. Epoch
-// and replicas stay those of the claim in the log; a term ranks the owners in it.
-// A write quorum of the replicas must have leave for that from the owner, hold a
-// whole state, and promise: the owner and all lower terms are fenced from then on,
-// and any claim in the log ranks above all terms.
+// claimInterim takes over a shard whose owner died while the log is unavailable.
+// Epoch and replicas stay those of the claim in the log; terms order the owners
+// within the epoch. A write quorum of the replicas must have a full state with the
+// owner's authorization, and must promise the term. They then reject the owner and
+// all lower terms. Any later claim in the log supersedes all terms.
 func (m *Manager) claimInterim(ctx context.Context, shard identity.ShardID) error {
 	ctx, cancel := context.WithTimeout(ctx, m.config.ClaimTimeout)
 	defer cancel()
 	c := &claimant{manager: m, shard: shard, machine: m.config.Host.NewStateMachine(shard)}
-	claim, err := c.findArmed(ctx)
+	claim, err := c.findAuthorization(ctx)
 	if err != nil {
 		return err
 	}
@@ -39,14 +39,14 @@
 	if err != nil {
 		return err
 	}
-	answers := c.ask(claim, func(node identity.Node) (answer, error) {
-		return c.askPromise(ctx, node, &promiseMessage{
+	answers := c.queryReplicas(claim, func(node identity.Node) (replicaResponse, error) {
+		return c.requestPromise(ctx, node, &promiseRequest{
 			Epoch: claim.Epoch, Term: term, Claimant: m.config.Self.Reference(),
 		}, claim)
 	})
 	promised := 0
 	for _, answer := range answers {
-		if answer.held {
+		if answer.hasTail {
 			promised++
 		}
 	}
@@ -54,50 +54,50 @@
 		return fmt.Errorf("%w: %d of %d promised term %d", errNoQuorum, promised, len(claim.Replicas), term)
 	}
 	tail, remaining := newestTail(answers)
-	if !tail.Folded {
+	if !tail.Compacted {
 		return errTailGap
 	}
 	if err := wait.For(ctx, remaining); err != nil {
 		return err
 	}
-	if err := c.fold(Step{Restored: true, State: tail.State, Entries: tail.Entries}); err != nil {
+	if err := c.apply(Effect{Restore: true, State: tail.State, Entries: tail.Entries}); err != nil {
 		return err
 	}
 	return m.openInterim(c, claim, term, tail)
 }
 
-// askVote asks one replica what it would promise.
-func (c *claimant) askVote(ctx context.Context, node identity.Node) (answer, error) {
-	message, err := c.manager.call(ctx, node, &preVoteMessage{To: node.Reference(), Shard: c.shard}, nil)
+// requestVote queries one replica for what it would promise.
+func (c *claimant) requestVote(ctx context.Context, node identity.Node) (replicaResponse, error) {
+	message, err := c.manager.call(ctx, node, &preVoteRequest{To: node.Reference(), Shard: c.shard}, nil)
 	if err != nil {
-		return answer{}, err
+		return replicaResponse{}, err
 	}
-	vote, fits := message.(*preVoteAnswer)
+	vote, fits := message.(*preVoteResponse)
 	if !fits {
-		return answer{}, errUnexpectedAnswer
+		return replicaResponse{}, errUnexpectedResponse
 	}
-	return answer{gone: vote.OtherLife, remaining: vote.Remaining, vote: vote}, nil
+	return replicaResponse{restarted: vote.OtherIncarnation, remaining: vote.Remaining, vote: vote}, nil
 }
 
-// findArmed returns the claim under which a replica would promise an interim
-// ownership. It asks where the tail should be, and where it was when the log was
-// last read.
-func (c *claimant) findArmed(ctx context.Context) (Claim, error) {
+// findAuthorization returns the newest claim for which a replica would promise an
+// interim takeover. It queries the desired replicas and those of the claim last
+// read from the log.
+func (c *claimant) findAuthorization(ctx context.Context) (Claim, error) {
 	m := c.manager
 	slot := &m.slots[c.shard]
 	slot.mutex.Lock()
-	likely := Claim{Replicas: append([]identity.Node{m.config.Self}, slot.known.Replicas...)}
+	likely := Claim{Replicas: append([]identity.Node{m.config.Self}, slot.latestClaim.Replicas...)}
 	slot.mutex.Unlock()
 	if assignment, placed := m.desired(c.shard); placed {
 		for _, replica := range assignment.Replicas {
-			if !holdsLife(likely.Replicas, replica) {
+			if !containsIncarnation(likely.Replicas, replica) {
 				likely.Replicas = append(likely.Replicas, replica)
 			}
 		}
 	}
 	var newest Claim
-	for _, answer := range c.ask(likely, func(node identity.Node) (answer, error) { return c.askVote(ctx, node) }) {
-		if answer.vote != nil && answer.vote.Armed && answer.vote.Claim.Epoch > newest.Epoch {
+	for _, answer := range c.queryReplicas(likely, func(node identity.Node) (replicaResponse, error) { return c.requestVote(ctx, node) }) {
+		if answer.vote != nil && answer.vote.Authorized && answer.vote.Claim.Epoch > newest.Epoch {
 			newest = answer.vote.Claim
 		}
 	}
@@ -107,15 +107,15 @@
 	return newest, nil
 }
 
-// preVoteInterim returns the term to ask for, once a write quorum of the replicas
-// would promise it and grants nobody a lease.
+// preVoteInterim returns the term to request, once a write quorum of the replicas
+// would promise it and none of these has granted a lease that is still valid.
 func (c *claimant) preVoteInterim(ctx context.Context, claim Claim) (uint64, error) {
 	var term uint64
 	var remaining time.Duration
 	willing := 0
-	for _, answer := range c.ask(claim, func(node identity.Node) (answer, error) { return c.askVote(ctx, node) }) {
+	for _, answer := range c.queryReplicas(claim, func(node identity.Node) (replicaResponse, error) { return c.requestVote(ctx, node) }) {
 		vote := answer.vote
-		if vote == nil || !vote.Armed || vote.Claim.Epoch != claim.Epoch {
+		if vote == nil || !vote.Authorized || vote.Claim.Epoch != claim.Epoch {
 			continue
 		}
 		term = max(term, vote.Term)
@@ -131,24 +131,24 @@
 	return term + 1, nil
 }
 
-// openInterim serves the shard once a write quorum holds what was recovered, since
-// the next owner must find all that an answer was built on.
+// openInterim serves the shard once a write quorum has the recovered tail, since
+// the next owner must find every record that a response was based on.
 func (m *Manager) openInterim(c *claimant, claim Claim, term uint64, tail Tail) error {
 	claim.Owner = m.config.Self
 	shard := m.newOwnedShard(c.shard, claim, tail.After, c.machine)
 	shard.term, shard.tail = term, tail
-	shard.arming, shard.settled = m.armings.Add(1), false
+	shard.authorization, shard.revocationConfirmed = m.authorizations.Add(1), false
 	shard.committed, shard.logged = 0, 0
 	slot := &m.slots[c.shard]
 	slot.mutex.Lock()
 	slot.owned = shard
 	slot.mutex.Unlock()
 	m.renew(m.running, []*ownedShard{shard})
-	m.tasks.Go(shard.awaitLog)
+	m.tasks.Go(shard.awaitLogRecovery)
 	shard.mutex.Lock()
-	shard.kickLinks()
+	shard.startSenders()
 	shard.mutex.Unlock()
-	if err := shard.awaitHeld(tail.Last()); err != nil {
+	if err := shard.awaitReplicated(tail.Last()); err != nil {
 		return err
 	}
 	if err := shard.awaitLease(m.running); err != nil {
@@ -160,11 +160,11 @@
 	return nil
 }
 
-// awaitHeld waits until a write quorum holds all up to index.
-func (s *ownedShard) awaitHeld(index uint64) error {
+// awaitReplicated waits until a write quorum has all records up to index.
+func (s *ownedShard) awaitReplicated(index uint64) error {
 	for {
 		s.mutex.Lock()
-		held, gone := s.heldByQuorum(), s.gone
+		held, gone := s.replicatedByQuorum(), s.lossReason
 		s.mutex.Unlock()
 		if gone != nil {
 			return gone
@@ -178,16 +178,17 @@
 	}
 }
 
-// awaitLog is the writer of an interim owner: it writes nothing, and steps down
-// when the log is back, so that a claim there recovers its tail like any other.
-func (s *ownedShard) awaitLog() {
+// awaitLogRecovery is the writer of an interim owner: it appends nothing, and steps
+// down once the log is available, so that a claim in the log recovers its tail like
+// any other.
+func (s *ownedShard) awaitLogRecovery() {
 	for {
 		select {
 		case <-s.wakeWriter:
 		case <-s.ctx.Done():
 			return
 		}
-		if s.takeContest() && s.isFenced() {
+		if s.takeContested() && s.isFenced() {
 			s.lose(errFenced)
 			return
 		}
@@ -198,10 +199,11 @@
 	}
 }
 
-// stepDown ends an interim ownership and lets the next owner claim at once.
+// stepDown ends an interim ownership and notifies the next owner, which can claim
+// at once.
 func (s *ownedShard) stepDown() {
 	m := s.manager
-	s.lose(errInterimOver)
+	s.lose(errLogRecovered)
 	m.releaseLeases(s)
-	m.tasks.Go(func() { m.tellNext(m.running, s.id) })
+	m.tasks.Go(func() { m.notifyNextOwner(m.running, s.id) })
 }
--- a/internal/journal/interim_test.go
+++ b/internal/journal/interim_test.go
@@ -17,11 +17,11 @@
 	"stepseam.example/stepseam/internal/peer"
 )
 
-// interimBound is how long a shard may be without an owner after a death in an
-// outage: the lease, the look at it, and a claim.
+// interimBound bounds how long a shard may be without an owner after a crash during
+// an outage: the lease, its detection, and a claim.
 const interimBound = 5 * time.Second
 
-// changing lets change work on every request to a replica before it is handled.
+// changing applies change to each request to a replica before it is handled.
 func changing(change func(node *testNode, request peer.Message)) func(*testNode, peer.HandlerFunc) peer.HandlerFunc {
 	return func(node *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 		return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
@@ -31,14 +31,16 @@
 	}
 }
 
-// unarmed lets replicas get no whole state for an interim owner.
+// unarmed drops the authorization from writes, so that replicas have no full state
+// for an interim owner.
 func unarmed(_ *testNode, request peer.Message) {
-	if write, fits := request.(*appendMessage); fits {
-		write.Write.Armed = 0
+	if write, fits := request.(*appendRequest); fits {
+		write.Write.Authorization = 0
 	}
 }
 
-// termless lets replicas take records and renewals below the promised term.
+// termless resets the promised term, so that replicas accept records and renewals
+// below it.
 func termless(node *testNode, request peer.Message) {
 	if request.Kind() != kindAppend && request.Kind() != kindRenew {
 		return
@@ -51,30 +53,30 @@
 	}
 }
 
-// deaf lets replicas confirm that no interim owner may come any more, and forget it.
+// deaf drops revocations, so that replicas confirm them without applying them.
 func deaf(_ *testNode, request peer.Message) {
-	if renew, fits := request.(*renewMessage); fits {
+	if renew, fits := request.(*renewRequest); fits {
 		for i := range renew.Renewals {
-			renew.Renewals[i].Quiet = 0
+			renew.Renewals[i].RevokedThrough = 0
 		}
 	}
 }
 
-// consenting takes a replica that does not answer for one that agrees.
+// consenting treats a renewal without a response as granted.
 type consenting struct{ peer.Client }
 
 func assumeConsent(client peer.Client) peer.Client { return consenting{client} }
 
-// Call answers renewals itself where nobody does.
+// Call grants renewals that fail.
 func (c consenting) Call(ctx context.Context, address netip.AddrPort, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
 	answer, err := c.Client.Call(ctx, address, request, onPart)
 	if err != nil && request.Kind() == kindRenew {
-		return &renewAnswer{}, nil
+		return &renewResponse{}, nil
 	}
 	return answer, err
 }
 
-// takeover waits until another node than former serves shard 0.
+// takeover waits until a node other than former serves shard 0.
 func (s *testSite) takeover(former *testNode) (time.Duration, error) {
 	began := time.Now()
 	for time.Since(began) < interimBound {
@@ -86,8 +88,8 @@
 	return 0, fmt.Errorf("shard 0 is not served %v after its owner's death in an outage", interimBound)
 }
 
-// killInOutage kills the owner while the log is away, brings it back with nothing,
-// and kills the owner that took its place.
+// killInOutage kills the owner while the log is unavailable, restarts it with empty
+// memory, and kills the owner that replaced it.
 func killInOutage(site *testSite) error {
 	owners := site.watchOwners()
 	load := site.load(0)
@@ -112,8 +114,8 @@
 	return errors.Join(site.settle(), load.check(), owners(), site.checkLog(0))
 }
 
-// freezeInOutage freezes the owner past its lease while the log is away, and wakes
-// it up between its look at the lease and what it does then.
+// freezeInOutage pauses the owner's process past its lease while the log is
+// unavailable, between its lease check and the action that depends on it.
 func freezeInOutage(site *testSite) error {
 	owner := site.serving(0)
 	open := owner.host.open(0)
@@ -138,9 +140,9 @@
 	return errors.Join(site.settle(), load.check(), site.checkLog(0))
 }
 
-// dieAfterOutage lets the owner come through an outage, acknowledge records that
-// the log holds and the replicas lack, and die as the next outage begins: whole
-// states of the first one must not be taken for the present.
+// dieAfterOutage lets the owner survive an outage, acknowledge records that are in
+// the log but not at the replicas, and die as the next outage begins. Full states
+// from the first outage must not be used in the second.
 func dieAfterOutage(site *testSite) error {
 	owners := site.watchOwners()
 	load := site.load(0)
@@ -159,15 +161,15 @@
 	return errors.Join(site.settle(), load.check(), owners(), site.checkLog(0))
 }
 
-// wholeState returns the last record of the state that the shard was armed with.
+// wholeState returns the last record of the full state that the replicas have.
 func (s *ownedShard) wholeState() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.tail.After
 }
 
-// ownerSeesLog cuts the owner off from its peers in an outage that ends for it
-// alone: it must not bring anything to the log that an interim owner may lack.
+// ownerSeesLog partitions the owner from its peers in an outage that ends for it
+// alone. It must not append records to the log that an interim owner may not have.
 func ownerSeesLog(site *testSite) error {
 	owners := site.watchOwners()
 	load := site.load(0)
@@ -197,8 +199,8 @@
 	return errors.Join(err, site.settle(), load.check(), owners(), site.checkLog(0))
 }
 
-// TestNoWholeStateNoOwner kills an owner before it could leave a whole state with
-// its replicas: nobody may serve the shard before the log is back.
+// TestNoWholeStateNoOwner kills an owner before its replicas have a full state: the
+// shard must not be served until the log is available.
 func TestNoWholeStateNoOwner(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
@@ -219,9 +221,9 @@
 	}
 }
 
-// TestOutageOfSmallSites kills the owner in an outage of sites whose owners count as
-// replicas: of three nodes the other two go on, of two the one may not.
-func TestOutageOfSmallSites(t *testing.T) {
+// TestInterimTakeoverOnSmallSites kills the owner during an outage on sites where it
+// is also a replica: two of three nodes may continue, one of two may not.
+func TestInterimTakeoverOnSmallSites(t *testing.T) {
 	t.Parallel()
 	for nodes, served := range map[int]bool{3: true, 2: false} {
 		err := scenario(t, variant{}, nodes, func(site *testSite) error {
@@ -246,9 +248,9 @@
 	}
 }
 
-// TestReplicaKeepsInterimPromises draws messages of an owner and of interim owners,
-// late and repeated ones among them: what was promised a term stays refused below
-// it, and no term is promised from a state that the owner took back.
+// TestReplicaKeepsInterimPromises sends random messages of an owner and of interim
+// owners, some late or duplicated. After a term is promised, lower terms must be
+// rejected, and no term may be promised from a revoked state.
 func TestReplicaKeepsInterimPromises(t *testing.T) {
 	owner := identity.Reference{Name: "n0", Incarnation: 1}
 	terms := LeaseTerms{Duration: time.Second, Drift: time.Second / 10}
@@ -264,12 +266,12 @@
 			switch rapid.IntRange(0, 3).Draw(rt, "step") {
 			case 0:
 				answer := replica.Append(Write{
-					Epoch: 1, TailFrom: 1, Owner: owner, Whole: true, Armed: number, Claim: Claim{Epoch: 1},
-					Tail: Tail{After: number, Folded: true, State: []byte{byte(number)}},
+					Epoch: 1, TailFrom: 1, Owner: owner, Full: true, Authorization: number, Claim: Claim{Epoch: 1},
+					Tail: Tail{After: number, Compacted: true, State: []byte{byte(number)}},
 				})
-				is.Equal(answer.Refusal == Fenced, promised > 0)
+				is.Equal(answer.Status == Fenced, promised > 0)
 			case 1:
-				refusal := replica.Renew(time.Time{}, owner, Renewal{Epoch: 1, Quiet: number}, terms)
+				refusal := replica.Renew(time.Time{}, owner, Renewal{Epoch: 1, RevokedThrough: number}, terms)
 				is.Equal(refusal == Fenced, promised > 0)
 				if refusal == Granted {
 					confirmed = max(confirmed, number)
@@ -283,9 +285,9 @@
 					promised, claimant = term, rival
 				}
 			case 3:
-				armed := replica.armed
+				armed := replica.authorization
 				answer := replica.PromiseInterim(time.Time{}, 1, term, rival)
-				if answer.Refusal != Granted {
+				if answer.Status != Granted {
 					continue
 				}
 				is.True(armed > confirmed)
@@ -296,9 +298,9 @@
 	})
 }
 
-// TestArmingEndsWithTheOutage lets an idle shard come through an outage: its
-// replicas hold a whole state in it, and nothing after it.
-func TestArmingEndsWithTheOutage(t *testing.T) {
+// TestAuthorizationRevokedAfterOutage checks that replicas of an idle shard have an
+// authorized full state during an outage and none after it.
+func TestAuthorizationRevokedAfterOutage(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
 		if err := site.serving(0).host.open(0).add(context.Background(), 1, false); err != nil {
@@ -309,7 +311,7 @@
 			for _, node := range site.all() {
 				slot := &node.manager.replicas[0]
 				slot.mutex.Lock()
-				if slot.replica.isArmed() {
+				if slot.replica.authorizesInterim() {
 					count++
 				}
 				slot.mutex.Unlock()
--- a/internal/journal/ledger.go
+++ b/internal/journal/ledger.go
@@ -5,191 +5,191 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// Verdict is what log order makes of one record.
+// Verdict is the outcome of one record according to log order.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Valid records count.
+	// Valid records take effect.
 	Valid Verdict = iota + 1
-	// Repeated records stand in the log more than once; the first one counts.
-	Repeated
-	// Void records stand behind a higher claim, or lost a race.
-	Void
-	// Damaged records cannot be read or do not fit; they are passed over.
-	Damaged
+	// Duplicate records occur in the log more than once; the first copy counts.
+	Duplicate
+	// Superseded records follow a higher claim, or lost a race.
+	Superseded
+	// Corrupt records cannot be decoded or are inconsistent; they are skipped.
+	Corrupt
 )
 
-// Step is what one record changes in the shard's state.
-type Step struct {
+// Effect is what one record changes in the shard's state.
+type Effect struct {
 	Verdict Verdict
 	Record  Record
-	// Restored is true where the state is to be replaced by State.
-	Restored bool
-	State    []byte
-	// Entries are to be applied, after State.
+	// Restore is true if State replaces the state.
+	Restore bool
+	State   []byte
+	// Entries are applied in order, after State.
 	Entries [][]byte
 }
 
-// Ledger folds the log stream of one shard in offset order. All readers that
-// fold the same stream agree on every verdict. It is pure and not safe for
-// concurrent use.
+// Ledger is the state of one shard's log stream, built by applying its records in
+// offset order. All readers of the same stream get the same verdicts. It does no
+// I/O and is not safe for concurrent use.
 type Ledger struct {
 	shard identity.ShardID
 	next  siteservices.Offset
-	// adopt is true while the fold waits for the snapshot that it starts at.
-	adopt    bool
-	base     siteservices.Offset
-	current  Claim
-	active   Claim
-	released bool
-	index    uint64
-	// verdicts holds the records read since base by id.
+	// awaitingSnapshot is true until the snapshot at base is applied.
+	awaitingSnapshot bool
+	base             siteservices.Offset
+	current          Claim
+	active           Claim
+	released         bool
+	index            uint64
+	// verdicts has the records applied since base, by id.
 	verdicts map[RecordID]Verdict
 }
 
-// NewLedger returns the fold of shard's stream from base on: 0, or the offset of
-// a valid snapshot.
+// NewLedger returns the initial state for reading shard's stream from base: 0, or
+// the offset of a valid snapshot.
 func NewLedger(shard identity.ShardID, base siteservices.Offset) *Ledger {
 	return &Ledger{
-		shard: shard, next: base, base: base, adopt: base > 0,
+		shard: shard, next: base, base: base, awaitingSnapshot: base > 0,
 		verdicts: map[RecordID]Verdict{},
 	}
 }
 
-// Next returns the offset of the next record to fold.
+// Next returns the offset of the next record to apply.
 func (l *Ledger) Next() siteservices.Offset { return l.next }
 
-// Base returns the offset to start the next fold from.
+// Base returns the offset from which a new reader can start.
 func (l *Ledger) Base() siteservices.Offset { return l.base }
 
 // Current returns the highest valid claim, activated or not.
 func (l *Ledger) Current() Claim { return l.current }
 
-// Active returns the last activated claim; its replicas hold the tail.
+// Active returns the last activated claim; its replicas have the tail.
 func (l *Ledger) Active() Claim { return l.active }
 
-// Released tells whether the owner of Active stopped with all records in the log.
+// Released reports whether the owner of Active stopped with all records in the log.
 func (l *Ledger) Released() bool { return l.released }
 
-// Index returns the last state machine record that the log holds.
+// Index returns the index of the last state machine record in the log.
 func (l *Ledger) Index() uint64 { return l.index }
 
-// Verdict returns what was made of the record id, if it was met since Base.
+// Verdict returns the verdict on record id, if it was applied since Base.
 func (l *Ledger) Verdict(id RecordID) (Verdict, bool) {
 	verdict, found := l.verdicts[id]
 	return verdict, found
 }
 
-// Apply folds the record at Next.
-func (l *Ledger) Apply(raw []byte) Step {
+// Apply applies the record at Next.
+func (l *Ledger) Apply(raw []byte) Effect {
 	offset := l.next
 	l.next++
 	record, err := DecodeRecord(raw)
 	if err != nil || record.Shard != l.shard {
-		return Step{Verdict: Damaged}
+		return Effect{Verdict: Corrupt}
 	}
 	if _, met := l.verdicts[record.ID]; met {
-		return Step{Verdict: Repeated, Record: record}
+		return Effect{Verdict: Duplicate, Record: record}
 	}
-	step := l.fold(offset, record)
+	step := l.applyRecord(offset, record)
 	step.Record = record
 	l.verdicts[record.ID] = step.Verdict
 	return step
 }
 
-func (l *Ledger) fold(offset siteservices.Offset, record Record) Step {
-	if l.adopt {
-		return l.foldBase(offset, record)
+func (l *Ledger) applyRecord(offset siteservices.Offset, record Record) Effect {
+	if l.awaitingSnapshot {
+		return l.applyBase(offset, record)
 	}
 	if record.Kind == ClaimRecord {
-		return l.foldClaim(record)
+		return l.applyClaim(record)
 	}
 	if record.Epoch != l.current.Epoch || l.isReleased() {
-		return Step{Verdict: Void}
+		return Effect{Verdict: Superseded}
 	}
 	switch record.Kind {
 	case BatchRecord:
-		return l.foldBatch(record)
+		return l.applyBatch(record)
 	case SnapshotRecord:
-		return l.foldSnapshot(offset, record)
+		return l.applySnapshot(offset, record)
 	case ActivatedRecord:
-		return l.foldActivated(record)
+		return l.applyActivated(record)
 	case ReleasedRecord:
-		return l.foldReleased(record)
+		return l.applyReleased(record)
 	}
-	return Step{Verdict: Damaged}
+	return Effect{Verdict: Corrupt}
 }
 
-// isReleased tells whether the standing claim itself was released.
+// isReleased reports whether the current claim was released.
 func (l *Ledger) isReleased() bool {
 	return l.released && l.active.Epoch == l.current.Epoch
 }
 
-// foldBase adopts the snapshot that the fold starts at. Whoever named the offset
-// as a base had read it back as valid.
-func (l *Ledger) foldBase(offset siteservices.Offset, record Record) Step {
+// applyBase restores the snapshot at which reading started. The writer that named
+// the offset as a base had read it back as valid.
+func (l *Ledger) applyBase(offset siteservices.Offset, record Record) Effect {
 	if record.Kind != SnapshotRecord {
-		return Step{Verdict: Damaged}
+		return Effect{Verdict: Corrupt}
 	}
-	l.adopt = false
+	l.awaitingSnapshot = false
 	l.current, l.active = record.Claim, record.Active
 	l.base, l.index = offset, record.Index
-	return Step{Verdict: Valid, Restored: true, State: record.State}
+	return Effect{Verdict: Valid, Restore: true, State: record.State}
 }
 
-func (l *Ledger) foldClaim(record Record) Step {
+func (l *Ledger) applyClaim(record Record) Effect {
 	if record.Epoch != record.Claim.Epoch || len(record.Claim.Replicas) == 0 {
-		return Step{Verdict: Damaged}
+		return Effect{Verdict: Corrupt}
 	}
 	if record.Epoch != l.current.Epoch+1 {
-		return Step{Verdict: Void}
+		return Effect{Verdict: Superseded}
 	}
 	l.current = record.Claim
-	return Step{Verdict: Valid}
+	return Effect{Verdict: Valid}
 }
 
-func (l *Ledger) foldBatch(record Record) Step {
+func (l *Ledger) applyBatch(record Record) Effect {
 	if record.Index > l.index {
-		return Step{Verdict: Damaged}
+		return Effect{Verdict: Corrupt}
 	}
 	known := l.index - record.Index
 	if known >= uint64(len(record.Entries)) {
-		return Step{Verdict: Valid}
+		return Effect{Verdict: Valid}
 	}
 	fresh := record.Entries[known:]
 	l.index += uint64(len(fresh))
-	return Step{Verdict: Valid, Entries: fresh}
+	return Effect{Verdict: Valid, Entries: fresh}
 }
 
-func (l *Ledger) foldSnapshot(offset siteservices.Offset, record Record) Step {
+func (l *Ledger) applySnapshot(offset siteservices.Offset, record Record) Effect {
 	if record.Index < l.index {
-		return Step{Verdict: Void}
+		return Effect{Verdict: Superseded}
 	}
 	restored := record.Index > l.index
 	l.index, l.base = record.Index, offset
 	clear(l.verdicts)
 	if !restored {
-		return Step{Verdict: Valid}
+		return Effect{Verdict: Valid}
 	}
-	return Step{Verdict: Valid, Restored: true, State: record.State}
+	return Effect{Verdict: Valid, Restore: true, State: record.State}
 }
 
-func (l *Ledger) foldActivated(record Record) Step {
+func (l *Ledger) applyActivated(record Record) Effect {
 	if record.Owner != l.current.Owner.Reference() {
-		return Step{Verdict: Void}
+		return Effect{Verdict: Superseded}
 	}
 	if l.active.Epoch == l.current.Epoch {
-		return Step{Verdict: Valid}
+		return Effect{Verdict: Valid}
 	}
 	l.active, l.released = l.current, false
-	return Step{Verdict: Valid}
+	return Effect{Verdict: Valid}
 }
 
-func (l *Ledger) foldReleased(record Record) Step {
+func (l *Ledger) applyReleased(record Record) Effect {
 	if l.active.Epoch != l.current.Epoch || record.Index != l.index {
-		return Step{Verdict: Damaged}
+		return Effect{Verdict: Corrupt}
 	}
 	l.released = true
-	return Step{Verdict: Valid}
+	return Effect{Verdict: Valid}
 }
--- a/internal/journal/ledger_test.go
+++ b/internal/journal/ledger_test.go
@@ -11,25 +11,25 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// logModel is a log stream with writers that race: each believes what it last
-// read, appends may land once, twice, late or never.
+// logModel is a log stream with racing writers: each acts on what it last read, and
+// appends may be written once, twice, late or never.
 type logModel struct {
 	records [][]byte
 	delayed [][]byte
 	writers []*logWriter
 	ids     uint64
-	// accepted holds, per epoch, the owner that the stream's order chose.
+	// accepted is the owner of each epoch according to the stream's order.
 	accepted map[identity.Epoch]identity.NodeName
-	// state is what an independent reader makes of the stream.
+	// epoch and state are what an independent reader gets from the stream.
 	epoch identity.Epoch
 	state []byte
 }
 
-// logWriter is one node that folds the stream up to where it read.
+// logWriter is one node that has applied a prefix of the stream.
 type logWriter struct {
 	node   identity.Node
 	ledger *Ledger
-	// epoch is the claim that it believes to hold; written is its last index there.
+	// epoch is the claim that it takes for its own; written is its last index there.
 	epoch   identity.Epoch
 	written uint64
 }
@@ -50,7 +50,7 @@
 	return RecordID{byte(m.ids >> 16), byte(m.ids >> 8), byte(m.ids)}
 }
 
-// send lets a record land as chance has it.
+// send writes a record with a random outcome.
 func (m *logModel) send(t *rapid.T, record *Record) {
 	raw := record.Encode()
 	switch rapid.SampledFrom([]string{"lands", "lands", "lands", "lost", "late", "twice"}).Draw(t, "fate") {
@@ -64,9 +64,9 @@
 	}
 }
 
-// land appends raw and keeps the model's own book of it: a claim counts if it is
-// one above the highest, a batch if it stands under its writer's own claim and
-// brings records behind those that count already.
+// land appends raw and updates the model's own state: a claim counts if its epoch is
+// one above the highest, a batch if it is under the current claim and has records
+// after those that count already.
 func (m *logModel) land(raw []byte) {
 	m.records = append(m.records, raw)
 	record, _ := DecodeRecord(raw)
@@ -96,7 +96,7 @@
 	return m.writers[rapid.IntRange(0, len(m.writers)-1).Draw(t, "writer")]
 }
 
-// read lets a writer fold some more of the stream.
+// read lets a writer apply more of the stream.
 func (m *logModel) read(t *rapid.T) {
 	w := m.writer(t)
 	count := rapid.IntRange(0, len(m.records)-int(w.ledger.Next())).Draw(t, "count")
@@ -118,8 +118,8 @@
 	})
 }
 
-// batch writes under the claim that the writer believes to hold, also when it is
-// a former owner that has not read on.
+// batch writes under the claim that the writer takes for its own, which may be that
+// of a former owner.
 func (m *logModel) batch(t *rapid.T) {
 	w := m.writer(t)
 	if w.epoch == 0 {
@@ -132,7 +132,7 @@
 		record.Entries = append(record.Entries, entry)
 	}
 	m.send(t, record)
-	// A careful writer goes on only once it read its record back.
+	// A correct writer continues only after it read its record back.
 	if len(m.records) > 0 && slices.Equal(m.records[len(m.records)-1], record.Encode()) && w.epoch == m.epoch {
 		w.written++
 	}
@@ -156,7 +156,7 @@
 	}
 }
 
-// foldWith folds the stream from base with each record changed by change.
+// foldWith applies the stream from base, with each record modified by change.
 func (m *logModel) foldWith(base siteservices.Offset, change func(*Ledger, *Record)) (*Ledger, []byte) {
 	ledger := NewLedger(0, base)
 	var state []byte
@@ -167,7 +167,7 @@
 			raw = record.Encode()
 		}
 		step := ledger.Apply(raw)
-		if step.Restored {
+		if step.Restore {
 			state = slices.Clone(step.State)
 		}
 		for _, entry := range step.Entries {
@@ -183,8 +183,8 @@
 	}
 }
 
-// compare holds the fold against the model's own book, from the start and from
-// the base that the fold itself names.
+// compare compares the ledger with the model's own state, from the start of the
+// stream and from the base that the ledger reports.
 func (m *logModel) compare(change func(*Ledger, *Record)) error {
 	ledger, state := m.foldWith(0, change)
 	if ledger.Current().Epoch != m.epoch || ledger.Current().Owner.Name != m.accepted[m.epoch] {
@@ -216,9 +216,9 @@
 	})
 }
 
-// TestLedgerWrongVariants shows that the comparison can fail: a fold that takes
-// records of former owners, or claims of any epoch, departs from the model.
-func TestLedgerWrongVariants(t *testing.T) {
+// TestLedgerChecksDetectFaults checks that the comparison detects faulty variants,
+// which accept records of former owners or claims of any epoch.
+func TestLedgerChecksDetectFaults(t *testing.T) {
 	for name, change := range map[string]func(*Ledger, *Record){
 		"no fencing": func(l *Ledger, r *Record) {
 			if r.Kind == BatchRecord {
@@ -246,7 +246,7 @@
 }
 
 // search runs models with random actions until a check fails, and returns the
-// finding, empty if there is none.
+// failure, or an empty string.
 func search(start func() (actions map[string]func(*rapid.T), check func() error)) string {
 	for seed := range 300 {
 		found := rapid.Custom(func(t *rapid.T) string {
--- a/internal/journal/link.go
+++ b/internal/journal/link.go
@@ -9,32 +9,33 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// link is what the owner knows of one replica of one shard. The shard's mutex
-// guards it.
+// link is the owner's view of one replica of one shard. The shard's mutex guards
+// it.
 type link struct {
 	node identity.Node
-	// match is the last record that the replica is known to hold.
+	// match is the index of the last record that the replica confirmed.
 	match uint64
-	// generation is that of the whole tail which the replica took last; 0 if it
-	// took none in this ownership.
+	// generation is that of the last full tail that the replica accepted; 0 if it
+	// accepted none from this owner.
 	generation uint64
 	// sending is true while a goroutine sends to the replica.
 	sending bool
-	// granted is when the last renewal was sent that the replica granted.
+	// granted is when the latest renewal that the replica granted was sent.
 	granted time.Time
-	// fenced is the epoch that the replica has promised to another claim.
-	fenced identity.Epoch
-	// quiet is the highest Renewal.Quiet that the replica took.
-	quiet uint64
-	// gone tells that the replica's process restarted: this copy is no more.
-	gone bool
+	// promised is the epoch that the replica promised to another claim.
+	promised identity.Epoch
+	// revokedThrough is the highest Renewal.RevokedThrough that the replica confirmed.
+	revokedThrough uint64
+	// restarted is true if the replica's process restarted and lost its tail.
+	restarted bool
 }
 
-// errFenced is why a shard is lost whose replicas promised a higher epoch.
+// errFenced reports that a shard was lost because its replicas promised a higher
+// epoch.
 var errFenced = errors.New("journal: replicas promised a higher epoch")
 
-// addLinks makes links to the replicas that have none. The caller holds mutex,
-// or has the shard for itself.
+// addLinks adds links to the replicas that have none. The caller holds mutex or has
+// exclusive access to the shard.
 func (s *ownedShard) addLinks(replicas []identity.Node) {
 	for _, replica := range replicas {
 		if s.links[replica.Reference()] == nil {
@@ -43,43 +44,42 @@
 	}
 }
 
-// kickLinks starts a sender for each replica that lacks something and has none.
-// One message is under way to a replica at a time; records that come meanwhile
-// gather for the next, so that the size of a group follows the load. The caller
-// holds mutex.
-func (s *ownedShard) kickLinks() {
+// startSenders starts a sender for each replica that is behind and has none. A
+// replica has at most one request in flight; records enqueued meanwhile form the
+// next batch, so that batch size follows the load. The caller holds mutex.
+func (s *ownedShard) startSenders() {
 	for _, link := range s.links {
-		if !link.sending && s.lacks(link) {
+		if !link.sending && s.isBehind(link) {
 			link.sending = true
 			s.manager.tasks.Go(func() { s.send(link) })
 		}
 	}
 }
 
-// lacks tells whether there is something to send. A replica that took nothing yet
-// needs nothing while the log holds all. The caller holds mutex.
-func (s *ownedShard) lacks(link *link) bool {
-	if s.gone != nil || link.gone || link.fenced > s.claim.Epoch || s.links[link.node.Reference()] != link {
+// isBehind reports whether there is something to send. A replica without records
+// needs none while the log has them all. The caller holds mutex.
+func (s *ownedShard) isBehind(link *link) bool {
+	if s.lossReason != nil || link.restarted || link.promised > s.claim.Epoch || s.links[link.node.Reference()] != link {
 		return false
 	}
-	if len(s.tail.Entries) == 0 && !s.tail.Folded {
+	if len(s.tail.Entries) == 0 && !s.tail.Compacted {
 		link.match = max(link.match, s.tail.After)
 		return false
 	}
 	return link.generation < s.generation || link.match < s.tail.Last()
 }
 
-// The bounds of the pause after a replica did not answer.
+// Bounds of the backoff after a request to a replica failed.
 const (
-	replicaPauseShortest = 20 * time.Millisecond
-	replicaPauseLongest  = time.Second
+	minReplicaBackoff = 20 * time.Millisecond
+	maxReplicaBackoff = time.Second
 )
 
 // send brings one replica up to date and returns.
 func (s *ownedShard) send(link *link) {
 	for failures := 0; ; {
 		s.mutex.Lock()
-		if !s.lacks(link) {
+		if !s.isBehind(link) {
 			link.sending = false
 			s.mutex.Unlock()
 			return
@@ -88,17 +88,17 @@
 		s.mutex.Unlock()
 		answer, err := s.sendWrite(link.node, write)
 		if err != nil {
-			pause := min(replicaPauseShortest<<min(failures, 10), replicaPauseLongest)
+			pause := min(minReplicaBackoff<<min(failures, 10), maxReplicaBackoff)
 			failures++
-			_ = wait.For(s.ctx, pause/2+s.manager.random.duration(pause/2)) // lacks looks at the shard's end
+			_ = wait.For(s.ctx, pause/2+s.manager.random.duration(pause/2)) // isBehind checks whether the shard was lost
 			continue
 		}
 		failures = 0
-		s.takeAnswer(link, write, generation, answer)
+		s.handleWriteResponse(link, write, generation, answer)
 	}
 }
 
-// nextWrite returns what the replica gets next. The caller holds mutex.
+// nextWrite returns the next request to the replica. The caller holds mutex.
 func (s *ownedShard) nextWrite(link *link) Write {
 	write := Write{
 		Epoch: s.claim.Epoch, TailFrom: s.claim.TailFrom,
@@ -106,10 +106,10 @@
 	}
 	entries, reaches := s.tail.From(link.match, s.manager.config.BatchBytes)
 	if link.generation < s.generation || !reaches {
-		write.Whole = true
+		write.Full = true
 		write.Tail = s.tail
-		if s.arming > 0 {
-			write.Armed, write.Claim = s.arming, s.claim
+		if s.authorization > 0 {
+			write.Authorization, write.Claim = s.authorization, s.claim
 		}
 		return write
 	}
@@ -117,45 +117,45 @@
 	return write
 }
 
-// slowLinkBytes is what the slowest link carries in a second: a large tail gets
-// more time.
-const slowLinkBytes = 1 << 20
+// minLinkBytesPerSecond is the assumed minimum network throughput; it extends the
+// timeout of large writes.
+const minLinkBytesPerSecond = 1 << 20
 
-func (s *ownedShard) sendWrite(node identity.Node, write Write) (WriteAnswer, error) {
-	request := &appendMessage{To: node.Reference(), Shard: s.id, Write: write}
-	timeout := s.manager.config.ReplicaTimeout + time.Duration(write.Tail.Bytes()/slowLinkBytes)*time.Second
+func (s *ownedShard) sendWrite(node identity.Node, write Write) (WriteResponse, error) {
+	request := &appendRequest{To: node.Reference(), Shard: s.id, Write: write}
+	timeout := s.manager.config.ReplicaTimeout + time.Duration(write.Tail.Bytes()/minLinkBytesPerSecond)*time.Second
 	message, err := s.manager.callWithin(s.ctx, timeout, node, request, nil)
 	if err != nil {
-		return WriteAnswer{}, err
+		return WriteResponse{}, err
 	}
-	answer, fits := message.(*appendAnswer)
+	answer, fits := message.(*appendResponse)
 	if !fits {
-		return WriteAnswer{}, errUnexpectedAnswer
+		return WriteResponse{}, errUnexpectedResponse
 	}
-	return answer.Answer, nil
+	return answer.Response, nil
 }
 
-// errUnexpectedAnswer tells of an answer of another kind than asked for.
-var errUnexpectedAnswer = errors.New("journal: unexpected answer")
+// errUnexpectedResponse reports a response of the wrong message type.
+var errUnexpectedResponse = errors.New("journal: unexpected answer")
 
-func (s *ownedShard) takeAnswer(link *link, write Write, generation uint64, answer WriteAnswer) {
+func (s *ownedShard) handleWriteResponse(link *link, write Write, generation uint64, answer WriteResponse) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	switch answer.Refusal {
+	switch answer.Status {
 	case Fenced:
 		// An interim owner has the same epoch and a higher term.
-		link.fenced = max(answer.Promised, write.Epoch+1)
-		// The epoch may have risen since the message was sent.
-		if link.fenced > s.claim.Epoch {
+		link.promised = max(answer.Promised, write.Epoch+1)
+		// The epoch may have risen since the request was sent.
+		if link.promised > s.claim.Epoch {
 			s.contested = true
-			s.kickWriter()
+			s.signalWriter()
 		}
-	case Missing:
+	case Gap:
 		link.generation = 0
-	case OtherLife:
-		s.loseReplica(link)
+	case OtherIncarnation:
+		s.markRestarted(link)
 	case Granted:
-		if write.Whole {
+		if write.Full {
 			link.generation = generation
 		}
 		link.match = max(link.match, write.Tail.Last())
@@ -163,33 +163,33 @@
 	}
 }
 
-// contest takes note that a replica refused to renew: another node's claim stands
-// in the log, and the writer looks whether it took the shard over.
-func (s *ownedShard) contest(node identity.Node) {
+// handleRenewalRejected records that a replica rejected a renewal: the log has
+// another node's claim, and the writer checks whether that node took the shard over.
+func (s *ownedShard) handleRenewalRejected(node identity.Node) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if link := s.links[node.Reference()]; link != nil {
-		link.fenced = max(link.fenced, s.claim.Epoch+1)
+		link.promised = max(link.promised, s.claim.Epoch+1)
 	}
 	s.contested = true
-	s.kickWriter()
+	s.signalWriter()
 }
 
-// loseReplica takes note that the replica's memory is gone; the sweep exchanges it.
-// The caller holds mutex.
-func (s *ownedShard) loseReplica(link *link) {
-	if link.gone {
+// markRestarted records that the replica lost its tail in a restart; sweepLoop
+// replaces it. The caller holds mutex.
+func (s *ownedShard) markRestarted(link *link) {
+	if link.restarted {
 		return
 	}
-	link.gone = true
+	link.restarted = true
 	link.match, link.granted = 0, time.Time{}
 }
 
-// updateLease works out when the lease ends. The caller holds mutex.
+// updateLease recomputes the end of the lease. The caller holds mutex.
 func (s *ownedShard) updateLease() {
-	end := s.leaseOf(s.claim.Replicas)
+	end := s.leaseEndOf(s.claim.Replicas)
 	if s.next != nil && s.next.joint {
-		if other := s.leaseOf(s.next.replicas); other.Before(end) {
+		if other := s.leaseEndOf(s.next.replicas); other.Before(end) {
 			end = other
 		}
 	}
@@ -200,7 +200,7 @@
 	s.leaseUntil.Store(int64(end.Sub(s.manager.start)))
 }
 
-func (s *ownedShard) leaseOf(replicas []identity.Node) time.Time {
+func (s *ownedShard) leaseEndOf(replicas []identity.Node) time.Time {
 	granted := make([]time.Time, len(replicas))
 	for i, replica := range replicas {
 		if link := s.links[replica.Reference()]; link != nil {
@@ -210,8 +210,8 @@
 	return leaseEnd(granted, s.manager.config.Lease)
 }
 
-// dropLinks ends the links to replicas that the claim does not name, and lets
-// those replicas forget the tail. The caller holds mutex.
+// dropLinks removes the links to replicas that are not in the claim, and makes those
+// replicas drop the tail. The caller holds mutex.
 func (s *ownedShard) dropLinks() {
 	named := map[identity.Reference]bool{}
 	for _, replica := range s.claim.Replicas {
@@ -226,13 +226,13 @@
 	}
 }
 
-// dropReplica lets a node that is not a replica of shard any more forget it, as
-// far as it can be reached; sweepLoop covers the rest.
+// dropReplica makes a node that is no longer a replica of shard drop its tail. It is
+// best effort; the node's collectGarbage covers failures.
 func (m *Manager) dropReplica(node identity.Node, shard identity.ShardID, epoch identity.Epoch) {
 	m.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(m.running, m.config.ReplicaTimeout)
 		defer cancel()
-		request := &releaseMessage{Shard: shard, Owner: m.config.Self.Reference(), Drop: true, Epoch: epoch}
-		_, _ = m.call(ctx, node, request, nil) // an unreachable node is swept later
+		request := &releaseRequest{Shard: shard, Owner: m.config.Self.Reference(), Drop: true, Epoch: epoch}
+		_, _ = m.call(ctx, node, request, nil) // best effort
 	})
 }
--- a/internal/journal/manager.go
+++ b/internal/journal/manager.go
@@ -17,68 +17,68 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// Manager claims, keeps and hands over the shards of one node, and serves as a
-// replica of other nodes' shards. It is safe for concurrent use.
+// Manager claims, serves and hands over the shards of one node, and is a replica of
+// other nodes' shards. It is safe for concurrent use.
 type Manager struct {
-	config   Config
-	start    time.Time
-	health   *logHealth
-	random   *lockedRandom
-	claims   *rate.Limiter
-	moves    *rate.Limiter
-	counters counters
-	// local answers this node's requests to itself.
+	config    Config
+	start     time.Time
+	health    *logHealth
+	random    *lockedRandom
+	claims    *rate.Limiter
+	handOvers *rate.Limiter
+	counters  counters
+	// local handles requests from this node to itself.
 	local peer.HandlerFunc
 	// replicas and slots are indexed by shard; each element has its own lock.
-	replicas []replicaSlot
-	slots    []slot
-	reach    *reach
-	// armings numbers what replicas are told about interim ownership, so that late
-	// messages can be told from newer ones.
-	armings atomic.Uint64
-	// wake asks the claim loop to look again.
+	replicas     []replicaSlot
+	slots        []slot
+	reachability *reachability
+	// authorizations numbers authorizations and revocations of interim takeovers, so
+	// that a replica can order them even if messages arrive late.
+	authorizations atomic.Uint64
+	// wake makes the claim loop run before its next interval.
 	wake     chan struct{}
 	draining atomic.Bool
-	// running is the context of Run, set before started and before anything is
-	// claimed.
+	// running is the context of Run. It is set before started, and before any claim.
 	running context.Context
 	started atomic.Bool
 	tasks   sync.WaitGroup
 }
 
-// slot is what this node knows and does about one shard as an owner.
+// slot is this node's state of one shard as its owner or as a claimant.
 type slot struct {
 	mutex sync.Mutex
 	owned *ownedShard
-	// attempt is closed when the claim under way ends; nil while none is.
+	// attempt is closed when the claim in progress ends; nil if there is none.
 	attempt chan struct{}
-	// failure is why the last claim failed, at failedAt; notBefore is when the claim
-	// loop may try again.
+	// failure is the error of the last claim, which ended at failedAt; notBefore is when
+	// the claim loop may retry.
 	failure   error
 	failures  int
 	failedAt  time.Time
 	notBefore time.Time
-	// known is the highest claim read in the log.
-	known Claim
-	// rival is an unactivated claim of another node, first seen at rivalSeen.
+	// latestClaim is the claim with the highest epoch read from the log.
+	latestClaim Claim
+	// rival is the epoch of another node's claim that is not activated, first seen at
+	// rivalSeen.
 	rival     identity.Epoch
 	rivalSeen time.Time
 }
 
-// New returns a Manager that does nothing before Run.
+// New returns a Manager; Run starts it.
 func New(config Config) *Manager {
 	config = config.withDefaults()
 	m := &Manager{
-		config:   config,
-		start:    time.Now(),
-		health:   newLogHealth(),
-		random:   &lockedRandom{random: rand.New(config.Random)},
-		claims:   rate.NewLimiter(config.ClaimRate, max(1, int(config.ClaimRate)/4)),
-		moves:    rate.NewLimiter(config.MoveRate, max(1, int(config.MoveRate)/4)),
-		replicas: make([]replicaSlot, config.ShardCount),
-		slots:    make([]slot, config.ShardCount),
-		reach:    newReach(),
-		wake:     make(chan struct{}, 1),
+		config:       config,
+		start:        time.Now(),
+		health:       newLogHealth(),
+		random:       &lockedRandom{random: rand.New(config.Random)},
+		claims:       rate.NewLimiter(config.ClaimRate, max(1, int(config.ClaimRate)/4)),
+		handOvers:    rate.NewLimiter(config.HandOverRate, max(1, int(config.HandOverRate)/4)),
+		replicas:     make([]replicaSlot, config.ShardCount),
+		slots:        make([]slot, config.ShardCount),
+		reachability: newReachability(),
+		wake:         make(chan struct{}, 1),
 	}
 	m.local = m.handle
 	if config.Registerer != nil {
@@ -87,15 +87,15 @@
 	return m
 }
 
-// Run claims and serves shards until ctx ends. Whatever is owned then is left to
-// its lease, as after a kill; a planned stop calls Drain first.
+// Run claims and serves shards until ctx ends. Shards that are still owned then stay
+// leased until the lease expires, as after a crash; a planned stop calls Drain first.
 func (m *Manager) Run(ctx context.Context) error {
 	m.running = ctx
 	m.started.Store(true)
 	m.tasks.Go(func() { m.renewLoop(ctx) })
 	m.tasks.Go(func() { m.probeLoop(ctx) })
 	m.tasks.Go(func() { m.sweepLoop(ctx) })
-	m.tasks.Go(func() { m.armLoop(ctx) })
+	m.tasks.Go(func() { m.authorizationLoop(ctx) })
 	m.claimLoop(ctx)
 	for _, shard := range m.owned() {
 		shard.lose(ctx.Err())
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// owned returns the shards held now, whether their lease runs or not.
+// owned returns the shards owned now, including those whose lease has lapsed.
 func (m *Manager) owned() []*ownedShard {
 	var held []*ownedShard
 	for i := range m.slots {
@@ -121,7 +121,7 @@
 	return s.owned
 }
 
-// Owned returns the shards that this node serves, in order.
+// Owned returns the shards that this node owns, in ascending order.
 func (m *Manager) Owned() []identity.ShardID {
 	var ids []identity.ShardID
 	for _, shard := range m.owned() {
@@ -130,21 +130,21 @@
 	return ids
 }
 
-// OwnerHint returns who owns shard as far as this node knows: from its own
-// ownership, from the lease it granted as a replica, or from the claims it read.
-// It may be stale.
+// OwnerHint returns the owner of shard as far as this node can tell: from its own
+// ownership, from the lease it granted as a replica, or from the claims it read. It
+// may be stale.
 func (m *Manager) OwnerHint(shard identity.ShardID) (identity.Node, identity.Epoch, bool) {
 	if int(shard) >= len(m.slots) {
 		return identity.Node{}, 0, false
 	}
 	slot := &m.slots[shard]
 	slot.mutex.Lock()
-	owned, known := slot.owned, slot.known
+	owned, known := slot.owned, slot.latestClaim
 	slot.mutex.Unlock()
 	if owned != nil {
 		return m.config.Self, owned.Epoch(), true
 	}
-	holder, epoch, held := m.replicas[shard].holder(time.Now())
+	holder, epoch, held := m.replicas[shard].leaseHolder(time.Now())
 	if held && epoch >= known.Epoch {
 		if node, found := m.member(holder); found {
 			return node, epoch, true
@@ -153,7 +153,7 @@
 	return known.Owner, known.Epoch, known.Epoch > 0
 }
 
-// member returns the addresses of a node's life from the members' view.
+// member returns the node of an incarnation from the membership view.
 func (m *Manager) member(life identity.Reference) (identity.Node, bool) {
 	for _, member := range m.config.Members.Load().Members {
 		if member.Node.Reference() == life {
@@ -163,22 +163,23 @@
 	return identity.Node{}, false
 }
 
-// noteClaim keeps the highest claim read, for hints.
-func (m *Manager) noteClaim(shard identity.ShardID, ledger *Ledger) {
+// recordClaim updates latestClaim, which serves hints.
+func (m *Manager) recordClaim(shard identity.ShardID, ledger *Ledger) {
 	slot := &m.slots[shard]
 	slot.mutex.Lock()
 	defer slot.mutex.Unlock()
-	if current := ledger.Current(); current.Epoch > slot.known.Epoch {
-		slot.known = current
+	if current := ledger.Current(); current.Epoch > slot.latestClaim.Epoch {
+		slot.latestClaim = current
 	}
 }
 
-// desired returns where shard should be. A node that drains wants none.
+// desired returns the desired placement of shard. A draining node is never the
+// desired owner.
 func (m *Manager) desired(shard identity.ShardID) (placement.Assignment, bool) {
 	return m.config.Desired(shard, m.view())
 }
 
-// view returns the members, with this node as leaving once it drains.
+// view returns the membership view, in which this node is leaving if it drains.
 func (m *Manager) view() membership.View {
 	view := m.config.Members.Load()
 	if !m.draining.Load() {
@@ -196,16 +197,17 @@
 	return view
 }
 
-// drainingVersion tells the view of a draining node from the members' own, for
-// those who remember placements by version.
+// drainingVersion marks the version of a draining node's view, so that placements
+// cached by version are not mixed up with those of the unmodified view.
 const drainingVersion = 1 << 63
 
-// call sends request to node within ReplicaTimeout.
+// call sends request to node with ReplicaTimeout.
 func (m *Manager) call(ctx context.Context, node identity.Node, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
 	return m.callWithin(ctx, m.config.ReplicaTimeout, node, request, onPart)
 }
 
-// callWithin sends request to node; requests to this node itself take no network.
+// callWithin sends request to node with the given timeout; requests to this node
+// itself do not use the network.
 func (m *Manager) callWithin(ctx context.Context, timeout time.Duration, node identity.Node, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
 	if node.Reference() == m.config.Self.Reference() {
 		return m.local(ctx, request, onPart)
@@ -216,15 +218,14 @@
 }
 
 const (
-	// probeInterval is the time between two looks at a log that was away.
+	// probeInterval is the interval of probes while the log is unavailable.
 	probeInterval = 500 * time.Millisecond
-	// idleProbeInterval is the time between two looks at a log that is up: a node
-	// that has nothing to write must learn of an outage too.
+	// idleProbeInterval is the interval of probes while the log is available, so that
+	// a node that writes nothing detects an outage too.
 	idleProbeInterval = 2 * time.Second
 )
 
-// probeLoop asks a log that is away whether it is back, and one that is up, now
-// and then, whether it still is.
+// probeLoop checks periodically whether the log is available.
 func (m *Manager) probeLoop(ctx context.Context) {
 	for {
 		down, changed := m.health.watch()
@@ -255,16 +256,16 @@
 	if errors.Is(err, siteservices.ErrAnswerLost) {
 		return
 	}
-	m.noteLog(err)
+	m.recordLogOutcome(err)
 }
 
-// lockedRandom is the source of record ids and jitter.
+// lockedRandom generates record ids and jitter.
 type lockedRandom struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 }
 
-// duration draws from 0 to below limit.
+// duration returns a random duration in [0, limit).
 func (r *lockedRandom) duration(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
--- a/internal/journal/manager_test.go
+++ b/internal/journal/manager_test.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-func TestFairWeather(t *testing.T) {
+func TestRecordsSurviveTakeover(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestMetricsOfAllStats(t *testing.T) {
+func TestMetricForEachStat(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewPedanticRegistry()
 	New(Config{ShardCount: 4, Registerer: registry})
--- a/internal/journal/message_claim.go
+++ b/internal/journal/message_claim.go
@@ -8,67 +8,68 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// preVoteMessage asks whether the lease granted by the replica life To runs.
-type preVoteMessage struct {
+// preVoteRequest queries whether a lease granted by the replica incarnation To is
+// still valid.
+type preVoteRequest struct {
 	To    identity.Reference
 	Shard identity.ShardID
 }
 
 // Kind returns the message's kind.
-func (*preVoteMessage) Kind() peer.Kind { return kindPreVote }
+func (*preVoteRequest) Kind() peer.Kind { return kindPreVote }
 
 // Encode appends the fields.
-func (m *preVoteMessage) Encode(e *wire.Encoder) {
+func (m *preVoteRequest) Encode(e *wire.Encoder) {
 	encodeReference(e, m.To)
 	e.Uint32(uint32(m.Shard))
 }
 
 // Decode reads the fields.
-func (m *preVoteMessage) Decode(d *wire.Decoder) {
+func (m *preVoteRequest) Decode(d *wire.Decoder) {
 	m.To = decodeReference(d)
 	m.Shard = identity.ShardID(d.Uint32())
 }
 
-type preVoteAnswer struct {
-	// OtherLife tells that the asked life is gone.
-	OtherLife bool
-	// Remaining is how long a lease may still run by what this node knows.
+type preVoteResponse struct {
+	// OtherIncarnation is true if the requested incarnation is not running.
+	OtherIncarnation bool
+	// Remaining is how long a lease may still be valid as far as this node can tell.
 	Remaining time.Duration
 	Promised  identity.Epoch
-	// Term is the highest interim term promised; Armed tells that the replica would
-	// promise an interim ownership under Claim.
-	Term  uint64
-	Armed bool
-	Claim Claim
+	// Term is the highest interim term promised; Authorized is true if the replica would
+	// promise an interim takeover under Claim.
+	Term       uint64
+	Authorized bool
+	Claim      Claim
 }
 
 // Kind returns the message's kind.
-func (*preVoteAnswer) Kind() peer.Kind { return kindPreVoteAnswer }
+func (*preVoteResponse) Kind() peer.Kind { return kindPreVoteResponse }
 
 // Encode appends the fields.
-func (m *preVoteAnswer) Encode(e *wire.Encoder) {
-	e.Bool(m.OtherLife)
+func (m *preVoteResponse) Encode(e *wire.Encoder) {
+	e.Bool(m.OtherIncarnation)
 	e.Duration(m.Remaining)
 	e.Uint64(uint64(m.Promised))
 	e.Uint64(m.Term)
-	e.Bool(m.Armed)
+	e.Bool(m.Authorized)
 	m.Claim.encode(e)
 }
 
 // Decode reads the fields.
-func (m *preVoteAnswer) Decode(d *wire.Decoder) {
-	m.OtherLife = d.Bool()
+func (m *preVoteResponse) Decode(d *wire.Decoder) {
+	m.OtherIncarnation = d.Bool()
 	m.Remaining = d.Duration()
 	m.Promised = identity.Epoch(d.Uint64())
 	m.Term = d.Uint64()
-	m.Armed = d.Bool()
+	m.Authorized = d.Bool()
 	m.Claim.decode(d)
 }
 
-// promiseMessage asks the replica life To to refuse epochs below Epoch, whose
-// claim the sender has read back from the log as valid. With a Term the sender
-// wants to own the shard under Epoch until the log is back.
-type promiseMessage struct {
+// promiseRequest requests the replica incarnation To to reject epochs below Epoch,
+// whose claim the sender has read back from the log as valid. With a Term, the
+// sender requests interim ownership under Epoch until the log is available.
+type promiseRequest struct {
 	To       identity.Reference
 	Shard    identity.ShardID
 	Epoch    identity.Epoch
@@ -77,10 +78,10 @@
 }
 
 // Kind returns the message's kind.
-func (*promiseMessage) Kind() peer.Kind { return kindPromise }
+func (*promiseRequest) Kind() peer.Kind { return kindPromise }
 
 // Encode appends the fields.
-func (m *promiseMessage) Encode(e *wire.Encoder) {
+func (m *promiseRequest) Encode(e *wire.Encoder) {
 	encodeReference(e, m.To)
 	e.Uint32(uint32(m.Shard))
 	e.Uint64(uint64(m.Epoch))
@@ -89,7 +90,7 @@
 }
 
 // Decode reads the fields.
-func (m *promiseMessage) Decode(d *wire.Decoder) {
+func (m *promiseRequest) Decode(d *wire.Decoder) {
 	m.To = decodeReference(d)
 	m.Shard = identity.ShardID(d.Uint32())
 	m.Epoch = identity.Epoch(d.Uint64())
@@ -97,7 +98,7 @@
 	m.Claimant = decodeReference(d)
 }
 
-// promisePart is one piece of the encoded tail, in order.
+// promisePart is one part of the encoded tail. Parts are sent in order.
 type promisePart struct{ Bytes []byte }
 
 // Kind returns the message's kind.
@@ -109,9 +110,9 @@
 // Decode reads the fields.
 func (m *promisePart) Decode(d *wire.Decoder) { m.Bytes = d.Blob() }
 
-// promiseAnswer ends the parts of the tail.
-type promiseAnswer struct {
-	Refusal   Refusal
+// promiseResponse follows the parts of the tail.
+type promiseResponse struct {
+	Status    Status
 	Promised  identity.Epoch
 	Remaining time.Duration
 	TailEpoch identity.Epoch
@@ -119,11 +120,11 @@
 }
 
 // Kind returns the message's kind.
-func (*promiseAnswer) Kind() peer.Kind { return kindPromiseAnswer }
+func (*promiseResponse) Kind() peer.Kind { return kindPromiseResponse }
 
 // Encode appends the fields.
-func (m *promiseAnswer) Encode(e *wire.Encoder) {
-	e.Uint8(uint8(m.Refusal))
+func (m *promiseResponse) Encode(e *wire.Encoder) {
+	e.Uint8(uint8(m.Status))
 	e.Uint64(uint64(m.Promised))
 	e.Duration(m.Remaining)
 	e.Uint64(uint64(m.TailEpoch))
@@ -131,12 +132,10 @@
 }
 
 // Decode reads the fields.
-func (m *promiseAnswer) Decode(d *wire.Decoder) {
-	m.Refusal = Refusal(d.Uint8())
+func (m *promiseResponse) Decode(d *wire.Decoder) {
+	m.Status = Status(d.Uint8())
 	m.Promised = identity.Epoch(d.Uint64())
 	m.Remaining = d.Duration()
 	m.TailEpoch = identity.Epoch(d.Uint64())
 	m.TailTerm = d.Uint64()
 }
-
-// handOverMessage asks the owner to stop, flush the shard to the log and release
--- a/internal/journal/metrics.go
+++ b/internal/journal/metrics.go
@@ -2,14 +2,14 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metric is one number of Stats as operators see it.
+// metric exports one field of Stats.
 type metric struct {
 	description *prometheus.Desc
 	kind        prometheus.ValueType
 	value       func(Stats) float64
 }
 
-// collector reads Stats whenever metrics are asked for.
+// collector exports Stats at each scrape.
 type collector struct {
 	manager *Manager
 	metrics []metric
--- a/internal/journal/moves_test.go
+++ b/internal/journal/moves_test.go
@@ -13,8 +13,8 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// TestLogOutage keeps the log away for three hours: records go on, the tail stays
-// small, unrepeatable ones are refused at once, and all drains when it is back.
+// TestLogOutage keeps the log unavailable for three hours: appends continue, the tail
+// stays small, durable appends fail at once, and everything reaches the log after.
 func TestLogOutage(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{slowLease: true}, 6, func(site *testSite) error {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestOutageThenKill kills the owner while the log has been away long enough for
-// the tail to be folded: the next owner starts from the folded tail, at once.
+// TestOutageThenKill kills the owner in an outage that is long enough for the tail to
+// be compacted: the next owner starts from the compacted tail without delay.
 func TestOutageThenKill(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
@@ -71,12 +71,12 @@
 		}
 		shard := site.serving(0).manager.slots[0].load()
 		shard.mutex.Lock()
-		folded := shard.tail.Folded
+		folded := shard.tail.Compacted
 		shard.mutex.Unlock()
 		if !folded {
 			return errors.New("the tail was not folded")
 		}
-		time.Sleep(5 * time.Second) // the replicas get a whole state
+		time.Sleep(5 * time.Second) // the replicas receive a full state
 		site.serving(0).kill()
 		site.refresh()
 		if _, err := site.takeover(nil); err != nil {
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestPlannedStop drains the owner under load: no number that it took is lost,
-// nothing waits for a lease, and no replica is left with it.
+// TestPlannedStop drains the owner under load: no acknowledged number is lost, no
+// takeover waits for a lease, and no replica stays on the drained node.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
@@ -119,7 +119,7 @@
 		owner.kill()
 		site.refresh()
 		time.Sleep(5 * time.Second)
-		// The gap is that of a few requests to the log, not that of a lease.
+		// The gap is a few requests to the log, less than a lease.
 		is.True(time.Duration(load.refused()-refused)*loadInterval < 200*time.Millisecond)
 		return errors.Join(site.settle(), load.check(), owners(), site.checkLog(0))
 	})
@@ -128,8 +128,7 @@
 	}
 }
 
-// TestReplicaReplaced kills a replica: the owner takes another one in its place
-// while it goes on serving.
+// TestReplicaReplaced kills a replica: the owner replaces it without interruption.
 func TestReplicaReplaced(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
@@ -144,10 +143,10 @@
 		site.refresh()
 		time.Sleep(10 * time.Second)
 		is.True(shard.Epoch() > epoch)
-		is.True(!holdsLife(shard.replicas(), lost))
+		is.True(!containsIncarnation(shard.replicas(), lost))
 		is.Equal(len(shard.replicas()), 3)
 		is.Equal(load.refused(), refused)
-		// The new replicas are the ones that count: the owner and an old one may go.
+		// The new replica set must be sufficient: kill the owner and an old replica.
 		site.find(shard.replicas()[0].Name).kill()
 		owner.kill()
 		site.refresh()
@@ -159,9 +158,9 @@
 	}
 }
 
-// TestReplicasSpreadAgainAfterAZoneReturns kills every node of a zone and starts
-// them again: replicas that had to share zones meanwhile are spread again.
-func TestReplicasSpreadAgainAfterAZoneReturns(t *testing.T) {
+// TestReplicasSpreadAgainAfterZoneRecovers restarts all nodes of a zone: replicas
+// that shared zones during its outage must be spread again.
+func TestReplicasSpreadAgainAfterZoneRecovers(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
 		is := is.New(t)
@@ -181,7 +180,7 @@
 		}
 		site.refresh()
 		time.Sleep(10 * time.Second)
-		is.Equal(zoneCount(shard.replicas()), len(testZones)-1) // they live where they can
+		is.Equal(zoneCount(shard.replicas()), len(testZones)-1) // replicas share the remaining zones
 		for _, index := range killed {
 			site.start(index)
 		}
@@ -195,9 +194,9 @@
 	}
 }
 
-// TestLeaseComesBack cuts the owner off during an outage of the log, past its
-// lease: nobody can claim, so it serves again in the same epoch when it is back.
-func TestLeaseComesBack(t *testing.T) {
+// TestLeaseRecoversAfterPartition partitions the owner past its lease during an
+// outage of the log: no node can claim, so it serves again in the same epoch.
+func TestLeaseRecoversAfterPartition(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
 		is := is.New(t)
@@ -220,7 +219,7 @@
 	}
 }
 
-// TestTwoClaimants lets two nodes want the same shard after its owner's death.
+// TestTwoClaimants lets two nodes claim the same shard after its owner's death.
 func TestTwoClaimants(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
@@ -228,7 +227,7 @@
 		load := site.load(0)
 		time.Sleep(time.Second)
 		site.serving(0).kill()
-		// Two views that disagree: each of the two is alone with the rest.
+		// Their membership views disagree: each lacks the other.
 		site.refresh()
 		var rivals []*testNode
 		for _, node := range site.all() {
@@ -254,8 +253,8 @@
 	}
 }
 
-// TestSmallSites runs sites of one to three nodes, where the owner counts as one
-// of the replicas, through the death and return of a node.
+// TestSmallSites runs sites where the owner is also a replica through the death and
+// restart of a node.
 func TestSmallSites(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{2, 3} {
@@ -280,9 +279,9 @@
 	}
 }
 
-// TestLogLeavesDuringHandOver takes the log away in the middle of a planned stop:
-// the shard is served on through the outage, and handed over after it.
-func TestLogLeavesDuringHandOver(t *testing.T) {
+// TestLogUnavailableDuringHandOver makes the log unavailable during a planned stop:
+// the shard must be served through the outage and handed over after it.
+func TestLogUnavailableDuringHandOver(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
 		is := is.New(t)
@@ -311,9 +310,9 @@
 	}
 }
 
-// TestClaimantDiesHalfWay leaves a claim in the log, and the promise of one replica
-// to it, of a node that is never heard of again: the owner serves on above it.
-func TestClaimantDiesHalfWay(t *testing.T) {
+// TestClaimantDiesBeforeActivation leaves a claim in the log, and one replica's
+// promise to it, of a node that died: the owner must claim above it.
+func TestClaimantDiesBeforeActivation(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
 		is := is.New(t)
@@ -322,7 +321,7 @@
 		owner := site.serving(0)
 		shard := owner.manager.slots[0].load()
 		claim := shard.standing()
-		// With nothing to write, the owner learns of it from the replica alone.
+		// With nothing to write, the owner detects the claim only through the replica.
 		load.end()
 		time.Sleep(time.Second)
 		refused, epoch := load.refused(), claim.Epoch+1
@@ -347,24 +346,24 @@
 	}
 }
 
-// TestDurableOutcomes goes through what a wait for the log can end with.
+// TestDurableOutcomes checks each outcome of a wait for the log.
 func TestDurableOutcomes(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
 		is := is.New(t)
 		open := site.serving(0).host.open(0)
-		// An answer that is lost is read back.
+		// An append whose response is lost is read back.
 		site.log.Script(logservice.LoseAnswer)
 		is.NoErr(open.add(context.Background(), 1, true))
-		// A request that is lost is sent again.
+		// A lost request is retried.
 		site.log.Script(logservice.LoseRequest)
 		is.NoErr(open.add(context.Background(), 2, true))
-		// A log that does not answer in time leaves it unknown, after a bounded wait.
+		// If the log does not respond, the outcome is unknown after a bounded wait.
 		site.log.SetFaults(logservice.Faults{AppendDelay: time.Minute})
 		began := time.Now()
 		is.True(errors.Is(open.add(context.Background(), 3, true), ErrUnknown))
 		is.Equal(time.Since(began), DefaultDurableWait)
-		// It may land all the same, and the next owner sees it then.
+		// The record may still be written; the next owner then reads it.
 		site.log.SetFaults(logservice.Faults{})
 		time.Sleep(2 * time.Minute)
 		site.serving(0).kill()
@@ -378,9 +377,9 @@
 	}
 }
 
-// TestRecoveryReadsLittle writes many batches and shows that a reader starts at
-// the last snapshot, not at the stream's beginning.
-func TestRecoveryReadsLittle(t *testing.T) {
+// TestRecoveryReadsFromLastSnapshot checks that a reader starts at the last snapshot,
+// not at the beginning of the stream.
+func TestRecoveryReadsFromLastSnapshot(t *testing.T) {
 	t.Parallel()
 	err := scenario(t, variant{}, 6, func(site *testSite) error {
 		is := is.New(t)
@@ -391,9 +390,9 @@
 		}
 		time.Sleep(time.Second)
 		var entries, restored int
-		stream, err := node.manager.openStream(context.Background(), 0, func(step Step) error {
+		stream, err := node.manager.openStream(context.Background(), 0, func(step Effect) error {
 			entries += len(step.Entries)
-			if step.Restored {
+			if step.Restore {
 				restored++
 			}
 			return nil
--- a/internal/journal/owned.go
+++ b/internal/journal/owned.go
@@ -12,8 +12,8 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// recordOverhead is what one record counts beside its bytes, so that many small
-// records call for a snapshot too.
+// recordOverhead is added to the size of each record when it is counted toward the
+// next snapshot, so that many small records cause one too.
 const recordOverhead = 64
 
 // ownedShard is one shard while this node owns it. It implements Shard.
@@ -22,15 +22,16 @@
 	id      identity.ShardID
 	machine StateMachine
 	logger  *slog.Logger
-	// ctx ends when the shard is lost, and with it all that works for it.
+	// ctx ends when the shard is lost, and stops all goroutines that work for it.
 	ctx    context.Context
 	cancel context.CancelFunc
 	lost   chan struct{}
-	// writes ends before ctx where a planned stop gives up waiting for the log.
-	writes     context.Context
-	stopWrites context.CancelFunc
-	// wakeWriter and urgent have room for one token: there is something to write,
-	// and someone waits for it.
+	// appendContext bounds appends to the log. It ends before ctx if a planned stop
+	// times out waiting for the log.
+	appendContext context.Context
+	stopAppends   context.CancelFunc
+	// wakeWriter and urgent have a capacity of one. They signal that there is something
+	// to write, and that a caller waits for it.
 	wakeWriter chan struct{}
 	urgent     chan struct{}
 
@@ -38,49 +39,50 @@
 	// leaseUntil is in nanoseconds since the Manager's start, on its monotonic clock.
 	leaseUntil atomic.Int64
 
-	// mutex guards all below.
+	// mutex guards the fields below.
 	mutex sync.Mutex
-	// claim is the activated claim; next is one on its way that replaces replicas.
+	// claim is the activated claim; next is a pending claim with other replicas.
 	claim Claim
 	next  *replacement
 	links map[identity.Reference]*link
-	// tail is what the log lacks; committed and logged are the last records that
-	// a write quorum and the log hold.
-	// generation rises when the tail is folded, so that replicas take it whole.
+	// tail has the records that may not be in the log; committed and logged are the
+	// indexes of the last records that a write quorum and the log have. generation
+	// increases when the tail is compacted, so that replicas receive it in full.
 	tail       Tail
 	generation uint64
 	committed  uint64
 	logged     uint64
-	// snapshot waits to be written to the log; nil if none does.
+	// snapshot is to be written to the log; nil if there is none.
 	snapshot *pendingSnapshot
-	// sinceSnapshot counts bytes of records since the last snapshot was taken.
+	// sinceSnapshot counts bytes of records since the last snapshot.
 	sinceSnapshot int
 	snapshotSize  int
 	waiters       []waiter
 	durable       []waiter
 	// contested is set when a replica promised a higher epoch.
 	contested bool
-	// moving is set when a planned stop begins, sealed when it takes no more records.
-	moving bool
-	sealed bool
+	// handingOver is set when a planned stop begins, sealed when no more records are
+	// accepted.
+	handingOver bool
+	sealed      bool
 	// replacing is set while the writer claims with the replicas of next.
 	replacing bool
 	// term is above 0 for an interim owner, which serves without the log.
 	term uint64
-	// arming is the number under which the replicas may let an interim owner go on
-	// from the tail, 0 if they may not. While it is set, and until enough replicas
-	// confirmed quiet (settled), the owner appends nothing new to the log, so that
-	// the log never holds what an interim owner lacks.
-	arming  uint64
-	quiet   uint64
-	settled bool
-	// armWanted asks the next Enqueue to arm; claiming forbids it while this owner
-	// claims again.
-	armWanted bool
-	claiming  bool
-	// gone is why the shard was lost.
-	gone error
-	// flushed is closed once a sealed shard's release stands in the log.
+	// authorization is the number under which the replicas may let an interim owner
+	// continue from the tail, 0 if they may not. While it is set, and until enough
+	// replicas confirmed revokedThrough (revocationConfirmed), the owner appends nothing
+	// new to the log, so that the log never has records that an interim owner has not.
+	authorization       uint64
+	revokedThrough      uint64
+	revocationConfirmed bool
+	// authorizationRequested makes the next Enqueue authorize an interim takeover;
+	// claiming prevents that while this owner claims again.
+	authorizationRequested bool
+	claiming               bool
+	// lossReason is why the shard was lost; nil while it is owned.
+	lossReason error
+	// flushed is closed once the release of a sealed shard is in the log.
 	flushed chan struct{}
 }
 
@@ -92,7 +94,7 @@
 	state []byte
 }
 
-// waiter is told when record index is held.
+// waiter is notified when record index is durable.
 type waiter struct {
 	index uint64
 	done  chan error
@@ -101,21 +103,21 @@
 func (m *Manager) newOwnedShard(id identity.ShardID, claim Claim, index uint64, machine StateMachine) *ownedShard {
 	s := &ownedShard{
 		manager: m, id: id, machine: machine,
-		logger:     m.config.Logger.With("shard", uint32(id)),
-		lost:       make(chan struct{}),
-		wakeWriter: make(chan struct{}, 1),
-		urgent:     make(chan struct{}, 1),
-		flushed:    make(chan struct{}),
-		claim:      claim,
-		links:      map[identity.Reference]*link{},
-		tail:       Tail{After: index},
-		generation: 1,
-		committed:  index,
-		logged:     index,
-		settled:    true,
+		logger:              m.config.Logger.With("shard", uint32(id)),
+		lost:                make(chan struct{}),
+		wakeWriter:          make(chan struct{}, 1),
+		urgent:              make(chan struct{}, 1),
+		flushed:             make(chan struct{}),
+		claim:               claim,
+		links:               map[identity.Reference]*link{},
+		tail:                Tail{After: index},
+		generation:          1,
+		committed:           index,
+		logged:              index,
+		revocationConfirmed: true,
 	}
 	s.ctx, s.cancel = context.WithCancel(m.running)
-	s.writes, s.stopWrites = context.WithCancel(s.ctx)
+	s.appendContext, s.stopAppends = context.WithCancel(s.ctx)
 	s.epoch.Store(uint64(claim.Epoch))
 	s.addLinks(claim.Replicas)
 	return s
@@ -124,13 +126,13 @@
 // ID returns the shard's number.
 func (s *ownedShard) ID() identity.ShardID { return s.id }
 
-// Epoch returns the epoch served now.
+// Epoch returns the current epoch.
 func (s *ownedShard) Epoch() identity.Epoch { return identity.Epoch(s.epoch.Load()) }
 
-// Lost is closed when the shard is given up or taken over.
+// Lost is closed when the shard is released or taken over.
 func (s *ownedShard) Lost() <-chan struct{} { return s.lost }
 
-// CheckLease returns nil while the lease runs on this node's monotonic clock.
+// CheckLease returns nil while the lease is valid by this node's monotonic clock.
 func (s *ownedShard) CheckLease() error {
 	select {
 	case <-s.lost:
@@ -152,11 +154,11 @@
 	return func(ctx context.Context) error { return await(ctx, done) }, nil
 }
 
-// EnqueueDurable appends records and returns a wait for the log. The records take
-// their place in the journal in any case, so that the host's state and the journal
-// never part; while the log is known to be away only the wait is cut short.
+// EnqueueDurable appends records and returns a wait for the log. The records are
+// appended in any case, so that the host's state and the journal agree; while the
+// log is known to be unavailable only the wait fails.
 func (s *ownedShard) EnqueueDurable(records ...[]byte) (wait func(ctx context.Context) error, err error) {
-	away := s.manager.health.isDown() || s.isArmed()
+	away := s.manager.health.isDown() || s.hasAuthorization()
 	done, err := s.enqueue(records, !away)
 	if err != nil {
 		return nil, err
@@ -190,7 +192,7 @@
 func (s *ownedShard) enqueue(records [][]byte, durable bool) (<-chan error, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.gone != nil || s.sealed {
+	if s.lossReason != nil || s.sealed {
 		return nil, fmt.Errorf("%w: shard %d", ErrNotOwner, s.id)
 	}
 	for _, record := range records {
@@ -199,7 +201,7 @@
 		s.manager.counters.recordBytes.Add(uint64(len(record)))
 	}
 	s.manager.counters.records.Add(uint64(len(records)))
-	if err := errors.Join(s.maybeArm(), s.maybeSnapshot()); err != nil {
+	if err := errors.Join(s.authorizeIfRequested(), s.maybeSnapshot()); err != nil {
 		s.logger.Error("no snapshot of the shard", "error", err)
 	}
 	waiting := waiter{index: s.tail.Last(), done: make(chan error, 1)}
@@ -210,14 +212,15 @@
 		s.waiters = append(s.waiters, waiting)
 	}
 	s.advance()
-	s.kickLinks()
-	s.kickWriter()
+	s.startSenders()
+	s.signalWriter()
 	return waiting.done, nil
 }
 
-// maybeSnapshot takes a snapshot once enough records came since the last one.
-// While the log is away it takes the place of the records in the tail, here and
-// at the replicas, so that memory follows the live state. The caller holds mutex.
+// maybeSnapshot takes a snapshot once enough records were enqueued since the last
+// one. If the tail is large, which means that the log is slow or unavailable, the
+// snapshot also replaces its records, here and at the replicas, so that memory is
+// bounded by the size of the state. The caller holds mutex.
 func (s *ownedShard) maybeSnapshot() error {
 	threshold := max(s.manager.config.SnapshotBytes, 2*s.snapshotSize)
 	if s.sinceSnapshot < threshold {
@@ -233,19 +236,19 @@
 	if s.tail.Bytes() < threshold/2 {
 		return nil
 	}
-	s.tail.Fold(s.snapshot.index, state)
+	s.tail.Compact(s.snapshot.index, state)
 	s.generation++
 	return nil
 }
 
-// advance wakes all whose records are held by now. The caller holds mutex.
+// advance notifies all waiters whose records are durable. The caller holds mutex.
 func (s *ownedShard) advance() {
-	s.committed = max(s.committed, s.logged, s.heldByQuorum())
-	s.waiters = release(s.waiters, s.committed)
-	s.durable = release(s.durable, s.logged)
+	s.committed = max(s.committed, s.logged, s.replicatedByQuorum())
+	s.waiters = releaseWaiters(s.waiters, s.committed)
+	s.durable = releaseWaiters(s.durable, s.logged)
 }
 
-func release(waiters []waiter, index uint64) []waiter {
+func releaseWaiters(waiters []waiter, index uint64) []waiter {
 	count := 0
 	for count < len(waiters) && waiters[count].index <= index {
 		waiters[count].done <- nil
@@ -254,12 +257,13 @@
 	return waiters[count:]
 }
 
-// heldByQuorum returns the last record that the replicas hold: by the standing
-// claim, and by the next one as well while it is on its way. The caller holds mutex.
-func (s *ownedShard) heldByQuorum() uint64 {
-	held := reached(s.matches(s.claim.Replicas))
+// replicatedByQuorum returns the index of the last record that a write quorum of the
+// replicas has: of the active claim, and also of the next one while it is pending.
+// The caller holds mutex.
+func (s *ownedShard) replicatedByQuorum() uint64 {
+	held := quorumValue(s.matches(s.claim.Replicas))
 	if s.next != nil && s.next.joint {
-		held = min(held, reached(s.matches(s.next.replicas)))
+		held = min(held, quorumValue(s.matches(s.next.replicas)))
 	}
 	return held
 }
@@ -274,14 +278,14 @@
 	return matches
 }
 
-// noteLogged takes note that the log holds all records up to index. The caller
-// holds mutex.
-func (s *ownedShard) noteLogged(index uint64) {
+// setLogged records that the log has all records up to index. The caller holds
+// mutex.
+func (s *ownedShard) setLogged(index uint64) {
 	if index <= s.logged {
 		return
 	}
 	s.logged = index
-	if s.arming == 0 {
+	if s.authorization == 0 {
 		s.tail.Trim(index)
 	}
 	s.advance()
@@ -293,9 +297,9 @@
 	return len(s.tail.Entries), s.tail.Bytes()
 }
 
-func (s *ownedShard) kickWriter() { signal(s.wakeWriter) }
+func (s *ownedShard) signalWriter() { signal(s.wakeWriter) }
 
-// signal leaves a token in a channel that has room for one.
+// signal sends to a channel with a capacity of one, without blocking.
 func signal(tokens chan<- struct{}) {
 	select {
 	case tokens <- struct{}{}:
@@ -303,18 +307,17 @@
 	}
 }
 
-// errHandedOver is why a shard that was handed over is gone.
+// errHandedOver is the loss reason of a shard that was handed over.
 var errHandedOver = errors.New("journal: handed over")
 
-// lose gives the shard up: whoever waits for a record is told that it is unknown
-// whether it lasts.
+// lose gives the shard up. Waits for records fail with ErrUnknown.
 func (s *ownedShard) lose(reason error) {
 	s.mutex.Lock()
-	if s.gone != nil {
+	if s.lossReason != nil {
 		s.mutex.Unlock()
 		return
 	}
-	s.gone = reason
+	s.lossReason = reason
 	waiters := append(s.waiters, s.durable...)
 	s.waiters, s.durable = nil, nil
 	if !s.sealed {
@@ -325,16 +328,16 @@
 	for _, waiting := range waiters {
 		waiting.done <- fmt.Errorf("%w: %w: shard %d: %w", ErrUnknown, ErrNotOwner, s.id, reason)
 	}
-	s.manager.forget(s)
-	if errors.Is(reason, errHandedOver) || errors.Is(reason, errReopened) || errors.Is(reason, errInterimOver) || s.manager.running.Err() != nil {
+	s.manager.removeOwned(s)
+	if errors.Is(reason, errHandedOver) || errors.Is(reason, errReopened) || errors.Is(reason, errLogRecovered) || s.manager.running.Err() != nil {
 		return
 	}
 	s.manager.counters.lost.Add(1)
 	s.logger.Warn("shard lost", "epoch", uint64(s.Epoch()), "reason", reason)
 }
 
-// forget takes a shard that is gone out of its slot.
-func (m *Manager) forget(shard *ownedShard) {
+// removeOwned removes a lost shard from its slot.
+func (m *Manager) removeOwned(shard *ownedShard) {
 	slot := &m.slots[shard.id]
 	slot.mutex.Lock()
 	if slot.owned == shard {
--- a/internal/journal/proof_test.go
+++ b/internal/journal/proof_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestProofs runs each scenario with the real protocol, which must hold, and with
-// a wrong variant of it, which the same check must catch.
+// TestProofs runs each scenario with the real protocol, which must pass, and with a
+// faulty variant, which the same check must detect.
 func TestProofs(t *testing.T) {
 	for _, proof := range []struct {
 		name  string
--- a/internal/journal/quorum.go
+++ b/internal/journal/quorum.go
@@ -7,16 +7,16 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// WriteQuorum is how many of count replicas must hold a record, or grant a
+// WriteQuorum returns how many of count replicas must have a record, or grant a
 // lease: 2 of 3, 2 of 2, 1 of 1.
 func WriteQuorum(count int) int { return count/2 + 1 }
 
-// ReadQuorum is how many of count replicas a claimant must hear, so that every
-// write quorum has one among them.
+// ReadQuorum returns how many of count replicas must respond to a claimant, so that
+// they include a member of every write quorum.
 func ReadQuorum(count int) int { return count - WriteQuorum(count) + 1 }
 
-// reached returns the highest value that a write quorum of values has reached.
-func reached(values []uint64) uint64 {
+// quorumValue returns the highest value that a write quorum of values reaches.
+func quorumValue(values []uint64) uint64 {
 	if len(values) == 0 {
 		return 0
 	}
@@ -26,7 +26,7 @@
 }
 
 // leaseEnd returns when a lease ends whose renewals were sent at the times in
-// granted (zero where none was granted): the end that a write quorum agrees on.
+// granted (zero if not granted): the latest end that a write quorum grants.
 func leaseEnd(granted []time.Time, terms LeaseTerms) time.Time {
 	if len(granted) == 0 {
 		return time.Time{}
@@ -40,23 +40,24 @@
 	return agreed.Add(terms.Duration)
 }
 
-// survey counts what the replicas of a claim answered to a claimant.
-type survey struct {
-	count    int
-	answered int
-	gone     int
+// responseCount counts the replicas of a claim that responded to a claimant.
+type responseCount struct {
+	replicas  int
+	answered  int
+	restarted int
 }
 
-// complete tells whether enough answered: a read quorum, or all that can.
-func (s survey) complete() bool {
-	return s.answered >= ReadQuorum(s.count) || (s.answered+s.gone == s.count && s.gone > 0)
+// complete reports whether enough replicas responded: a read quorum, or all that
+// were not restarted if that leaves too few.
+func (s responseCount) complete() bool {
+	return s.answered >= ReadQuorum(s.replicas) || (s.answered+s.restarted == s.replicas && s.restarted > 0)
 }
 
-// mayLack tells whether records that were held may be among the lost: every
-// copy that a write quorum needs one of is gone.
-func (s survey) mayLack() bool { return s.answered < ReadQuorum(s.count) }
+// mayMissRecords reports whether acknowledged records may be lost: fewer replicas
+// than a read quorum still have their tail.
+func (s responseCount) mayMissRecords() bool { return s.answered < ReadQuorum(s.replicas) }
 
-// accepts tells whether a tail of epoch belongs to the ownership of claim.
+// accepts reports whether a tail of epoch belongs to the ownership of claim.
 func (c *Claim) accepts(epoch identity.Epoch) bool {
 	return epoch >= c.TailFrom && epoch <= c.Epoch && epoch > 0
 }
--- a/internal/journal/quorum_test.go
+++ b/internal/journal/quorum_test.go
@@ -10,7 +10,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-func TestQuorumsMeet(t *testing.T) {
+func TestQuorumsIntersect(t *testing.T) {
 	is := is.New(t)
 	for count := 1; count <= 5; count++ {
 		is.True(WriteQuorum(count)+ReadQuorum(count) > count)
@@ -18,16 +18,16 @@
 	is.Equal([]int{WriteQuorum(1), WriteQuorum(2), WriteQuorum(3)}, []int{1, 2, 2})
 }
 
-// leaseOverlap draws renewals that take any time, an owner's clock that is slower
-// than the replicas' by up to one part in ten, and a claimant that hears any read
-// quorum. It returns how long the owner still serves when the claimant may start.
+// leaseOverlap generates renewals with random delays, an owner's clock that is up to
+// 10% slower than the replicas', and a claimant that reaches a random read quorum. It
+// returns how long the owner still serves when the claimant may start.
 func leaseOverlap(t *rapid.T, terms LeaseTerms) time.Duration {
 	const count = 3
 	start := time.Unix(0, 0)
 	slow := 1 + rapid.Float64Range(0, 0.1).Draw(t, "drift")
 	var replicas [count]Replica
 	granted := make([]time.Time, count)
-	// The owner's times are kept by its own clock, the replicas' by real time.
+	// The owner's times are on its own clock, the replicas' are in real time.
 	for range rapid.IntRange(1, 12).Draw(t, "renewals") {
 		sent := rapid.IntRange(0, 10_000).Draw(t, "sent")
 		at := rapid.IntRange(0, count-1).Draw(t, "replica")
@@ -59,7 +59,7 @@
 			t.Fatalf("owner and claimant overlap by %v", overlap)
 		}
 	})
-	// Without the margin for drift the same draws find an overlap.
+	// Without the margin for drift the same generator must find an overlap.
 	terms.Drift = 0
 	longest := time.Duration(0)
 	for seed := range 500 {
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -9,29 +9,29 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// ErrDamaged tells that bytes in a log stream are no journal record.
-var ErrDamaged = errors.New("journal: damaged log record")
+// ErrCorrupt reports that bytes in a log stream are not a valid journal record.
+var ErrCorrupt = errors.New("journal: damaged log record")
 
-// RecordID is unique over all log records of a site, so that a record that
-// landed twice after a lost answer is counted once.
+// RecordID is unique over all log records of a site. A record that is appended again
+// after a request whose outcome was unknown takes effect once.
 type RecordID [16]byte
 
-// RecordKind numbers the kinds of log records. Numbers are never reused.
+// RecordKind is the type of a log record. Numbers are never reused.
 type RecordKind uint8
 
 // The kinds of log records.
 const (
-	// ClaimRecord takes the shard for a new epoch.
+	// ClaimRecord claims the shard for a new epoch.
 	ClaimRecord RecordKind = iota + 1
-	// BatchRecord holds records of the shard's state machine.
+	// BatchRecord contains records of the shard's state machine.
 	BatchRecord
-	// SnapshotRecord holds the whole state, and the claims that stand; a fold may
-	// start at it.
+	// SnapshotRecord contains the full state and the current claims; reading may start
+	// at it.
 	SnapshotRecord
-	// ActivatedRecord tells that the tail of the former epoch stands in the log,
-	// so that the claim's own replica set is the one to ask from here on.
+	// ActivatedRecord means that the tail of the former epoch is in the log. From here
+	// on a claimant recovers from the replica set of the activated claim.
 	ActivatedRecord
-	// ReleasedRecord tells that the owner stopped and that the log holds all.
+	// ReleasedRecord means that the owner stopped and that all records are in the log.
 	ReleasedRecord
 )
 
@@ -43,7 +43,7 @@
 type Claim struct {
 	Epoch identity.Epoch
 	// TailFrom is the lowest epoch whose records at the replicas belong to this
-	// ownership. It is lower than Epoch where the same owner claimed again.
+	// ownership. It is lower than Epoch if the same owner claimed again.
 	TailFrom identity.Epoch
 	Owner    identity.Node
 	Replicas []identity.Node
@@ -55,22 +55,23 @@
 	ID    RecordID
 	Shard identity.ShardID
 	Epoch identity.Epoch
-	// Base is the offset from which a fold that wants to include this record must
-	// start: the newest valid snapshot known to the writer, or 0.
+	// Base is the offset from which a reader must start to include this record: the
+	// newest valid snapshot known to the writer, or 0.
 	Base siteservices.Offset
-	// Index is the last state machine record that the log holds before a batch,
-	// and at any other record. State machine records count from 1 over all epochs.
+	// Index is the index of the last state machine record in the log before this
+	// record; for a snapshot, of the last one that State covers. State machine records
+	// are numbered from 1 over all epochs.
 	Index uint64
-	// Entries are the state machine records of a batch: Index+1 and on.
+	// Entries are the state machine records of a batch, the first with Index+1.
 	Entries [][]byte
 	// State is the snapshot after record Index.
 	State []byte
-	// Claim is the claim of a claim record, and the standing one of a snapshot.
+	// Claim is the claim of a claim record, or the current claim of a snapshot.
 	Claim Claim
-	// Active is the activated claim that a snapshot follows.
+	// Active is the active claim of a snapshot.
 	Active Claim
-	// Owner is whose claim an activated record activates: it may stand in one
-	// append with its claim, which may lose its race.
+	// Owner is the owner whose claim an activated record activates. It is needed because
+	// the activation may be in the same append as a claim that loses its race.
 	Owner identity.Reference
 }
 
@@ -101,11 +102,11 @@
 	return e.Bytes()
 }
 
-// DecodeRecord reads what Encode wrote; errors wrap ErrDamaged.
+// DecodeRecord decodes the result of Encode; errors wrap ErrCorrupt.
 func DecodeRecord(raw []byte) (Record, error) {
 	d := wire.NewDecoder(raw)
 	if format := d.Uint8(); format != recordFormat && d.Err() == nil {
-		return Record{}, fmt.Errorf("%w: format %d", ErrDamaged, format)
+		return Record{}, fmt.Errorf("%w: format %d", ErrCorrupt, format)
 	}
 	r := Record{Kind: RecordKind(d.Uint8())}
 	for i := range r.ID {
@@ -131,7 +132,7 @@
 		d.Fail(fmt.Errorf("kind %d", r.Kind))
 	}
 	if err := d.Finish(); err != nil {
-		return Record{}, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return Record{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return r, nil
 }
--- a/internal/journal/renew.go
+++ b/internal/journal/renew.go
@@ -7,8 +7,8 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// renewLoop renews the leases of all owned shards, with one message per replica
-// node for all its shards.
+// renewLoop renews the leases of all owned shards, with one request to each replica
+// node.
 func (m *Manager) renewLoop(ctx context.Context) {
 	ticker := time.NewTicker(m.config.RenewInterval)
 	defer ticker.Stop()
@@ -22,33 +22,33 @@
 	}
 }
 
-// renewalRound is what one replica node is asked for at once.
-type renewalRound struct {
+// renewalBatch has the renewals for one replica node.
+type renewalBatch struct {
 	node     identity.Node
 	renewals []Renewal
 	shards   []*ownedShard
 }
 
-// renew sends one round for shards and does not wait for the answers, so that a
-// slow replica does not hold up the others.
+// renew sends the renewals of shards and does not wait for the responses, so that a
+// slow replica does not delay the others.
 func (m *Manager) renew(ctx context.Context, shards []*ownedShard) {
-	for _, round := range collectRounds(shards) {
-		m.tasks.Go(func() { m.renewAt(ctx, round) })
+	for _, round := range batchRenewals(shards) {
+		m.tasks.Go(func() { m.sendRenewals(ctx, round) })
 	}
 }
 
-func collectRounds(shards []*ownedShard) map[identity.Reference]*renewalRound {
-	rounds := map[identity.Reference]*renewalRound{}
+func batchRenewals(shards []*ownedShard) map[identity.Reference]*renewalBatch {
+	rounds := map[identity.Reference]*renewalBatch{}
 	for _, shard := range shards {
 		shard.mutex.Lock()
-		renewal := Renewal{Shard: shard.id, Epoch: shard.claim.Epoch, Logged: shard.logged, Term: shard.term, Quiet: shard.quiet}
+		renewal := Renewal{Shard: shard.id, Epoch: shard.claim.Epoch, Logged: shard.logged, Term: shard.term, RevokedThrough: shard.revokedThrough}
 		for reference, link := range shard.links {
-			if link.gone {
+			if link.restarted {
 				continue
 			}
 			round := rounds[reference]
 			if round == nil {
-				round = &renewalRound{node: link.node}
+				round = &renewalBatch{node: link.node}
 				rounds[reference] = round
 			}
 			round.renewals = append(round.renewals, renewal)
@@ -59,21 +59,21 @@
 	return rounds
 }
 
-func (m *Manager) renewAt(ctx context.Context, round *renewalRound) {
+func (m *Manager) sendRenewals(ctx context.Context, round *renewalBatch) {
 	ctx, cancel := context.WithTimeout(ctx, m.config.Lease.Duration)
 	defer cancel()
-	// The lease counts from before the message leaves: however long it is under
-	// way, the replica's own count begins later.
+	// The lease counts from before the request is sent, so that it ends before the
+	// replica's own count, which starts on receipt.
 	sentAt := time.Now()
-	request := &renewMessage{To: round.node.Reference(), Owner: m.config.Self.Reference(), Renewals: round.renewals}
+	request := &renewRequest{To: round.node.Reference(), Owner: m.config.Self.Reference(), Renewals: round.renewals}
 	message, err := m.call(ctx, round.node, request, nil)
 	if m.running.Err() == nil {
-		m.reach.note(round.node.Reference(), err == nil)
+		m.reachability.recordOutcome(round.node.Reference(), err == nil)
 	}
 	if err != nil {
 		return
 	}
-	answer, fits := message.(*renewAnswer)
+	answer, fits := message.(*renewResponse)
 	if !fits {
 		return
 	}
@@ -82,29 +82,29 @@
 		fenced[shard] = true
 	}
 	for i, shard := range round.shards {
-		shard.takeRenewal(round.node, sentAt, round.renewals[i], answer.OtherLife, fenced[shard.id])
+		shard.handleRenewal(round.node, sentAt, round.renewals[i], answer.OtherIncarnation, fenced[shard.id])
 	}
 }
 
-func (s *ownedShard) takeRenewal(node identity.Node, sentAt time.Time, renewal Renewal, otherLife, fenced bool) {
+func (s *ownedShard) handleRenewal(node identity.Node, sentAt time.Time, renewal Renewal, otherLife, fenced bool) {
 	s.mutex.Lock()
 	current := s.claim.Epoch
 	link := s.links[node.Reference()]
 	switch {
-	case link == nil || s.gone != nil:
+	case link == nil || s.lossReason != nil:
 	case otherLife:
-		s.loseReplica(link)
+		s.markRestarted(link)
 		s.updateLease()
 	case !fenced:
 		link.granted = later(link.granted, sentAt)
-		if link.quiet < renewal.Quiet {
-			link.quiet = renewal.Quiet
-			s.kickWriter()
+		if link.revokedThrough < renewal.RevokedThrough {
+			link.revokedThrough = renewal.RevokedThrough
+			s.signalWriter()
 		}
 		s.updateLease()
 	}
 	s.mutex.Unlock()
 	if fenced && renewal.Epoch == current {
-		s.contest(node)
+		s.handleRenewalRejected(node)
 	}
 }
