--- a/internal/journal/replace.go
+++ b/internal/journal/replace.go
@@ -12,39 +12,39 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// replacement is a claim of the same owner on its way, with other replicas.
+// replacement is a pending claim of the same owner with other replicas.
 type replacement struct {
 	replicas []identity.Node
-	// ready is true once the replicas took the tail and granted the lease.
+	// ready is true once the replicas have the tail and granted the lease.
 	ready bool
-	// joint is true from the moment when records and the lease need both sets of
-	// replicas: from before the claim is appended until it is activated, the log
-	// may name either set to a claimant.
+	// joint is true while records and the lease need quorums of both replica sets: from
+	// before the claim is appended until it is activated, a claimant may find either set
+	// in the log.
 	joint bool
 }
 
-// exchangeReplicas begins to exchange the replicas for those that the shard should
-// have now: they take the tail beside the present ones. The writer claims with them
-// once they hold it, so that it goes on writing meanwhile.
-func (s *ownedShard) exchangeReplicas() {
+// startReplacement starts to replace the replicas by the desired ones, which receive
+// the tail in addition to the current ones. The writer claims with them once they
+// have it, and continues to write until then.
+func (s *ownedShard) startReplacement() {
 	replicas := s.manager.wantedReplicas(s.id, s.manager.view())
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.next != nil {
-		s.kickWriter()
+		s.signalWriter()
 		return
 	}
-	if s.moving || s.gone != nil || s.arming > 0 || s.term > 0 || sameReplicas(replicas, s.claim.Replicas) || !s.mayExchange(replicas) {
+	if s.handingOver || s.lossReason != nil || s.authorization > 0 || s.term > 0 || sameReplicas(replicas, s.claim.Replicas) || !s.mayReplace(replicas) {
 		return
 	}
 	next := &replacement{replicas: replicas}
 	s.next = next
 	s.addLinks(replicas)
-	s.kickLinks()
+	s.startSenders()
 	s.manager.tasks.Go(func() { s.copyTail(next) })
 }
 
-// copyTail waits until the new replicas hold the tail, or gives them up.
+// copyTail waits until the new replicas have the tail, or abandons the replacement.
 func (s *ownedShard) copyTail(next *replacement) {
 	err := s.awaitReplicas(next, s.manager.config.CopyTimeout)
 	s.mutex.Lock()
@@ -53,30 +53,29 @@
 	case s.next != next:
 	case err != nil:
 		s.logger.Warn("replicas not replaced", "error", err)
-		s.abandonReplicas()
+		s.abandonReplacement()
 	default:
 		next.ready = true
-		s.kickWriter()
+		s.signalWriter()
 	}
 }
 
-// takeReplacement returns the replicas that the writer is to claim with now, nil
-// if there are none.
+// takeReplacement returns the replacement to claim with, or nil if none is ready.
 func (s *ownedShard) takeReplacement() *replacement {
 	away := s.manager.health.isDown()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.next == nil || !s.next.ready || s.moving || away {
+	if s.next == nil || !s.next.ready || s.handingOver || away {
 		return nil
 	}
 	s.replacing = true
 	return s.next
 }
 
-// replaceReplicas claims the shard again with next, while it goes on serving. An
-// error tells that the shard is lost.
+// replaceReplicas claims the shard again with next while it is served. An error
+// means that the shard is lost.
 func (s *ownedShard) replaceReplicas(stream *stream, next *replacement) error {
-	err := s.claimAgain(stream, next)
+	err := s.reclaim(stream, next)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.replacing = false
@@ -84,30 +83,31 @@
 		return err
 	}
 	s.logger.Warn("replicas not replaced", "error", err)
-	s.abandonReplicas()
+	s.abandonReplacement()
 	return nil
 }
 
-// beginMove starts a planned stop unless the writer claims with other replicas:
-// that must not be cut short, because the log may name either set meanwhile.
-func (s *ownedShard) beginMove() bool {
+// beginHandOver starts a planned stop and reports whether it did. It does not while
+// the writer claims with other replicas, which must not be interrupted because the
+// log may name either set meanwhile.
+func (s *ownedShard) beginHandOver() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.replacing || s.moving || s.gone != nil || s.arming > 0 || !s.settled || s.claiming {
+	if s.replacing || s.handingOver || s.lossReason != nil || s.authorization > 0 || !s.revocationConfirmed || s.claiming {
 		return false
 	}
-	s.moving = true
+	s.handingOver = true
 	if s.next != nil {
-		s.abandonReplicas()
+		s.abandonReplacement()
 	}
 	return true
 }
 
-// mayExchange tells whether the owner may let its replicas go for others. Without
-// the consent of the present ones it may not go down to fewer: a node that is cut
-// off from its peers but not from the log would else take the shard along where
-// nobody can follow. The caller holds mutex.
-func (s *ownedShard) mayExchange(replicas []identity.Node) bool {
+// mayReplace reports whether the owner may replace its replicas. It may reduce their
+// number only if a read quorum of the current ones consents: a node that is
+// partitioned from its peers but not from the log could otherwise move the shard to
+// replicas that no other node can reach. The caller holds mutex.
+func (s *ownedShard) mayReplace(replicas []identity.Node) bool {
 	if len(replicas) == 0 {
 		return false
 	}
@@ -115,15 +115,15 @@
 	consent := 0
 	for _, replica := range present {
 		link := s.links[replica.Reference()]
-		if link != nil && (link.gone || time.Since(link.granted) < s.manager.config.Lease.Duration) {
+		if link != nil && (link.restarted || time.Since(link.granted) < s.manager.config.Lease.Duration) {
 			consent++
 		}
 	}
 	return len(replicas) >= len(present) || consent >= ReadQuorum(len(present))
 }
 
-// wantedReplicas returns where the tail of shard should be while this node owns
-// it, by view.
+// wantedReplicas returns the desired replicas of shard for view while this node owns
+// it.
 func (m *Manager) wantedReplicas(shard identity.ShardID, view membership.View) []identity.Node {
 	assignment, placed := m.config.Desired(shard, m.reachable(view))
 	if !placed {
@@ -136,7 +136,7 @@
 	}) {
 		return replicas
 	}
-	// Another node should own the shard: it takes this node's place in the set.
+	// Another node should own the shard: it replaces this node in the set.
 	for i := range replicas {
 		if replicas[i].Reference() == self {
 			replicas[i] = assignment.Owner
@@ -149,25 +149,25 @@
 	if len(a) != len(b) {
 		return false
 	}
-	return !slices.ContainsFunc(a, func(node identity.Node) bool { return !holdsLife(b, node) })
+	return !slices.ContainsFunc(a, func(node identity.Node) bool { return !containsIncarnation(b, node) })
 }
 
-func holdsLife(nodes []identity.Node, node identity.Node) bool {
+func containsIncarnation(nodes []identity.Node, node identity.Node) bool {
 	return slices.ContainsFunc(nodes, func(other identity.Node) bool {
 		return other.Reference() == node.Reference()
 	})
 }
 
-// errNotCopied tells that the new replicas could not be brought up to date.
+// errNotCopied reports that the new replicas could not be brought up to date.
 var errNotCopied = errors.New("journal: tail not copied to the new replicas")
 
-// claimAgain claims the next epoch for this owner with the replicas of next. The
-// shard serves on meanwhile, since nobody else can have been activated in between:
-// records and lease need both sets of replicas from here on, the claim and its
-// activation go to the log, and then the old replicas are let go.
-func (s *ownedShard) claimAgain(stream *stream, next *replacement) error {
-	defer s.forbidArming()()
-	if err := s.awaitSettled(); err != nil {
+// reclaim claims the next epoch for this owner with the replicas of next. The shard
+// is served meanwhile, since no other claim can be activated in between: records and
+// the lease need quorums of both replica sets until the claim and its activation are
+// in the log; then the old replicas are dropped.
+func (s *ownedShard) reclaim(stream *stream, next *replacement) error {
+	defer s.forbidAuthorization()()
+	if err := s.awaitRevocation(); err != nil {
 		return err
 	}
 	s.mutex.Lock()
@@ -178,7 +178,7 @@
 		return err
 	}
 	for attempt := 0; ; attempt++ {
-		done, err := s.appendClaimAgain(stream, next.replicas)
+		done, err := s.appendReclaim(stream, next.replicas)
 		if done || err != nil {
 			return err
 		}
@@ -188,11 +188,11 @@
 	}
 }
 
-// copyPoll is the time between two looks at how far the new replicas got.
+// copyPoll is the interval at which progress of the new replicas is checked.
 const copyPoll = 20 * time.Millisecond
 
-// awaitReplicas waits until the replicas of next hold all that is enqueued so far,
-// and their lease runs.
+// awaitReplicas waits until the replicas of next have all records enqueued before
+// the call, and granted the lease.
 func (s *ownedShard) awaitReplicas(next *replacement, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
 	defer cancel()
@@ -216,24 +216,24 @@
 	if s.next != next {
 		return false, fmt.Errorf("%w: given up", errNotCopied)
 	}
-	s.kickLinks()
-	held := max(reached(s.matches(next.replicas)), s.logged)
-	return held >= goal && s.leaseOf(next.replicas).After(time.Now()), nil
+	s.startSenders()
+	held := max(quorumValue(s.matches(next.replicas)), s.logged)
+	return held >= goal && s.leaseEndOf(next.replicas).After(time.Now()), nil
 }
 
-// abandonReplicas gives up an exchange whose claim was not appended. The caller
+// abandonReplacement ends a replacement whose claim was not appended. The caller
 // holds mutex.
-func (s *ownedShard) abandonReplicas() {
+func (s *ownedShard) abandonReplacement() {
 	s.next = nil
 	s.updateLease()
 	s.advance()
 	s.dropLinks()
 }
 
-// appendClaimAgain appends the claim and, once it was read back as valid, its
-// activation. It returns false where a claim of another node came in between that
-// is not activated.
-func (s *ownedShard) appendClaimAgain(stream *stream, replicas []identity.Node) (bool, error) {
+// appendReclaim appends the claim and its activation and reports whether they are
+// valid when read back. It returns false without an error if another node's claim,
+// which is not activated, came first.
+func (s *ownedShard) appendReclaim(stream *stream, replicas []identity.Node) (bool, error) {
 	claim := Claim{
 		Epoch: stream.ledger.Current().Epoch + 1, TailFrom: s.claim.TailFrom,
 		Owner: s.manager.config.Self, Replicas: replicas,
@@ -261,7 +261,7 @@
 	return false, nil
 }
 
-// switchClaim serves on under the new claim.
+// switchClaim makes claim the active one.
 func (s *ownedShard) switchClaim(claim Claim) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -270,7 +270,7 @@
 	s.dropLinks()
 	s.updateLease()
 	s.advance()
-	s.kickLinks()
+	s.startSenders()
 	s.manager.counters.replacements.Add(1)
 	s.logger.Info("replicas replaced", "epoch", uint64(claim.Epoch))
 }
--- a/internal/journal/replica_test.go
+++ b/internal/journal/replica_test.go
@@ -12,27 +12,28 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// replicaModel drives one replica with owners whose messages come late and twice.
+// replicaModel drives one replica with owners whose messages may be late or
+// duplicated.
 type replicaModel struct {
 	replica Replica
 	now     time.Time
 	terms   LeaseTerms
-	// owner is the ownership that writes now; its log holds all up to logged.
+	// owner is the current owner; its log has all records up to logged.
 	owner    identity.Reference
 	epoch    identity.Epoch
 	tailFrom identity.Epoch
 	records  []uint64
 	logged   uint64
-	// acked is the last record that the replica confirmed to this ownership.
+	// acked is the last record that the replica confirmed to this owner.
 	acked uint64
-	// sent are messages that may arrive again.
+	// sent are messages that may be delivered again.
 	sent []Write
-	// promised and granted are what the replica said.
+	// promised and granted are what the replica reported.
 	promised identity.Epoch
 	granted  time.Time
-	// forget is the wrong variant that loses the promise before each message.
+	// forget enables a fault: the promise is lost before each message.
 	forget bool
-	// replace is the wrong variant that lets every whole tail replace what is held.
+	// replace enables a fault: every full tail replaces the tail at the replica.
 	replace bool
 }
 
@@ -61,29 +62,29 @@
 		after = max(m.acked, m.logged)
 	}
 	write := Write{
-		Epoch: m.epoch, Owner: m.owner, TailFrom: m.tailFrom, Whole: whole,
+		Epoch: m.epoch, Owner: m.owner, TailFrom: m.tailFrom, Full: whole,
 		Tail: m.tail(after), Logged: m.logged,
 	}
 	m.sent = append(m.sent, write)
 	if !rapid.Bool().Draw(t, "arrives") {
 		return
 	}
-	if answer := m.deliver(write); answer.Refusal == Granted {
+	if answer := m.deliver(write); answer.Status == Granted {
 		m.acked = max(m.acked, write.Tail.Last())
 	}
 }
 
-func (m *replicaModel) deliver(write Write) WriteAnswer {
+func (m *replicaModel) deliver(write Write) WriteResponse {
 	if m.forget {
 		m.replica.promised = 0
 	}
-	if m.replace && write.Whole && write.Epoch >= m.replica.promised {
+	if m.replace && write.Full && write.Epoch >= m.replica.promised {
 		m.replica.tail = Tail{}
 	}
 	return m.replica.Append(write)
 }
 
-// again lets any message of the past arrive once more.
+// again delivers any earlier message once more.
 func (m *replicaModel) again(t *rapid.T) {
 	if len(m.sent) == 0 {
 		return
@@ -93,7 +94,7 @@
 	m.deliver(write)
 }
 
-// log lets the log take some records; a renewal tells the replica.
+// log writes some records to the log; a renewal reports it to the replica.
 func (m *replicaModel) log(t *rapid.T) {
 	m.logged += rapid.Uint64Range(0, uint64(len(m.records))-m.logged).Draw(t, "logged")
 	renewal := Renewal{Epoch: m.epoch, Logged: m.logged}
@@ -106,11 +107,11 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-// replaceOwner lets a claimant get a promise and go on from what it recovered.
+// replaceOwner lets a claimant get a promise and continue from what it recovered.
 func (m *replicaModel) replaceOwner(t *rapid.T) {
 	epoch := m.epoch + identity.Epoch(rapid.IntRange(1, 2).Draw(t, "epochs"))
 	promise := m.replica.Promise(m.now, epoch)
-	if promise.Refusal != Granted {
+	if promise.Status != Granted {
 		t.Fatalf("a promise of epoch %d was refused", epoch)
 	}
 	if err := m.checkPromise(promise); err != nil {
@@ -163,7 +164,7 @@
 	}
 }
 
-func TestReplicaKeepsWhatItConfirmed(t *testing.T) {
+func TestReplicaRetainsConfirmedRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newReplicaModel()
 		actions := model.actions()
@@ -176,8 +177,8 @@
 	})
 }
 
-// TestReplicaWrongVariants shows that the check can fail.
-func TestReplicaWrongVariants(t *testing.T) {
+// TestReplicaChecksDetectFaults checks that the model detects faulty variants.
+func TestReplicaChecksDetectFaults(t *testing.T) {
 	for name, spoil := range map[string]func(*replicaModel){
 		"promise forgotten":         func(m *replicaModel) { m.forget = true },
 		"late whole tail takes all": func(m *replicaModel) { m.replace = true },
--- a/internal/journal/scenario_test.go
+++ b/internal/journal/scenario_test.go
@@ -19,20 +19,20 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// variant is a deliberate fault of the protocol that a test must catch; the zero
+// variant is a deliberate fault in the protocol that a test must detect; the zero
 // value is the real protocol.
 type variant struct {
 	log    func(siteservices.Log) siteservices.Log
 	client func(peer.Client) peer.Client
-	// handle changes what a node answers as a replica, also to itself.
+	// handle changes a node's responses as a replica, including those to itself.
 	handle func(node *testNode, next peer.HandlerFunc) peer.HandlerFunc
-	// noLeaseCheck lets hosts act without a look at the lease.
+	// noLeaseCheck makes hosts skip the lease check before a response.
 	noLeaseCheck bool
-	// slowLease is no fault: longer leases, so that hours of virtual time are short.
+	// slowLease is no fault: longer leases make hours of virtual time faster to run.
 	slowLease bool
 }
 
-// blindLog takes an answer that got lost for success, without reading back.
+// blindLog treats an append whose outcome is unknown as a success.
 type blindLog struct {
 	siteservices.Log
 	mutex sync.Mutex
@@ -61,31 +61,31 @@
 	return result, err
 }
 
-// anyLife lets a restarted replica answer in the name of its former life.
+// anyLife lets a restarted replica respond on behalf of its former incarnation.
 func anyLife(node *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 	return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 		switch request := request.(type) {
-		case *promiseMessage:
+		case *promiseRequest:
 			request.To = node.node.Reference()
-		case *preVoteMessage:
+		case *preVoteRequest:
 			request.To = node.node.Reference()
 		}
 		return next(ctx, request, sendPart)
 	}
 }
 
-// forgetful lets replicas send no tail with their promise.
+// forgetful makes replicas omit the tail from their promise.
 func forgetful(_ *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 	return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 		message, err := next(ctx, request, sendPart)
-		if promise, fits := message.(*promiseAnswer); fits {
+		if promise, fits := message.(*promiseResponse); fits {
 			promise.TailEpoch = 0
 		}
 		return message, err
 	}
 }
 
-// unfenced lets replicas take records and renewals below the promised epoch.
+// unfenced makes replicas accept records and renewals below the promised epoch.
 func unfenced(node *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 	return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 		if request.Kind() == kindAppend || request.Kind() == kindRenew {
@@ -100,45 +100,45 @@
 	}
 }
 
-// impatient lets replicas keep quiet about leases that they granted.
+// impatient makes replicas report no remaining lease.
 func impatient(_ *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 	return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 		message, err := next(ctx, request, sendPart)
 		switch message := message.(type) {
-		case *promiseAnswer:
+		case *promiseResponse:
 			message.Remaining = 0
-		case *preVoteAnswer:
+		case *preVoteResponse:
 			message.Remaining = 0
 		}
 		return message, err
 	}
 }
 
-// preVoteSkipper claims without a question to the former replicas or the owner.
+// preVoteSkipper claims without querying the former replicas or the owner.
 type preVoteSkipper struct{ peer.Client }
 
 func skipPreVote(client peer.Client) peer.Client { return preVoteSkipper{client} }
 
-// Call answers pre-votes itself.
+// Call responds to pre-votes and hand-over requests itself.
 func (p preVoteSkipper) Call(ctx context.Context, address netip.AddrPort, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
 	switch request.Kind() {
 	case kindPreVote:
-		return &preVoteAnswer{}, nil
+		return &preVoteResponse{}, nil
 	case kindHandOver:
-		return &handOverAnswer{Result: notOwner}, nil
+		return &handOverResponse{Result: notOwner}, nil
 	}
 	return p.Client.Call(ctx, address, request, onPart)
 }
 
-// load keeps adding numbers to one shard, wherever it is served, and remembers
-// which ones it was told are held.
+// load continuously adds numbers to one shard on whichever node serves it, and
+// records which were acknowledged.
 type load struct {
 	site  *testSite
 	shard identity.ShardID
 	// mutex guards acked and count.
 	mutex sync.Mutex
 	acked []uint64
-	// count is of the numbers that no node took.
+	// count is how many numbers found no serving node.
 	count int
 	end   func()
 }
@@ -155,7 +155,7 @@
 	return l
 }
 
-// repeat runs step again and again until the returned function or the site's end.
+// repeat runs step periodically until the returned function or close is called.
 func (s *testSite) repeat(interval time.Duration, step func()) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -194,14 +194,14 @@
 	l.acked = append(l.acked, number)
 }
 
-// refused returns how many numbers no node took so far.
+// refused returns how many numbers found no serving node so far.
 func (l *load) refused() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.count
 }
 
-// replicas returns the replicas of the shard's standing claim.
+// replicas returns the replicas of the shard's active claim.
 func (s *ownedShard) replicas() []identity.Node { return s.standing().Replicas }
 
 func (s *ownedShard) standing() Claim {
@@ -210,11 +210,11 @@
 	return s.claim
 }
 
-// check ends the load and returns an error if the state that is served in the end
-// lacks a number that was acknowledged, or holds one twice.
+// check stops the load and returns an error if an acknowledged number is missing from
+// the state that is served, or a number is in it twice.
 func (l *load) check() error {
 	l.end()
-	// The log lags behind the replicas by the time in which records gather.
+	// The log lags behind the replicas by the batch delay.
 	time.Sleep(time.Second)
 	node := l.site.serving(l.shard)
 	if node == nil {
@@ -239,14 +239,14 @@
 	return nil
 }
 
-// checkLog returns an error if the log alone, folded from its start, gives
-// another state than node serves; the tail must have reached the log.
+// checkLog returns an error if the state read from the log alone differs from the one
+// that is served; the tail must have reached the log.
 func (s *testSite) checkLog(id identity.ShardID) error {
 	ledger := NewLedger(id, 0)
 	machine := &setMachine{}
 	for _, raw := range s.log.Records(StreamName(id)) {
 		step := ledger.Apply(raw)
-		if step.Restored {
+		if step.Restore {
 			machine = &setMachine{}
 			_ = machine.Restore(step.State)
 		}
@@ -264,8 +264,8 @@
 	return nil
 }
 
-// watchOwners returns a function that ends the watch and tells whether two nodes
-// held a running lease of one shard at the same moment.
+// watchOwners returns a function that stops watching and returns an error if two
+// nodes had a valid lease of one shard at the same time.
 func (s *testSite) watchOwners() func() error {
 	var found error
 	end := s.repeat(5*time.Millisecond, func() {
@@ -296,7 +296,7 @@
 	return nil
 }
 
-// settle heals everything and waits until all is served and in the log.
+// settle removes all faults and waits until all shards are served and in the log.
 func (s *testSite) settle() error {
 	s.net.HealAll()
 	s.log.SetFaults(logservice.Faults{})
@@ -311,7 +311,7 @@
 	return s.awaitServing(2 * time.Minute)
 }
 
-// scenario runs body in a bubble over a site of nodes and returns what it found.
+// scenario runs body in a synctest bubble over a site and returns its error.
 func scenario(t *testing.T, v variant, nodes int, body func(site *testSite) error) error {
 	t.Helper()
 	var found error
@@ -328,7 +328,7 @@
 		for i := range nodes {
 			site.start(i)
 		}
-		// Let the replica sets grow to their full size.
+		// Wait until the replica sets have their full size.
 		time.Sleep(10 * time.Second)
 		if err := site.awaitServing(time.Minute); err != nil {
 			t.Fatal(err)
@@ -349,9 +349,8 @@
 	return errors.Join(site.settle(), load.check())
 }
 
-// restartReplica restarts one replica that holds the tail, cuts off the other one
-// that does, and kills the owner: of three replicas the newcomer and one that
-// lags behind can answer.
+// restartReplica restarts one replica that has the tail, partitions the other, and
+// kills the owner: only the restarted replica and one that lags behind can respond.
 func restartReplica(site *testSite) error {
 	owner := site.serving(0)
 	replicas := owner.manager.slots[0].load().replicas()
@@ -376,8 +375,8 @@
 	return i
 }
 
-// freezeOwner stops the owner's process past its lease, between its look at the
-// lease and what it does then.
+// freezeOwner pauses the owner's process past its lease, between its lease check and
+// the action that depends on it.
 func freezeOwner(site *testSite) error {
 	owner := site.serving(0)
 	open := owner.host.open(0)
@@ -390,7 +389,7 @@
 	time.Sleep(100 * time.Millisecond)
 	site.refreshWith(map[identity.NodeName]membership.Status{owner.node.Name: membership.Dead})
 	time.Sleep(10 * time.Second)
-	// Awake again, it goes on where it was: past the check.
+	// The resumed process continues after its lease check.
 	site.log.SetFaults(logservice.Faults{AppendDelay: time.Second})
 	owner.endpoint.Thaw()
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -402,8 +401,8 @@
 	return errors.Join(site.settle(), load.check())
 }
 
-// cutOwner cuts the owner off from all nodes but not from the log, which answers
-// it too slowly to tell it of other claims before its lease ends.
+// cutOwner partitions the owner from all nodes but not from the log, which is too slow
+// to show it other claims before its lease ends.
 func cutOwner(site *testSite) error {
 	owners := site.watchOwners()
 	owner := site.serving(0)
@@ -418,8 +417,8 @@
 	return errors.Join(site.settle(), load.check(), owners())
 }
 
-// cutClaimant cuts a node off from all others but not from the log. By its own
-// view it is alone and so wants every shard: it must leave them alone.
+// cutClaimant partitions a node from all others but not from the log. In its own
+// membership view it is alone and should own every shard: it must not claim them.
 func cutClaimant(site *testSite) error {
 	owner := site.serving(0)
 	owners := site.watchOwners()
@@ -457,7 +456,7 @@
 	return count
 }
 
-// loseAnswers loses answers of the log, before and after the effect.
+// loseAnswers loses requests to the log and its responses.
 func loseAnswers(site *testSite) error {
 	owners := site.watchOwners()
 	load := site.load(0)
--- a/internal/journal/schedule_test.go
+++ b/internal/journal/schedule_test.go
@@ -18,15 +18,15 @@
 	"stepseam.example/stepseam/internal/membership"
 )
 
-// The random schedules run over this many nodes; a test run takes this many of
-// them, or as many as the environment says.
+// Number of nodes of a random schedule, and the default number of schedules, which an
+// environment variable overrides.
 const (
 	scheduleNodes     = 6
 	defaultSchedules  = 8
 	schedulesVariable = "SCHEDULES"
 )
 
-// event is one thing that happens to the site, after a pause.
+// event is one fault or operation, after a pause.
 type event struct {
 	pause time.Duration
 	kind  string
@@ -41,7 +41,7 @@
 	"log down", "log slow", "log loses", "log well", "net loses", "net well", "drain owner", "isolate owner",
 }
 
-// schedules draws lists of events.
+// schedules generates lists of events.
 var schedules = rapid.Custom(func(t *rapid.T) []event {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
 		return event{
@@ -53,24 +53,24 @@
 	}), 8, 24).Draw(t, "events")
 })
 
-// chaos applies events to a site. Copies that a write quorum needs may all die
-// only if that breaks no promise: two nodes are never dead or frozen at once
-// before the tails of the first are with others again.
+// chaos applies events to a site. It never stops a second process before the tails of
+// the first are replicated again, since losing all copies of a write quorum is allowed
+// to lose records.
 type chaos struct {
 	site *testSite
-	// dead is the node that is down now, -1 if none is; since tells when it died.
+	// dead is the node that is stopped, -1 if none is; since is when that changed.
 	dead  int
 	since time.Time
-	// logBack is when the last outage ended; whole tells that all sets of replicas
-	// were whole when the present one began, and struck that a process was stopped
-	// in it: sets of replicas stay as they are in an outage, so only one may be.
+	// logBack is when the last outage of the log ended. whole is true if all replica sets
+	// were complete when the current outage began; struck is true if a process was stopped
+	// during it. Replica sets do not change in an outage, so only one process may stop.
 	logBack time.Time
 	whole   bool
 	struck  bool
 }
 
-// recoveryTime is how long after a death the next one may come: until the sets
-// of replicas are whole again, provided that the log is up.
+// recoveryTime is the minimum time between two stops, in which replica sets become
+// complete again while the log is available.
 const recoveryTime = 15 * time.Second
 
 func (c *chaos) apply(e event) {
@@ -124,7 +124,7 @@
 			cancel()
 			node.kill()
 			c.dead, c.since = number(node.node.Name), time.Now()
-			_ = err // with the log away the tails stay with the other replicas
+			_ = err // fails if the log is unavailable; the tails stay with the replicas
 		}
 	default:
 		if c.mayStop() && node != nil {
@@ -172,7 +172,7 @@
 
 func name(i int) identity.NodeName { return identity.NodeName(fmt.Sprintf("n%d", i)) }
 
-// trackMembers gives all nodes views that lag behind what happens.
+// trackMembers gives all nodes membership views that lag behind events.
 func (s *testSite) trackMembers() {
 	frozen := map[identity.NodeName]time.Time{}
 	s.repeat(400*time.Millisecond, func() {
@@ -221,8 +221,8 @@
 	return found
 }
 
-// TestRandomSchedules mixes deaths, freezes, cuts, lost messages, planned stops
-// and faults of the log. SCHEDULES=n runs n of them.
+// TestRandomSchedules combines crashes, process pauses, partitions, lost messages,
+// planned stops and log faults. SCHEDULES=n runs n schedules.
 func TestRandomSchedules(t *testing.T) {
 	count := defaultSchedules
 	if given, err := strconv.Atoi(os.Getenv(schedulesVariable)); err == nil {
--- a/internal/journal/site_test.go
+++ b/internal/journal/site_test.go
@@ -27,7 +27,7 @@
 	shards  int
 	seed    uint64
 	variant variant
-	// cleanups end what runs beside the nodes.
+	// cleanups stop background goroutines of the site.
 	cleanups []func()
 	// mutex guards nodes.
 	mutex sync.Mutex
@@ -35,7 +35,7 @@
 	tune  func(*Config)
 }
 
-// testNode is one life of one node.
+// testNode is one incarnation of one node.
 type testNode struct {
 	site     *testSite
 	node     identity.Node
@@ -62,7 +62,7 @@
 
 var testZones = []identity.Zone{"north", "centre", "south"}
 
-// start brings up a new life of node number i, n0 on.
+// start starts a new incarnation of node n<i>.
 func (s *testSite) start(i int) *testNode {
 	name := identity.NodeName(fmt.Sprintf("n%d", i))
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7000)
@@ -122,7 +122,7 @@
 	return test
 }
 
-// refresh tells every node which nodes live.
+// refresh updates the membership view of every node.
 func (s *testSite) refresh() { s.refreshWith(nil) }
 
 func (s *testSite) refreshWith(status map[identity.NodeName]membership.Status) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// kill ends the node's life at once; the others learn of it by refresh.
+// kill crashes the node; refresh reports it to the others.
 func (n *testNode) kill() {
 	n.endpoint.Kill()
 	n.stop()
@@ -160,7 +160,7 @@
 	return s.nodes[name]
 }
 
-// all returns the nodes that live, in order of their names.
+// all returns the running nodes, sorted by name.
 func (s *testSite) all() []*testNode {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -173,7 +173,7 @@
 	return nodes
 }
 
-// isolate cuts node off from all others, in both directions.
+// isolate partitions node from all others, in both directions.
 func (s *testSite) isolate(node *testNode) {
 	for _, other := range s.all() {
 		s.net.Cut(node.node.Name, other.node.Name)
@@ -181,7 +181,7 @@
 	}
 }
 
-// close ends all nodes, so that the bubble may end.
+// close stops all nodes, so that the synctest bubble can end.
 func (s *testSite) close() {
 	for _, cleanup := range s.cleanups {
 		cleanup()
@@ -192,11 +192,11 @@
 		<-node.done
 	}
 	s.net.Close()
-	// What is under way in the network ends by itself.
+	// Wait for messages in flight to expire.
 	time.Sleep(time.Minute)
 }
 
-// gatedLog is the log as a process sees it that can be frozen or killed.
+// gatedLog is the log as seen by a process that can be paused or killed.
 type gatedLog struct {
 	endpoint *network.Endpoint
 	log      siteservices.Log
@@ -224,7 +224,7 @@
 	return result, err
 }
 
-// setMachine holds a set of numbers, each with how often it was applied.
+// setMachine is a list of the numbers that were applied.
 type setMachine struct {
 	mutex sync.Mutex
 	order []uint64
@@ -311,8 +311,8 @@
 	return h.shards[id]
 }
 
-// add puts a number into the shard, as a host does: apply and enqueue under the
-// shard's lock, wait outside of it, and check the lease before the answer.
+// add adds a number as a host does: apply and enqueue under the shard's lock, wait
+// outside of it, and check the lease before responding.
 func (o *openShard) add(ctx context.Context, number uint64, durable bool) error {
 	record := binary.BigEndian.AppendUint64(nil, number)
 	o.mutex.Lock()
@@ -336,8 +336,8 @@
 	return o.shard.CheckLease()
 }
 
-// addUnchecked is the rest of add for a process that was stopped right after its
-// look at the lease. With careless set it answers without looking again.
+// addUnchecked is add after its first lease check, for a process that was paused
+// there. With careless set it also skips the second check.
 func (o *openShard) addUnchecked(ctx context.Context, number uint64, careless bool) error {
 	record := binary.BigEndian.AppendUint64(nil, number)
 	o.mutex.Lock()
@@ -353,7 +353,7 @@
 	return o.shard.CheckLease()
 }
 
-// serving returns the node that serves shard under a running lease, or nil.
+// serving returns the node that serves shard id under a valid lease, or nil.
 func (s *testSite) serving(id identity.ShardID) *testNode {
 	for _, node := range s.all() {
 		if node.endpoint.Frozen() {
--- a/internal/journal/stats.go
+++ b/internal/journal/stats.go
@@ -2,45 +2,46 @@
 
 import "sync/atomic"
 
-// Stats is what a Manager has done since its start, and what it holds now.
+// Stats has a Manager's counters since its start, and its current state.
 type Stats struct {
-	// Owned counts the shards served, LapsedLeases those of them that are not
-	// served now because the lease ran out.
+	// Owned counts the shards owned; LapsedLeases counts those of them that are not
+	// served because the lease expired.
 	Owned        int
 	LapsedLeases int
-	// TailRecords and TailBytes are what the owned shards have that the log lacks.
+	// TailRecords and TailBytes count the records of owned shards that are not in the
+	// log.
 	TailRecords int
 	TailBytes   int
-	// ReplicaShards and ReplicaBytes are what is held for other owners.
+	// ReplicaShards and ReplicaBytes count the tails stored for other owners.
 	ReplicaShards int
 	ReplicaBytes  int
-	// LogDown is true while the log service does not answer.
+	// LogDown is true while the log is unavailable.
 	LogDown bool
-	// Claims counts shards opened after a claim, ClaimsFailed tries that ended
-	// otherwise, Replacements claims made to exchange replicas.
+	// Claims counts shards opened after a claim, ClaimsFailed the claims that failed,
+	// Replacements the claims that replaced replicas.
 	Claims       uint64
 	ClaimsFailed uint64
 	Replacements uint64
-	// HandOvers counts shards handed over, Lost shards taken over by others.
+	// HandOvers counts shards handed over, Lost shards taken over by other nodes.
 	HandOvers uint64
 	Lost      uint64
 	// Interims counts shards opened without the log.
 	Interims uint64
-	// MayLack counts recoveries after all copies that could complete the tail were
-	// gone: records that were acknowledged may be missing.
+	// MayLack counts recoveries from too few replicas: acknowledged records may be
+	// missing.
 	MayLack uint64
-	// Records and RecordBytes count what was enqueued.
+	// Records and RecordBytes count enqueued records.
 	Records     uint64
 	RecordBytes uint64
-	// LogAppends, LogBytes and Snapshots count what was written to the log.
+	// LogAppends, LogBytes and Snapshots count writes to the log.
 	LogAppends uint64
 	LogBytes   uint64
 	Snapshots  uint64
-	// Fenced counts messages of former owners refused here as a replica.
+	// Fenced counts requests of former owners that were rejected as a replica.
 	Fenced uint64
 }
 
-// counters are the parts of Stats that only grow.
+// counters are the monotonic fields of Stats.
 type counters struct {
 	claims, claimsFailed, replacements atomic.Uint64
 	handOvers, lost, mayLack           atomic.Uint64
@@ -49,7 +50,7 @@
 	fenced, interims                   atomic.Uint64
 }
 
-// Stats returns a snapshot for metrics.
+// Stats returns the current values for metrics.
 func (m *Manager) Stats() Stats {
 	c := &m.counters
 	stats := Stats{
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -11,32 +11,32 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// readLimit is how many records one read asks for.
+// readLimit is the maximum number of records of one read.
 const readLimit = 256
 
-// errLogAway tells that the log did not take a request, for certain.
-var errLogAway = errors.New("journal: the log is away")
+// errLogUnavailable reports that the log certainly did not accept a request.
+var errLogUnavailable = errors.New("journal: the log is away")
 
 // StreamName returns the name of shard's log stream.
 func StreamName(shard identity.ShardID) string { return fmt.Sprintf("shard-%04d", shard) }
 
-// stream is one shard's log stream with the fold of what was read of it. One
-// goroutine at a time uses it.
+// stream reads and appends one shard's log stream. It is used by one goroutine at a
+// time.
 type stream struct {
 	manager *Manager
 	name    string
 	ledger  *Ledger
-	// size is the size of the last append.
+	// size is the size of the last append in bytes.
 	size int
-	// onStep takes the effects of each record read.
-	onStep func(Step) error
+	// onEffect is called with the effect of each record; it may be nil.
+	onEffect func(Effect) error
 }
 
-// openStream finds the newest base of the shard's stream and folds from there.
-// The last record names the base, so the read is bounded by the distance between
-// two snapshots however long the stream is.
-func (m *Manager) openStream(ctx context.Context, shard identity.ShardID, onStep func(Step) error) (*stream, error) {
-	s := &stream{manager: m, name: StreamName(shard), onStep: onStep}
+// openStream finds the newest base of the shard's stream and reads from there. The
+// last record names the base, so the read is bounded by the distance between two
+// snapshots regardless of the stream's length.
+func (m *Manager) openStream(ctx context.Context, shard identity.ShardID, onStep func(Effect) error) (*stream, error) {
+	s := &stream{manager: m, name: StreamName(shard), onEffect: onStep}
 	base, err := s.findBase(ctx)
 	if err != nil {
 		return nil, err
@@ -73,14 +73,14 @@
 	defer cancel()
 	result, err := s.manager.config.Log.Read(ctx, s.name, from, limit, 0)
 	if err != nil {
-		s.manager.noteLog(err)
+		s.manager.recordLogOutcome(err)
 		return result, fmt.Errorf("journal: read %s at %d: %w", s.name, from, err)
 	}
-	s.manager.noteLog(nil)
+	s.manager.recordLogOutcome(nil)
 	return result, nil
 }
 
-// catchUp folds all that the stream holds now.
+// catchUp reads to the end of the stream.
 func (s *stream) catchUp(ctx context.Context) error {
 	for {
 		result, err := s.read(ctx, s.ledger.Next(), readLimit)
@@ -88,7 +88,7 @@
 			return err
 		}
 		for _, raw := range result.Records {
-			if err := s.take(raw); err != nil {
+			if err := s.apply(raw); err != nil {
 				return err
 			}
 		}
@@ -98,27 +98,27 @@
 	}
 }
 
-func (s *stream) take(raw []byte) error {
+func (s *stream) apply(raw []byte) error {
 	offset := s.ledger.Next()
 	step := s.ledger.Apply(raw)
-	if step.Verdict == Damaged {
+	if step.Verdict == Corrupt {
 		s.manager.config.Logger.Error("damaged log record passed over", "stream", s.name, "offset", uint64(offset))
 	}
-	if s.onStep == nil {
+	if s.onEffect == nil {
 		return nil
 	}
-	if err := s.onStep(step); err != nil {
+	if err := s.onEffect(step); err != nil {
 		return fmt.Errorf("journal: %s at %d: %w", s.name, offset, err)
 	}
 	return nil
 }
 
-// append puts records at the stream's end, adjacent, and returns what the log's
-// order makes of the last. It tries until that is known or ctx ends. An answer
-// that got lost is read back before the next try, and a second copy that lands
-// late all the same counts once. With patient unset, a log that is away ends it
-// at once with errLogAway, provided that nothing can have landed.
-func (s *stream) append(ctx context.Context, patient bool, records ...*Record) (Verdict, error) {
+// append appends records as one batch and returns the verdict on the last. It
+// retries until the verdict is known or ctx ends. If the outcome of an append is
+// unknown, the stream is read before the next attempt; a duplicate that is written
+// late takes no effect. If retry is false and the log is unavailable, append fails
+// at once with errLogUnavailable, provided that no record can have been written.
+func (s *stream) append(ctx context.Context, retry bool, records ...*Record) (Verdict, error) {
 	raws := make([][]byte, len(records))
 	s.size = 0
 	for i, record := range records {
@@ -135,27 +135,27 @@
 		if ctx.Err() != nil {
 			return 0, fmt.Errorf("journal: append %s: %w", s.name, ctx.Err())
 		}
-		if !patient {
-			return 0, fmt.Errorf("%w: %w", errLogAway, err)
+		if !retry {
+			return 0, fmt.Errorf("%w: %w", errLogUnavailable, err)
 		}
-		if err := s.manager.pauseForLog(ctx, attempt); err != nil {
+		if err := s.manager.backOffFromLog(ctx, attempt); err != nil {
 			return 0, fmt.Errorf("journal: append %s: %w", s.name, err)
 		}
 	}
 }
 
-// appendOnce tells whether the records may have landed.
+// appendOnce reports whether the records may have been written.
 func (s *stream) appendOnce(ctx context.Context, raws [][]byte) (sent bool, err error) {
 	callCtx, cancel := context.WithTimeout(ctx, s.manager.config.LogTimeout)
 	defer cancel()
 	offset, err := s.manager.config.Log.Append(callCtx, s.name, raws)
-	s.manager.noteLog(err)
+	s.manager.recordLogOutcome(err)
 	if errors.Is(err, siteservices.ErrUnavailable) {
 		return false, err
 	}
 	if err == nil && offset == s.ledger.Next() {
 		for _, raw := range raws {
-			if err := s.take(raw); err != nil {
+			if err := s.apply(raw); err != nil {
 				return true, err
 			}
 		}
@@ -163,8 +163,8 @@
 	return true, err
 }
 
-// readBack folds on until the record id is met. If the log holds no copy it is
-// appended again.
+// readBack reads until record id is found. If the log does not contain it, the
+// records are appended again.
 func (s *stream) readBack(ctx context.Context, id RecordID, raws [][]byte) (Verdict, error) {
 	for attempt := 0; ; attempt++ {
 		if verdict, met := s.ledger.Verdict(id); met {
@@ -174,7 +174,7 @@
 			return 0, fmt.Errorf("journal: read back %s: %w", s.name, err)
 		}
 		if err := s.catchUp(ctx); err != nil {
-			if err := s.manager.pauseForLog(ctx, attempt); err != nil {
+			if err := s.manager.backOffFromLog(ctx, attempt); err != nil {
 				return 0, fmt.Errorf("journal: read back %s: %w", s.name, err)
 			}
 			continue
@@ -183,34 +183,34 @@
 			continue
 		}
 		if _, err := s.appendOnce(ctx, raws); err != nil {
-			_ = s.manager.pauseForLog(ctx, attempt) // the loop looks at ctx itself
+			_ = s.manager.backOffFromLog(ctx, attempt) // the loop checks ctx itself
 		}
 	}
 }
 
-// The bounds of the pause between two tries at a log that fails.
+// Bounds of the backoff after a failed request to the log.
 const (
-	logPauseShortest = 50 * time.Millisecond
-	logPauseLongest  = 2 * time.Second
+	minLogBackoff = 50 * time.Millisecond
+	maxLogBackoff = 2 * time.Second
 )
 
-// pauseForLog waits before the next try: until the probe finds the log up, and
-// then a moment drawn at random so that all writers do not come at once.
-func (m *Manager) pauseForLog(ctx context.Context, attempt int) error {
+// backOffFromLog waits until the log is available, and then for a random backoff so
+// that writers do not retry at the same time.
+func (m *Manager) backOffFromLog(ctx context.Context, attempt int) error {
 	if err := m.health.await(ctx, false); err != nil {
 		return err
 	}
-	longest := min(logPauseShortest<<min(attempt, 10), logPauseLongest)
+	longest := min(minLogBackoff<<min(attempt, 10), maxLogBackoff)
 	return wait.For(ctx, longest/2+m.random.duration(longest/2))
 }
 
-// noteLog keeps the log's health from the outcome of a request.
-func (m *Manager) noteLog(err error) {
+// recordLogOutcome updates the log's health from the outcome of a request.
+func (m *Manager) recordLogOutcome(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	if errors.Is(err, siteservices.ErrAnswerLost) && !errors.Is(err, context.DeadlineExceeded) {
-		return // one lost answer tells nothing of the next request
+		return // a single unknown outcome does not mean that the log is unavailable
 	}
 	down := err != nil
 	if !m.health.set(down) {
--- a/internal/journal/sweep.go
+++ b/internal/journal/sweep.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// sweepInterval is the time between two looks at the replicas of owned shards.
+	// sweepInterval is the interval at which replicas of owned shards are checked.
 	sweepInterval = 500 * time.Millisecond
-	// garbageInterval is the time between two looks at tails nobody attends to.
+	// garbageInterval is the interval at which tails with an expired lease are checked.
 	garbageInterval = time.Minute
 )
 
-// sweepLoop looks whether the replicas of owned shards should be exchanged, and
-// whether tails are kept here that nobody needs.
+// sweepLoop starts the replacement of replicas of owned shards where needed, and
+// removes tails from this node that are no longer needed.
 func (m *Manager) sweepLoop(ctx context.Context) {
 	absent := map[identity.Reference]time.Time{}
 	collected := time.Now()
@@ -30,7 +30,7 @@
 		view := m.view()
 		for _, shard := range m.owned() {
 			if m.needsReplicas(shard, view, absent) && m.claims.Allow() {
-				shard.exchangeReplicas()
+				shard.startReplacement()
 			}
 		}
 		if time.Since(collected) >= garbageInterval {
@@ -40,20 +40,20 @@
 	}
 }
 
-// needsReplicas tells whether a replica has been gone for a while, or more
-// replicas or better ones can be had now.
+// needsReplicas reports whether a replica has been missing for ReplaceDelay, is
+// leaving or restarted, or whether more or better placed replicas are available.
 func (m *Manager) needsReplicas(shard *ownedShard, view membership.View, absent map[identity.Reference]time.Time) bool {
 	shard.mutex.Lock()
 	replicas := shard.claim.Replicas
-	idle := shard.next == nil && !shard.moving
+	idle := shard.next == nil && !shard.handingOver
 	ready := shard.next != nil && shard.next.ready
 	restarted := false
 	for _, link := range shard.links {
-		restarted = restarted || link.gone
+		restarted = restarted || link.restarted
 	}
 	shard.mutex.Unlock()
 	if !idle {
-		return ready // the writer was told, but the log was away
+		return ready // signal the writer again: the log may have been unavailable
 	}
 	wanted := m.wantedReplicas(shard.id, view)
 	if restarted && !sameReplicas(wanted, replicas) {
@@ -67,7 +67,7 @@
 			continue
 		}
 		if isLeaving(view, replica) {
-			return true // it waits for this before it stops
+			return true // its drain waits for the replacement
 		}
 		since, known := absent[replica.Reference()]
 		if !known {
@@ -78,14 +78,14 @@
 			return true
 		}
 	}
-	return len(wanted) > len(replicas) || m.spreadsBetter(wanted, replicas) ||
-		(holdsLife(replicas, m.config.Self) && !holdsLife(wanted, m.config.Self))
+	return len(wanted) > len(replicas) || m.improvesSpread(wanted, replicas) ||
+		(containsIncarnation(replicas, m.config.Self) && !containsIncarnation(wanted, m.config.Self))
 }
 
-// spreadsBetter tells whether wanted loses fewer replicas to the loss of one zone
-// than present does, or keeps a quorum in the owner's region where present does
-// not. Sets get worse in a zone's outage, and nothing else would undo that.
-func (m *Manager) spreadsBetter(wanted, present []identity.Node) bool {
+// improvesSpread reports whether wanted spans more zones than present, or has a
+// write quorum in the owner's region where present has none, without spanning fewer
+// zones. It restores placements that degraded in the outage of a zone.
+func (m *Manager) improvesSpread(wanted, present []identity.Node) bool {
 	if len(wanted) < len(present) {
 		return false
 	}
@@ -102,19 +102,19 @@
 	return lo.CountBy(nodes, func(node identity.Node) bool { return node.Region == m.config.Self.Region })
 }
 
-// collectGarbage forgets tails that were never dropped because their owner died
-// or could not be reached: the log tells that a later ownership was activated.
+// collectGarbage drops tails whose owner died or could not reach this node to drop
+// them: the log has a later ownership that is active.
 func (m *Manager) collectGarbage(ctx context.Context) {
 	for i := range m.replicas {
-		epoch, lapsed := m.replicas[i].unattended(time.Now())
+		epoch, lapsed := m.replicas[i].lapsedEpoch(time.Now())
 		if !lapsed {
 			continue
 		}
 		stream, err := m.openStream(ctx, identity.ShardID(i), nil)
 		if err != nil {
-			return // the log is away; the next round looks again
+			return // the log is unavailable; the next round retries
 		}
-		m.noteClaim(identity.ShardID(i), stream.ledger)
+		m.recordClaim(identity.ShardID(i), stream.ledger)
 		active := stream.ledger.Active()
 		if active.Epoch > epoch && !active.accepts(epoch) {
 			m.replicas[i].drop(active.Epoch)
--- a/internal/journal/tail.go
+++ b/internal/journal/tail.go
@@ -7,22 +7,22 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// Tail is the part of a shard's records that the log may not hold yet: an
-// optional snapshot of the state after record After, and the records behind it.
+// Tail is the part of a shard's records that may not be in the log yet: an optional
+// snapshot of the state after record After, and the records that follow it.
 type Tail struct {
 	// After is the index of the last record before Entries.
 	After uint64
-	// Folded is true where State holds the state after record After, and the log
-	// may hold less than After. Otherwise the log holds all up to After.
-	Folded  bool
-	State   []byte
-	Entries [][]byte
+	// Compacted is true if State is the state after record After, and the log may end
+	// before After. Otherwise the log has all records up to After.
+	Compacted bool
+	State     []byte
+	Entries   [][]byte
 }
 
-// Last returns the index of the last record that the tail reaches.
+// Last returns the index of the last record in the tail.
 func (t *Tail) Last() uint64 { return t.After + uint64(len(t.Entries)) }
 
-// Bytes returns the size of what the tail keeps.
+// Bytes returns the size of the state and the entries.
 func (t *Tail) Bytes() int {
 	size := len(t.State)
 	for _, entry := range t.Entries {
@@ -31,29 +31,29 @@
 	return size
 }
 
-// Trim drops what the log holds: everything up to index.
+// Trim removes everything up to index, which the log has.
 func (t *Tail) Trim(index uint64) {
 	if index < t.After {
 		return
 	}
-	t.Folded, t.State = false, nil
+	t.Compacted, t.State = false, nil
 	known := min(index-t.After, uint64(len(t.Entries)))
 	t.After = index
 	rest := t.Entries[known:]
 	if known > 0 && 2*len(rest) <= len(t.Entries) {
-		rest = slices.Clone(rest) // lets the memory of what was dropped go
+		rest = slices.Clone(rest) // frees the memory of the removed entries
 	}
 	t.Entries = rest
 }
 
-// Fold replaces all records up to index by the state after it.
-func (t *Tail) Fold(index uint64, state []byte) {
+// Compact replaces all records up to index by the state after it.
+func (t *Tail) Compact(index uint64, state []byte) {
 	t.Trim(index)
-	t.Folded, t.State = true, state
+	t.Compacted, t.State = true, state
 }
 
-// Add appends entries whose first follows record after. Those already held are
-// passed over. It returns false if records in between are missing.
+// Add appends entries, the first of which follows record after. Entries that are
+// already in the tail are skipped. It returns false if preceding records are missing.
 func (t *Tail) Add(after uint64, entries [][]byte) bool {
 	last := t.Last()
 	if after > last {
@@ -64,8 +64,8 @@
 	return true
 }
 
-// From returns the entries behind record after, at most limit bytes but at
-// least one, or false where the tail does not reach back that far.
+// From returns the entries that follow record after, up to limit bytes but at least
+// one, or false if the tail does not cover them.
 func (t *Tail) From(after uint64, limit int) ([][]byte, bool) {
 	if after < t.After || after > t.Last() {
 		return nil, false
@@ -81,15 +81,15 @@
 	return entries, true
 }
 
-// errTailGap tells that the log holds less than the replicas were told.
+// errTailGap reports that the log ends before the tail at the replicas begins.
 var errTailGap = errors.New("journal: records between the log's end and the replicas' tail are missing")
 
-// Longest returns the tail that reaches furthest. Tails of one ownership are
-// prefixes of one sequence, so the furthest one holds what all others do.
+// Longest returns the tail with the highest last index. Tails of one ownership are
+// prefixes of one sequence, so the longest covers all others.
 func Longest(tails []Tail) Tail {
 	var longest Tail
 	for i, tail := range tails {
-		// The first one may be the whole state of a shard without records.
+		// The first tail counts even if it is a full state without entries at index 0.
 		if i == 0 || tail.Last() > longest.Last() {
 			longest = tail
 		}
@@ -97,11 +97,11 @@
 	return longest
 }
 
-// behind returns what is left of the tail for a reader that holds all records up
-// to index.
-func (t Tail) behind(index uint64) (Tail, error) {
+// after returns the part of the tail that a reader with all records up to index
+// needs.
+func (t Tail) after(index uint64) (Tail, error) {
 	if t.After > index {
-		if !t.Folded {
+		if !t.Compacted {
 			return Tail{}, errTailGap
 		}
 		return t, nil
@@ -114,14 +114,14 @@
 
 func (t *Tail) encode(e *wire.Encoder) {
 	e.Uint64(t.After)
-	e.Bool(t.Folded)
+	e.Bool(t.Compacted)
 	e.Blob(t.State)
 	encodeBlobs(e, t.Entries)
 }
 
 func (t *Tail) decode(d *wire.Decoder) {
 	t.After = d.Uint64()
-	t.Folded = d.Bool()
+	t.Compacted = d.Bool()
 	t.State = d.Blob()
 	t.Entries = decodeBlobs(d)
 }
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// errTakenOver is why a shard is lost when another claim stands in the log.
+// errTakenOver reports that a shard was lost to another node's claim in the log.
 var errTakenOver = errors.New("journal: another node's claim stands in the log")
 
-// write brings the shard's records to the log until the shard is lost. It alone
-// uses the stream: one append is under way at a time, and an answer that got lost
-// is read back before the next one.
+// write appends the shard's records to the log until the shard is lost. Only write
+// uses the stream: one append is in flight at a time, and an append whose outcome is
+// unknown is resolved before the next.
 func (s *ownedShard) write(stream *stream) {
 	for {
 		select {
@@ -20,7 +20,7 @@
 		case <-s.ctx.Done():
 			return
 		}
-		if err := s.drainToLog(stream); err != nil && s.ctx.Err() == nil {
+		if err := s.flushToLog(stream); err != nil && s.ctx.Err() == nil {
 			s.lose(err)
 		}
 		if s.ctx.Err() != nil {
@@ -29,17 +29,17 @@
 	}
 }
 
-// drainToLog writes until nothing is left to do. An error tells that the shard is
+// flushToLog appends until nothing is left to do. An error means that the shard is
 // lost.
-func (s *ownedShard) drainToLog(stream *stream) error {
+func (s *ownedShard) flushToLog(stream *stream) error {
 	for {
-		if err := s.claimIfNeeded(stream); err != nil {
+		if err := s.reclaimIfNeeded(stream); err != nil {
 			return err
 		}
-		if !s.settle() {
+		if !s.revokeAuthorization() {
 			return nil
 		}
-		if err := s.gather(); err != nil {
+		if err := s.awaitBatch(); err != nil {
 			return err
 		}
 		record, sealed := s.nextRecord()
@@ -48,13 +48,13 @@
 			return nil
 		case record == nil:
 			err := s.writeRelease(stream)
-			if errors.Is(err, errLogAway) {
+			if errors.Is(err, errLogUnavailable) {
 				return s.reopen(stream)
 			}
 			return err
 		}
 		err := s.writeRecord(stream, record)
-		if err != nil && s.writes.Err() != nil && s.ctx.Err() == nil {
+		if err != nil && s.appendContext.Err() != nil && s.ctx.Err() == nil {
 			return s.reopen(stream)
 		}
 		if err != nil {
@@ -63,11 +63,11 @@
 	}
 }
 
-// claimIfNeeded claims again where replicas promised to another claim or are to be
-// exchanged. An error tells that the shard is lost.
-func (s *ownedShard) claimIfNeeded(stream *stream) error {
-	if s.takeContest() {
-		if err := s.answerContest(stream); err != nil {
+// reclaimIfNeeded claims again if replicas promised a higher epoch or are to be
+// replaced. An error means that the shard is lost.
+func (s *ownedShard) reclaimIfNeeded(stream *stream) error {
+	if s.takeContested() {
+		if err := s.resolveContest(stream); err != nil {
 			return err
 		}
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (s *ownedShard) takeContest() bool {
+func (s *ownedShard) takeContested() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	contested := s.contested
@@ -85,10 +85,10 @@
 	return contested
 }
 
-// answerContest looks in the log for the claim that replicas promised to. If it
-// took nothing over and enough replicas still grant the lease, this owner claims
-// above it; otherwise the shard is lost.
-func (s *ownedShard) answerContest(stream *stream) error {
+// resolveContest reads the log for the claim that replicas promised to. If that claim
+// is not activated and enough replicas still grant the lease, this owner claims above
+// it; otherwise the shard is lost.
+func (s *ownedShard) resolveContest(stream *stream) error {
 	if s.isFenced() {
 		return errFenced
 	}
@@ -96,14 +96,14 @@
 		if s.ctx.Err() != nil {
 			return err
 		}
-		return nil // without the log nobody takes over; the next renewal asks again
+		return nil // no takeover without the log; the next renewal detects the claim again
 	}
 	if stream.ledger.Current().Epoch == s.claim.Epoch {
 		if !s.isContested() {
 			return nil
 		}
-		// A replica promised an interim owner that got no further: a claim above it
-		// wins the replica back.
+		// A replica promised an interim owner that did not succeed. A higher epoch
+		// supersedes that promise.
 		return s.counterClaim(stream)
 	}
 	if stream.ledger.Active().Epoch == s.claim.Epoch && s.CheckLease() != nil {
@@ -112,22 +112,23 @@
 	return s.counterClaim(stream)
 }
 
-// isFenced tells whether so many replicas promised a higher epoch that no write
+// isFenced reports whether so many replicas promised a higher epoch that no write
 // quorum is left.
 func (s *ownedShard) isFenced() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	fenced := 0
 	for _, replica := range s.claim.Replicas {
-		if link := s.links[replica.Reference()]; link != nil && link.fenced > s.claim.Epoch {
+		if link := s.links[replica.Reference()]; link != nil && link.promised > s.claim.Epoch {
 			fenced++
 		}
 	}
 	return fenced >= ReadQuorum(len(s.claim.Replicas))
 }
 
-// gather lets records come together, unless someone waits for the log.
-func (s *ownedShard) gather() error {
+// awaitBatch waits for Config.Gather to batch records, unless a caller waits for the
+// log.
+func (s *ownedShard) awaitBatch() error {
 	s.mutex.Lock()
 	urgent := s.sealed || len(s.durable) > 0 || s.tail.Last() == s.logged
 	s.mutex.Unlock()
@@ -144,11 +145,11 @@
 	return s.ctx.Err()
 }
 
-// nextRecord returns what the log should get next, or nil when it holds all.
+// nextRecord returns the next record for the log, or nil if the log has all.
 func (s *ownedShard) nextRecord() (record *Record, sealed bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.arming > 0 || !s.settled {
+	if s.authorization > 0 || !s.revocationConfirmed {
 		return nil, false
 	}
 	if s.snapshot != nil {
@@ -175,7 +176,7 @@
 }
 
 func (s *ownedShard) writeRecord(stream *stream, record *Record) error {
-	verdict, err := stream.append(s.writes, true, record)
+	verdict, err := stream.append(s.appendContext, true, record)
 	if err != nil {
 		return err
 	}
@@ -188,7 +189,7 @@
 	if record.Kind == SnapshotRecord && s.snapshot != nil && s.snapshot.index == record.Index {
 		s.snapshot = nil
 	}
-	s.noteLogged(record.Index + uint64(len(record.Entries)))
+	s.setLogged(record.Index + uint64(len(record.Entries)))
 	return nil
 }
 
@@ -200,8 +201,9 @@
 	}
 }
 
-// writeRelease ends a planned stop: the log holds all, and says so. It fails with
-// errLogAway if the log is away and the release cannot have landed.
+// writeRelease completes a planned stop: it appends the release once the log has all
+// records. It fails with errLogUnavailable if the log is unavailable and the release
+// cannot have been written.
 func (s *ownedShard) writeRelease(stream *stream) error {
 	s.mutex.Lock()
 	record := s.record(ReleasedRecord, s.logged, nil)
@@ -219,23 +221,23 @@
 	return nil
 }
 
-// errReopened is why a shard whose hand-over failed is gone: this node opened it
-// again.
+// errReopened is the loss reason of a shard whose hand-over failed and which this
+// node opened again.
 var errReopened = errors.New("journal: the log went away during the hand-over")
 
-// reopen hands the shard to the host again, in the same epoch. A log that goes
-// away during a hand-over must not leave the shard without an owner for the length
-// of the outage: as long as the release cannot have landed, this node serves on.
+// reopen passes the shard to the host again, in the same epoch. It is used if the
+// log becomes unavailable during a hand-over and the release cannot have been
+// written, so that the shard is served through the outage.
 func (s *ownedShard) reopen(stream *stream) error {
 	m := s.manager
 	s.mutex.Lock()
-	if s.gone != nil {
+	if s.lossReason != nil {
 		defer s.mutex.Unlock()
-		return s.gone
+		return s.lossReason
 	}
 	again := m.newOwnedShard(s.id, s.claim, s.logged, s.machine)
 	again.tail, again.committed, again.snapshot = s.tail, s.committed, s.snapshot
-	again.quiet, again.settled = s.quiet, s.settled
+	again.revokedThrough, again.revocationConfirmed = s.revokedThrough, s.revocationConfirmed
 	again.sinceSnapshot, again.snapshotSize = s.sinceSnapshot, s.snapshotSize
 	again.waiters, again.durable = s.waiters, s.durable
 	s.waiters, s.durable = nil, nil
@@ -247,9 +249,9 @@
 	s.lose(errReopened)
 	m.renew(m.running, []*ownedShard{again})
 	again.mutex.Lock()
-	again.kickLinks()
+	again.startSenders()
 	again.mutex.Unlock()
-	again.kickWriter()
+	again.signalWriter()
 	m.tasks.Go(func() { again.write(stream) })
 	m.tasks.Go(func() {
 		if again.awaitLease(m.running) == nil {
@@ -259,8 +261,8 @@
 	return nil
 }
 
-// releaseLeases tells the replicas that the owner stopped, so that a claimant
-// that has not read the release needs not wait.
+// releaseLeases ends the shard's leases at the replicas, so that a claimant that has
+// not read the release does not wait for them to expire.
 func (m *Manager) releaseLeases(s *ownedShard) {
 	s.mutex.Lock()
 	claim := s.claim
@@ -269,15 +271,15 @@
 		m.tasks.Go(func() {
 			ctx, cancel := context.WithTimeout(m.running, m.config.ReplicaTimeout)
 			defer cancel()
-			request := &releaseMessage{Shard: s.id, Owner: m.config.Self.Reference(), Epoch: claim.Epoch}
-			_, _ = m.call(ctx, replica, request, nil) // the lease runs out by itself
+			request := &releaseRequest{Shard: s.id, Owner: m.config.Self.Reference(), Epoch: claim.Epoch}
+			_, _ = m.call(ctx, replica, request, nil) // best effort: the lease expires
 		})
 	}
 }
 
-// counterClaim handles a record that turned out void. A claim of another node
-// that was never activated took nothing over yet: while the replicas have not
-// promised it anything this owner still serves, and claims again above it.
+// counterClaim handles a superseded record. If the claim that superseded it was
+// never activated, it took nothing over, and this owner claims above it; otherwise
+// the shard is lost.
 func (s *ownedShard) counterClaim(stream *stream) error {
 	active := stream.ledger.Active()
 	if active.Epoch != s.claim.Epoch || stream.ledger.Released() {
@@ -291,8 +293,9 @@
 	s.mutex.Lock()
 	s.next = next
 	s.mutex.Unlock()
-	return s.claimAgain(stream, next)
+	return s.reclaim(stream, next)
 }
 
-// counterClaimPause keeps two claimants from outbidding each other in step.
+// counterClaimPause is the base of the random delay that keeps two claimants from
+// outbidding each other repeatedly.
 const counterClaimPause = 200 * time.Millisecond
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,5 +1,5 @@
-// Package problem brings api.Problem through huma: as the error that a handler
-// returns, and in the place of huma's own errors.
+// Package problem adapts api.Problem to huma: as the error that a handler
+// returns, and as a replacement of huma's own errors.
 package problem
 
 import (
@@ -15,7 +15,7 @@
 	"stepseam.example/stepseam/api"
 )
 
-// Of returns err's problem. Anything else is a fault of this program.
+// Of returns the problem that err wraps, or an internal error if it wraps none.
 func Of(err error) *api.Problem {
 	var found *api.Problem
 	if errors.As(err, &found) {
@@ -24,56 +24,59 @@
 	return api.NewProblem(api.CodeInternal, "%s", err)
 }
 
-// answer is a problem as huma takes errors.
-type answer struct{ *api.Problem }
+// handlerError is a problem as a huma error.
+type handlerError struct{ *api.Problem }
 
 // GetStatus implements huma.StatusError.
-func (a answer) GetStatus() int { return a.Status }
+func (a handlerError) GetStatus() int { return a.Status }
 
 // ContentType implements huma.ContentTypeFilter.
-func (a answer) ContentType(string) string { return api.MediaProblem }
+func (a handlerError) ContentType(string) string { return api.MediaProblem }
 
 // GetHeaders implements huma.HeadersError.
-func (a answer) GetHeaders() http.Header {
+func (a handlerError) GetHeaders() http.Header {
 	headers := http.Header{}
 	SetRetryAfter(headers, a.Problem)
 	return headers
 }
 
-// SetRetryAfter sets the header in whole seconds, rounded up, where a retry helps.
+// SetRetryAfter sets the Retry-After header in whole seconds, rounded up, if the
+// problem has a RetryAfter.
 func SetRetryAfter(headers http.Header, problem *api.Problem) {
 	if problem.RetryAfter > 0 {
 		headers.Set("Retry-After", strconv.Itoa(int(math.Ceil(problem.RetryAfter.Seconds()))))
 	}
 }
 
-// Answer turns the outcome of a handler into the error that huma answers with.
+// Answer converts a handler's error to the error that huma responds with; nil
+// stays nil.
 func Answer(err error) error {
 	if err == nil {
 		return nil
 	}
-	return answer{Of(err)}
+	return handlerError{Of(err)}
 }
 
-// Transform is a huma.Transformer that turns huma's own errors, all met before
-// a handler ran, into problems.
+// Transform is a huma.Transformer that converts huma's own errors to problems.
+// Such errors occur before a handler runs, so the problems are marked as not run.
 func Transform(_ huma.Context, _ string, body any) (any, error) {
 	model, isError := body.(*huma.ErrorModel)
 	if !isError {
 		return body, nil
 	}
-	made := api.NewProblem(codeOf(model.Status), "%s", model.Detail).WithNotRun(true)
-	made.Status = model.Status
-	made.Findings = lo.FilterMap(model.Errors, func(detail *huma.ErrorDetail, _ int) (api.Finding, bool) {
+	converted := api.NewProblem(codeOf(model.Status), "%s", model.Detail).WithNotRun(true)
+	converted.Status = model.Status
+	converted.Findings = lo.FilterMap(model.Errors, func(detail *huma.ErrorDetail, _ int) (api.Finding, bool) {
 		if detail == nil {
 			return api.Finding{}, false
 		}
 		return FindingOf(detail), true
 	})
-	return made, nil
+	return converted, nil
 }
 
-// FindingOf moves the line and column of broken JSON from the message to the place.
+// FindingOf converts a huma error detail to a finding. The line and column of a
+// JSON syntax error move from the message to the place.
 func FindingOf(detail *huma.ErrorDetail) api.Finding {
 	place, message := detail.Location, detail.Message
 	if position, rest, found := strings.Cut(message, ": "); found && strings.HasPrefix(position, "line ") {
--- a/internal/wire/apiwire/program.go
+++ b/internal/wire/apiwire/program.go
@@ -1,5 +1,4 @@
-// Package apiwire encodes types of the public interface for messages between
-// nodes, in one form for every subsystem that sends them.
+// Package apiwire encodes types of the public API for messages between nodes.
 package apiwire
 
 import (
@@ -10,10 +9,10 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// minBranchBytes is the least that one branch of a program takes.
+// minBranchBytes is the minimum encoded size of one branch of a program.
 const minBranchBytes = 12
 
-// EncodeProgram appends program; its branches go in the order of their names.
+// EncodeProgram appends program, with its branches sorted by name.
 func EncodeProgram(e *wire.Encoder, program *api.Program) {
 	e.String(program.ID)
 	e.String(program.Tenant)
@@ -34,7 +33,7 @@
 	e.Uint64(program.Epoch)
 }
 
-// DecodeProgram reads what EncodeProgram appended.
+// DecodeProgram decodes a program appended by EncodeProgram.
 func DecodeProgram(d *wire.Decoder) api.Program {
 	program := api.Program{
 		ID:       d.String(),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,7 @@
 // Package wire encodes and decodes the fields of binary messages and records.
 // All integers are big endian (encoding/binary); strings and byte slices carry
-// a 32-bit length in front. A Decoder collects its first error, so that a
-// message reads all its fields in a row and checks once.
+// a 32-bit length prefix. A Decoder keeps its first error, so that a message
+// decodes all its fields in sequence and checks for errors once.
 package wire
 
 import (
@@ -25,7 +25,7 @@
 // NewEncoder returns an encoder that appends to buffer.
 func NewEncoder(buffer []byte) *Encoder { return &Encoder{buffer: buffer} }
 
-// Bytes returns all that was encoded.
+// Bytes returns the encoded bytes.
 func (e *Encoder) Bytes() []byte { return e.buffer }
 
 // Uint8 appends one byte.
@@ -58,7 +58,7 @@
 // Duration appends v in nanoseconds.
 func (e *Encoder) Duration(v time.Duration) { e.Int64(int64(v)) }
 
-// Time appends v in Unix nanoseconds; the zero time is kept as such.
+// Time appends v in Unix nanoseconds; the zero time has an encoding of its own.
 func (e *Encoder) Time(v time.Time) {
 	if v.IsZero() {
 		e.Int64(math.MinInt64)
@@ -94,10 +94,10 @@
 // NewDecoder returns a decoder over input, which it does not change.
 func NewDecoder(input []byte) *Decoder { return &Decoder{rest: input} }
 
-// Err returns the first error met, or nil.
+// Err returns the first error, or nil.
 func (d *Decoder) Err() error { return d.err }
 
-// Finish returns the first error met, or ErrTrailing if input is left over.
+// Finish returns the first error, or ErrTrailing if input is left over.
 func (d *Decoder) Finish() error {
 	if d.err == nil && len(d.rest) > 0 {
 		d.err = fmt.Errorf("%w: %d", ErrTrailing, len(d.rest))
@@ -105,7 +105,7 @@
 	return d.err
 }
 
-// Fail records err unless an earlier one stands.
+// Fail records err unless an earlier error is recorded.
 func (d *Decoder) Fail(err error) {
 	if d.err == nil {
 		d.err = err
@@ -203,9 +203,9 @@
 	return address
 }
 
-// Count reads a 32-bit element count and checks that the input can hold that
-// many elements of at least minimumSize bytes, so that a damaged count cannot
-// make the caller allocate without bound.
+// Count reads a 32-bit element count and checks that the input can contain that
+// many elements of at least minimumSize bytes, so that a corrupt count cannot
+// cause an unbounded allocation.
 func (d *Decoder) Count(minimumSize int) int {
 	count := int(d.Uint32())
 	if d.err == nil && count*max(minimumSize, 1) > len(d.rest) {
