--- a/internal/journal/figures_test.go
+++ b/internal/journal/figures_test.go
@@ -92,7 +92,7 @@
 			owned := owner.manager.Owned()
 			owner.kill()
 			time.AfterFunc(time.Second, site.refresh)
-			gaps = append(gaps, site.silences(owned)...)
+			gaps = append(gaps, site.downtimes(owned)...)
 		})
 	}
 	t.Logf("time without service: p50 %v p99 %v max %v of %d shards", percentile(gaps, 0.5),
@@ -122,7 +122,7 @@
 			owned := owner.manager.Owned()
 			owner.kill()
 			time.AfterFunc(time.Second, site.refresh)
-			gaps := site.silences(owned)
+			gaps := site.downtimes(owned)
 			is.Equal(len(gaps), len(owned))
 			deaths = append(deaths, gaps...)
 			time.Sleep(10 * time.Second)
@@ -130,7 +130,7 @@
 			for began := time.Now(); site.serving(owned[0]) != nil && time.Since(began) < time.Minute; {
 				time.Sleep(time.Millisecond)
 			}
-			returns = append(returns, site.silences(owned[:1])...)
+			returns = append(returns, site.downtimes(owned[:1])...)
 		})
 	}
 	for name, gaps := range map[string][]time.Duration{"after a death": deaths, "when the log is back": returns} {
@@ -142,9 +142,9 @@
 	}
 }
 
-// silences returns how long each of shards is not served from now on. Shards that
+// downtimes returns how long each of shards is not served from now on. Shards that
 // are not served within a minute are left out.
-func (s *testSite) silences(shards []identity.ShardID) (gaps []time.Duration) {
+func (s *testSite) downtimes(shards []identity.ShardID) (gaps []time.Duration) {
 	began := time.Now()
 	waiting := slices.Clone(shards)
 	for len(waiting) > 0 && time.Since(began) < time.Minute {
--- a/internal/journal/interim_test.go
+++ b/internal/journal/interim_test.go
@@ -21,8 +21,8 @@
 // an outage: the lease, its detection, and a claim.
 const interimBound = 5 * time.Second
 
-// changing applies change to each request to a replica before it is handled.
-func changing(change func(node *testNode, request peer.Message)) func(*testNode, peer.HandlerFunc) peer.HandlerFunc {
+// modifyRequests applies change to each request to a replica before it is handled.
+func modifyRequests(change func(node *testNode, request peer.Message)) func(*testNode, peer.HandlerFunc) peer.HandlerFunc {
 	return func(node *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 		return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 			change(node, request)
@@ -31,17 +31,17 @@
 	}
 }
 
-// unarmed drops the authorization from writes, so that replicas have no full state
+// dropAuthorization drops the authorization from writes, so that replicas have no full state
 // for an interim owner.
-func unarmed(_ *testNode, request peer.Message) {
+func dropAuthorization(_ *testNode, request peer.Message) {
 	if write, fits := request.(*appendRequest); fits {
 		write.Write.Authorization = 0
 	}
 }
 
-// termless resets the promised term, so that replicas accept records and renewals
+// resetTerm resets the promised term, so that replicas accept records and renewals
 // below it.
-func termless(node *testNode, request peer.Message) {
+func resetTerm(node *testNode, request peer.Message) {
 	if request.Kind() != kindAppend && request.Kind() != kindRenew {
 		return
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// deaf drops revocations, so that replicas confirm them without applying them.
-func deaf(_ *testNode, request peer.Message) {
+// dropRevocation drops revocations, so that replicas confirm them without applying them.
+func dropRevocation(_ *testNode, request peer.Message) {
 	if renew, fits := request.(*renewRequest); fits {
 		for i := range renew.Renewals {
 			renew.Renewals[i].RevokedThrough = 0
@@ -62,13 +62,13 @@
 	}
 }
 
-// consenting treats a renewal without a response as granted.
-type consenting struct{ peer.Client }
+// consentingClient treats a renewal without a response as granted.
+type consentingClient struct{ peer.Client }
 
-func assumeConsent(client peer.Client) peer.Client { return consenting{client} }
+func assumeConsent(client peer.Client) peer.Client { return consentingClient{client} }
 
 // Call grants renewals that fail.
-func (c consenting) Call(ctx context.Context, address netip.AddrPort, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
+func (c consentingClient) Call(ctx context.Context, address netip.AddrPort, request peer.Message, onPart func(peer.Message) error) (peer.Message, error) {
 	answer, err := c.Client.Call(ctx, address, request, onPart)
 	if err != nil && request.Kind() == kindRenew {
 		return &renewResponse{}, nil
@@ -114,9 +114,9 @@
 	return errors.Join(site.settle(), load.check(), owners(), site.checkLog(0))
 }
 
-// freezeInOutage pauses the owner's process past its lease while the log is
+// pauseInOutage pauses the owner's process past its lease while the log is
 // unavailable, between its lease check and the action that depends on it.
-func freezeInOutage(site *testSite) error {
+func pauseInOutage(site *testSite) error {
 	owner := site.serving(0)
 	open := owner.host.open(0)
 	load := site.load(0)
@@ -161,16 +161,16 @@
 	return errors.Join(site.settle(), load.check(), owners(), site.checkLog(0))
 }
 
-// wholeState returns the last record of the full state that the replicas have.
-func (s *ownedShard) wholeState() uint64 {
+// fullStateIndex returns the last record of the full state that the replicas have.
+func (s *ownedShard) fullStateIndex() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.tail.After
 }
 
-// ownerSeesLog partitions the owner from its peers in an outage that ends for it
+// logRecoversForOwner partitions the owner from its peers in an outage that ends for it
 // alone. It must not append records to the log that an interim owner may not have.
-func ownerSeesLog(site *testSite) error {
+func logRecoversForOwner(site *testSite) error {
 	owners := site.watchOwners()
 	load := site.load(0)
 	owner := site.serving(0)
@@ -179,7 +179,7 @@
 		site.log.ViewFor(string(node.node.Name)).SetFaults(away)
 	}
 	time.Sleep(10 * time.Second)
-	whole := owner.manager.slots[0].load().wholeState()
+	whole := owner.manager.slots[0].load().fullStateIndex()
 	site.isolate(owner)
 	site.log.ViewFor(string(owner.node.Name)).SetFaults(logservice.Faults{})
 	time.Sleep(time.Second)
--- a/internal/journal/moves_test.go
+++ b/internal/journal/moves_test.go
@@ -320,7 +320,7 @@
 		time.Sleep(time.Second)
 		owner := site.serving(0)
 		shard := owner.manager.slots[0].load()
-		claim := shard.standing()
+		claim := shard.activeClaim()
 		// With nothing to write, the owner detects the claim only through the replica.
 		load.end()
 		time.Sleep(time.Second)
--- a/internal/journal/proof_test.go
+++ b/internal/journal/proof_test.go
@@ -12,16 +12,16 @@
 		body  func(site *testSite) error
 		wrong variant
 	}{
-		{"kill with a slow log", killWithSlowLog, variant{handle: forgetful}},
-		{"restarted replicas never count", restartReplica, variant{handle: anyLife}},
-		{"freeze past the lease", freezeOwner, variant{handle: unfenced, noLeaseCheck: true}},
-		{"owner cut off", cutOwner, variant{handle: impatient}},
-		{"claimant cut off", cutClaimant, variant{client: skipPreVote}},
-		{"lost answers", loseAnswers, variant{log: blind}},
-		{"owners die in an outage", killInOutage, variant{handle: changing(unarmed)}},
-		{"freeze past the lease in an outage", freezeInOutage, variant{handle: changing(termless), noLeaseCheck: true}},
-		{"owner dies after an outage", dieAfterOutage, variant{handle: changing(deaf)}},
-		{"log back for the owner alone", ownerSeesLog, variant{client: assumeConsent}},
+		{"kill with a slow log", killWithSlowLog, variant{handle: omitTail}},
+		{"restarted replicas never count", restartReplica, variant{handle: acceptAnyIncarnation}},
+		{"freeze past the lease", pauseOwner, variant{handle: withoutFencing, noLeaseCheck: true}},
+		{"owner cut off", partitionOwner, variant{handle: hideLeases}},
+		{"claimant cut off", partitionClaimant, variant{client: skipPreVote}},
+		{"lost answers", loseLogResponses, variant{log: withoutReadBack}},
+		{"owners die in an outage", killInOutage, variant{handle: modifyRequests(dropAuthorization)}},
+		{"freeze past the lease in an outage", pauseInOutage, variant{handle: modifyRequests(resetTerm), noLeaseCheck: true}},
+		{"owner dies after an outage", dieAfterOutage, variant{handle: modifyRequests(dropRevocation)}},
+		{"log back for the owner alone", logRecoversForOwner, variant{client: assumeConsent}},
 	} {
 		t.Run(proof.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/journal/scenario_test.go
+++ b/internal/journal/scenario_test.go
@@ -32,18 +32,18 @@
 	slowLease bool
 }
 
-// blindLog treats an append whose outcome is unknown as a success.
-type blindLog struct {
+// noReadBackLog treats an append whose outcome is unknown as a success.
+type noReadBackLog struct {
 	siteservices.Log
 	mutex sync.Mutex
 	ends  map[string]siteservices.Offset
 }
 
-func blind(log siteservices.Log) siteservices.Log {
-	return &blindLog{Log: log, ends: map[string]siteservices.Offset{}}
+func withoutReadBack(log siteservices.Log) siteservices.Log {
+	return &noReadBackLog{Log: log, ends: map[string]siteservices.Offset{}}
 }
 
-func (b *blindLog) Append(ctx context.Context, stream string, records [][]byte) (siteservices.Offset, error) {
+func (b *noReadBackLog) Append(ctx context.Context, stream string, records [][]byte) (siteservices.Offset, error) {
 	offset, err := b.Log.Append(ctx, stream, records)
 	if !errors.Is(err, siteservices.ErrAnswerLost) {
 		return offset, err
@@ -53,7 +53,7 @@
 	return b.ends[stream], nil
 }
 
-func (b *blindLog) Read(ctx context.Context, stream string, from siteservices.Offset, limit int, wait time.Duration) (siteservices.ReadResult, error) {
+func (b *noReadBackLog) Read(ctx context.Context, stream string, from siteservices.Offset, limit int, wait time.Duration) (siteservices.ReadResult, error) {
 	result, err := b.Log.Read(ctx, stream, from, limit, wait)
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -61,8 +61,8 @@
 	return result, err
 }
 
-// anyLife lets a restarted replica respond on behalf of its former incarnation.
-func anyLife(node *testNode, next peer.HandlerFunc) peer.HandlerFunc {
+// acceptAnyIncarnation lets a restarted replica respond on behalf of its former incarnation.
+func acceptAnyIncarnation(node *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 	return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 		switch request := request.(type) {
 		case *promiseRequest:
@@ -74,8 +74,8 @@
 	}
 }
 
-// forgetful makes replicas omit the tail from their promise.
-func forgetful(_ *testNode, next peer.HandlerFunc) peer.HandlerFunc {
+// omitTail makes replicas omit the tail from their promise.
+func omitTail(_ *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 	return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 		message, err := next(ctx, request, sendPart)
 		if promise, fits := message.(*promiseResponse); fits {
@@ -85,8 +85,8 @@
 	}
 }
 
-// unfenced makes replicas accept records and renewals below the promised epoch.
-func unfenced(node *testNode, next peer.HandlerFunc) peer.HandlerFunc {
+// withoutFencing makes replicas accept records and renewals below the promised epoch.
+func withoutFencing(node *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 	return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 		if request.Kind() == kindAppend || request.Kind() == kindRenew {
 			for i := range node.manager.replicas {
@@ -100,8 +100,8 @@
 	}
 }
 
-// impatient makes replicas report no remaining lease.
-func impatient(_ *testNode, next peer.HandlerFunc) peer.HandlerFunc {
+// hideLeases makes replicas report no remaining lease.
+func hideLeases(_ *testNode, next peer.HandlerFunc) peer.HandlerFunc {
 	return func(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 		message, err := next(ctx, request, sendPart)
 		switch message := message.(type) {
@@ -202,9 +202,9 @@
 }
 
 // replicas returns the replicas of the shard's active claim.
-func (s *ownedShard) replicas() []identity.Node { return s.standing().Replicas }
+func (s *ownedShard) replicas() []identity.Node { return s.activeClaim().Replicas }
 
-func (s *ownedShard) standing() Claim {
+func (s *ownedShard) activeClaim() Claim {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.claim
@@ -375,9 +375,9 @@
 	return i
 }
 
-// freezeOwner pauses the owner's process past its lease, between its lease check and
+// pauseOwner pauses the owner's process past its lease, between its lease check and
 // the action that depends on it.
-func freezeOwner(site *testSite) error {
+func pauseOwner(site *testSite) error {
 	owner := site.serving(0)
 	open := owner.host.open(0)
 	load := site.load(0)
@@ -401,9 +401,9 @@
 	return errors.Join(site.settle(), load.check())
 }
 
-// cutOwner partitions the owner from all nodes but not from the log, which is too slow
+// partitionOwner partitions the owner from all nodes but not from the log, which is too slow
 // to show it other claims before its lease ends.
-func cutOwner(site *testSite) error {
+func partitionOwner(site *testSite) error {
 	owners := site.watchOwners()
 	owner := site.serving(0)
 	load := site.load(0)
@@ -417,9 +417,9 @@
 	return errors.Join(site.settle(), load.check(), owners())
 }
 
-// cutClaimant partitions a node from all others but not from the log. In its own
+// partitionClaimant partitions a node from all others but not from the log. In its own
 // membership view it is alone and should own every shard: it must not claim them.
-func cutClaimant(site *testSite) error {
+func partitionClaimant(site *testSite) error {
 	owner := site.serving(0)
 	owners := site.watchOwners()
 	var claimant *testNode
@@ -456,8 +456,8 @@
 	return count
 }
 
-// loseAnswers loses requests to the log and its responses.
-func loseAnswers(site *testSite) error {
+// loseLogResponses loses requests to the log and its responses.
+func loseLogResponses(site *testSite) error {
 	owners := site.watchOwners()
 	load := site.load(0)
 	site.log.SetFaults(logservice.Faults{LoseBefore: 0.3, LoseAfter: 0.3})
--- a/internal/journal/schedule_test.go
+++ b/internal/journal/schedule_test.go
@@ -61,12 +61,12 @@
 	// dead is the node that is stopped, -1 if none is; since is when that changed.
 	dead  int
 	since time.Time
-	// logBack is when the last outage of the log ended. whole is true if all replica sets
-	// were complete when the current outage began; struck is true if a process was stopped
+	// logBack is when the last outage of the log ended. complete is true if all replica sets
+	// were complete when the current outage began; stopped is true if a process was stopped
 	// during it. Replica sets do not change in an outage, so only one process may stop.
-	logBack time.Time
-	whole   bool
-	struck  bool
+	logBack  time.Time
+	complete bool
+	stopped  bool
 }
 
 // recoveryTime is the minimum time between two stops, in which replica sets become
@@ -139,10 +139,10 @@
 		return false
 	}
 	if !c.site.log.Faults().Down {
-		return time.Since(c.since) > recoveryTime && (!c.struck || time.Since(c.logBack) > recoveryTime)
+		return time.Since(c.since) > recoveryTime && (!c.stopped || time.Since(c.logBack) > recoveryTime)
 	}
-	may := c.whole && !c.struck
-	c.struck = c.struck || may
+	may := c.complete && !c.stopped
+	c.stopped = c.stopped || may
 	return may
 }
 
@@ -154,8 +154,8 @@
 		c.logBack = time.Now()
 		return
 	}
-	c.whole = c.dead < 0 && time.Since(c.since) > recoveryTime && time.Since(c.logBack) > recoveryTime
-	c.struck = c.struck && !c.whole
+	c.complete = c.dead < 0 && time.Since(c.since) > recoveryTime && time.Since(c.logBack) > recoveryTime
+	c.stopped = c.stopped && !c.complete
 }
 
 func (c *chaos) revive() {
