--- a/internal/blackboard/map.go
+++ b/internal/blackboard/map.go
@@ -73,9 +73,9 @@
 	delete(shard.values, key)
 }
 
-// Copy returns a copy of the map. Each shard is copied atomically, the map as a
+// Clone returns a copy of the map. Each shard is copied atomically, the map as a
 // whole is not.
-func (m *Map[K, V]) Copy() map[K]V {
+func (m *Map[K, V]) Clone() map[K]V {
 	all := map[K]V{}
 	for i := range m.shards {
 		shard := &m.shards[i]
@@ -88,7 +88,7 @@
 	return all
 }
 
-// Len returns the number of keys. Like Copy it is atomic only for each shard.
+// Len returns the number of keys. Like Clone it is atomic only for each shard.
 func (m *Map[K, V]) Len() int {
 	count := 0
 	for i := range m.shards {
--- a/internal/controller/backends/controller_test.go
+++ b/internal/controller/backends/controller_test.go
@@ -115,7 +115,7 @@
 }
 
 func (s *site) shown(address netip.AddrPort) blackboard.Backend {
-	for _, shown := range s.board.Backends.Copy() {
+	for _, shown := range s.board.Backends.Clone() {
 		if shown.Address == address {
 			return shown
 		}
--- a/internal/controller/backends/metrics.go
+++ b/internal/controller/backends/metrics.go
@@ -56,7 +56,7 @@
 func (s stateCollector) Collect(values chan<- prometheus.Metric) {
 	type group struct{ role, state string }
 	counts := map[group]int{}
-	for _, shown := range s.controller.config.Board.Backends.Copy() {
+	for _, shown := range s.controller.config.Board.Backends.Clone() {
 		state := healthName(shown.Health)
 		if shown.Leaving {
 			state = "leaving"
--- a/internal/controller/models/engines.go
+++ b/internal/controller/models/engines.go
@@ -79,7 +79,7 @@
 // syncEngines updates the engines' state from the board and returns their names by
 // service.
 func (c *Controller) syncEngines(now time.Time, published *table.Table) map[string][]string {
-	board := c.config.Board.Backends.Copy()
+	board := c.config.Board.Backends.Clone()
 	byService := map[string][]string{}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/calls.go
+++ b/internal/gateway/calls.go
@@ -69,7 +69,7 @@
 func (g *Gateway) call(input *callInput) (*huma.StreamResponse, error) {
 	from, refusal := resumeFrom(input.LastEventID)
 	if refusal != nil {
-		return nil, problem.Answer(refusal)
+		return nil, problem.HandlerError(refusal)
 	}
 	if input.Body.Branch == "" {
 		input.Body.Branch = string(identity.MainBranch)
@@ -84,7 +84,7 @@
 func (g *Gateway) fetch(input *fetchInput) (*huma.StreamResponse, error) {
 	from, refusal := resumeFrom(input.LastEventID)
 	if refusal != nil {
-		return nil, problem.Answer(refusal)
+		return nil, problem.HandlerError(refusal)
 	}
 	branch := identity.BranchID(input.Branch)
 	if branch == "" {
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -79,7 +79,7 @@
 	defer cancel()
 	if chat.createsProgram {
 		if _, err := g.config.Programs.Create(ctx, chat.create); err != nil {
-			writeProblem(writer, chatPath, problem.Of(err))
+			writeProblem(writer, chatPath, problem.FromError(err))
 			return
 		}
 	}
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -16,7 +16,7 @@
 // outcomeOf converts err to a problem. If the gateway's own deadline in ctx
 // expired, an interruption or an internal error is reported as a missed deadline.
 func outcomeOf(ctx context.Context, err error) *api.Problem {
-	found := problem.Of(err)
+	found := problem.FromError(err)
 	late := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	if !late || (found.Code != api.CodeInterrupted && found.Code != api.CodeInternal) {
 		return found
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -65,7 +65,7 @@
 
 func programAnswer(program api.Program, err error) (*programOutput, error) {
 	if err != nil {
-		return nil, problem.Answer(err)
+		return nil, problem.HandlerError(err)
 	}
 	return &programOutput{Body: program}, nil
 }
--- a/internal/journal/claim.go
+++ b/internal/journal/claim.go
@@ -132,7 +132,7 @@
 	if slot.rival != current.Epoch {
 		slot.rival, slot.rivalSeen = current.Epoch, time.Now()
 	}
-	if time.Since(slot.rivalSeen) < m.config.Lease.Hold() {
+	if time.Since(slot.rivalSeen) < m.config.Lease.ReplicaDuration() {
 		return errRivalClaim
 	}
 	return nil
@@ -196,7 +196,7 @@
 			given, err := question(replica)
 			if err != nil {
 				// After this delay no lease of the former incarnation is valid.
-				if !c.manager.reachability.hasNewerIncarnation(replica.Reference(), c.manager.config.Lease.Hold()) {
+				if !c.manager.reachability.hasNewerIncarnation(replica.Reference(), c.manager.config.Lease.ReplicaDuration()) {
 					return
 				}
 				given = replicaResponse{restarted: true}
@@ -264,7 +264,7 @@
 	m.dropFormerReplicas(c, claim)
 	m.counters.claims.Add(1)
 	shard.logger.Info("shard opened", "epoch", uint64(claim.Epoch), "index", c.stream.ledger.Index())
-	m.config.Host.Opened(shard, c.machine)
+	m.config.Host.ShardOpened(shard, c.machine)
 	return nil
 }
 
@@ -272,7 +272,7 @@
 func (s *ownedShard) awaitLease(ctx context.Context) error {
 	for {
 		err := s.CheckLease()
-		if !errors.Is(err, ErrLeaseLapsed) {
+		if !errors.Is(err, ErrLeaseExpired) {
 			return err
 		}
 		if wait.For(ctx, leasePoll) != nil {
--- a/internal/journal/config.go
+++ b/internal/journal/config.go
@@ -36,7 +36,7 @@
 	DefaultReplaceDelay        = 2 * time.Second
 	DefaultSettleDelay         = time.Second
 	DefaultInterimDelay        = time.Second
-	DefaultGather              = 5 * time.Millisecond
+	DefaultBatchDelay          = 5 * time.Millisecond
 	DefaultClaimRate           = 250
 	DefaultHandOverRate        = 100
 	DefaultConcurrentHandOvers = 32
@@ -70,8 +70,8 @@
 	// InterimDelay is how long the log must have been unavailable before owners
 	// authorize interim takeovers and other nodes may own shards without the log.
 	InterimDelay time.Duration
-	// Gather is how long the log writer waits to batch records of one shard.
-	Gather time.Duration
+	// BatchDelay is how long the log writer waits to batch records of one shard.
+	BatchDelay time.Duration
 	// ClaimRate and HandOverRate limit the claims and hand-overs that start in a
 	// second, which spreads the load of a restart.
 	ClaimRate           rate.Limit
@@ -109,7 +109,7 @@
 	defaults.Set(&c.ReplaceDelay, DefaultReplaceDelay)
 	defaults.Set(&c.SettleDelay, DefaultSettleDelay)
 	defaults.Set(&c.InterimDelay, DefaultInterimDelay)
-	defaults.Set(&c.Gather, DefaultGather)
+	defaults.Set(&c.BatchDelay, DefaultBatchDelay)
 	defaults.Set(&c.ClaimRate, DefaultClaimRate)
 	defaults.Set(&c.HandOverRate, DefaultHandOverRate)
 	defaults.Set(&c.ConcurrentHandOvers, DefaultConcurrentHandOvers)
--- a/internal/journal/hand_over.go
+++ b/internal/journal/hand_over.go
@@ -74,7 +74,7 @@
 		return fmt.Errorf("%w: shard %d", errBusy, shard.id)
 	}
 	closing, cancel := context.WithTimeout(ctx, m.config.ClosingTimeout)
-	m.config.Host.Closing(closing, shard)
+	m.config.Host.PrepareHandOver(closing, shard)
 	cancel()
 	shard.seal()
 	select {
--- a/internal/journal/handlers.go
+++ b/internal/journal/handlers.go
@@ -123,7 +123,7 @@
 // formerLeaseRemaining returns how long a lease that an earlier incarnation of this
 // node granted may still be valid; that incarnation ended before this one started.
 func (m *Manager) formerLeaseRemaining() time.Duration {
-	return max(m.config.Lease.Hold()-time.Since(m.start), 0)
+	return max(m.config.Lease.ReplicaDuration()-time.Since(m.start), 0)
 }
 
 func (m *Manager) handlePreVote(request *preVoteRequest) (peer.Message, error) {
--- a/internal/journal/interim.go
+++ b/internal/journal/interim.go
@@ -156,7 +156,7 @@
 	}
 	m.counters.interims.Add(1)
 	shard.logger.Warn("shard opened without the log", "epoch", uint64(claim.Epoch), "term", term)
-	m.config.Host.Opened(shard, c.machine)
+	m.config.Host.ShardOpened(shard, c.machine)
 	return nil
 }
 
--- a/internal/journal/interim_test.go
+++ b/internal/journal/interim_test.go
@@ -186,7 +186,7 @@
 	site.refreshWith(map[identity.NodeName]membership.Status{owner.node.Name: membership.Dead})
 	_, err := site.takeover(owner)
 	time.Sleep(20 * time.Second)
-	ledger := NewLedger(0, 0)
+	ledger := NewStreamState(0, 0)
 	for _, raw := range site.log.Records(StreamName(0)) {
 		ledger.Apply(raw)
 	}
--- a/internal/journal/ledger.go
+++ b/internal/journal/ledger.go
@@ -31,10 +31,10 @@
 	Entries [][]byte
 }
 
-// Ledger is the state of one shard's log stream, built by applying its records in
+// StreamState is the state of one shard's log stream, built by applying its records in
 // offset order. All readers of the same stream get the same verdicts. It does no
 // I/O and is not safe for concurrent use.
-type Ledger struct {
+type StreamState struct {
 	shard identity.ShardID
 	next  siteservices.Offset
 	// awaitingSnapshot is true until the snapshot at base is applied.
@@ -48,41 +48,41 @@
 	verdicts map[RecordID]Verdict
 }
 
-// NewLedger returns the initial state for reading shard's stream from base: 0, or
+// NewStreamState returns the initial state for reading shard's stream from base: 0, or
 // the offset of a valid snapshot.
-func NewLedger(shard identity.ShardID, base siteservices.Offset) *Ledger {
-	return &Ledger{
+func NewStreamState(shard identity.ShardID, base siteservices.Offset) *StreamState {
+	return &StreamState{
 		shard: shard, next: base, base: base, awaitingSnapshot: base > 0,
 		verdicts: map[RecordID]Verdict{},
 	}
 }
 
 // Next returns the offset of the next record to apply.
-func (l *Ledger) Next() siteservices.Offset { return l.next }
+func (l *StreamState) Next() siteservices.Offset { return l.next }
 
 // Base returns the offset from which a new reader can start.
-func (l *Ledger) Base() siteservices.Offset { return l.base }
+func (l *StreamState) Base() siteservices.Offset { return l.base }
 
 // Current returns the highest valid claim, activated or not.
-func (l *Ledger) Current() Claim { return l.current }
+func (l *StreamState) Current() Claim { return l.current }
 
 // Active returns the last activated claim; its replicas have the tail.
-func (l *Ledger) Active() Claim { return l.active }
+func (l *StreamState) Active() Claim { return l.active }
 
 // Released reports whether the owner of Active stopped with all records in the log.
-func (l *Ledger) Released() bool { return l.released }
+func (l *StreamState) Released() bool { return l.released }
 
 // Index returns the index of the last state machine record in the log.
-func (l *Ledger) Index() uint64 { return l.index }
+func (l *StreamState) Index() uint64 { return l.index }
 
 // Verdict returns the verdict on record id, if it was applied since Base.
-func (l *Ledger) Verdict(id RecordID) (Verdict, bool) {
+func (l *StreamState) Verdict(id RecordID) (Verdict, bool) {
 	verdict, found := l.verdicts[id]
 	return verdict, found
 }
 
 // Apply applies the record at Next.
-func (l *Ledger) Apply(raw []byte) Effect {
+func (l *StreamState) Apply(raw []byte) Effect {
 	offset := l.next
 	l.next++
 	record, err := DecodeRecord(raw)
@@ -98,7 +98,7 @@
 	return step
 }
 
-func (l *Ledger) applyRecord(offset siteservices.Offset, record Record) Effect {
+func (l *StreamState) applyRecord(offset siteservices.Offset, record Record) Effect {
 	if l.awaitingSnapshot {
 		return l.applyBase(offset, record)
 	}
@@ -122,13 +122,13 @@
 }
 
 // isReleased reports whether the current claim was released.
-func (l *Ledger) isReleased() bool {
+func (l *StreamState) isReleased() bool {
 	return l.released && l.active.Epoch == l.current.Epoch
 }
 
 // applyBase restores the snapshot at which reading started. The writer that named
 // the offset as a base had read it back as valid.
-func (l *Ledger) applyBase(offset siteservices.Offset, record Record) Effect {
+func (l *StreamState) applyBase(offset siteservices.Offset, record Record) Effect {
 	if record.Kind != SnapshotRecord {
 		return Effect{Verdict: Corrupt}
 	}
@@ -138,7 +138,7 @@
 	return Effect{Verdict: Valid, Restore: true, State: record.State}
 }
 
-func (l *Ledger) applyClaim(record Record) Effect {
+func (l *StreamState) applyClaim(record Record) Effect {
 	if record.Epoch != record.Claim.Epoch || len(record.Claim.Replicas) == 0 {
 		return Effect{Verdict: Corrupt}
 	}
@@ -149,7 +149,7 @@
 	return Effect{Verdict: Valid}
 }
 
-func (l *Ledger) applyBatch(record Record) Effect {
+func (l *StreamState) applyBatch(record Record) Effect {
 	if record.Index > l.index {
 		return Effect{Verdict: Corrupt}
 	}
@@ -162,7 +162,7 @@
 	return Effect{Verdict: Valid, Entries: fresh}
 }
 
-func (l *Ledger) applySnapshot(offset siteservices.Offset, record Record) Effect {
+func (l *StreamState) applySnapshot(offset siteservices.Offset, record Record) Effect {
 	if record.Index < l.index {
 		return Effect{Verdict: Superseded}
 	}
@@ -175,7 +175,7 @@
 	return Effect{Verdict: Valid, Restore: true, State: record.State}
 }
 
-func (l *Ledger) applyActivated(record Record) Effect {
+func (l *StreamState) applyActivated(record Record) Effect {
 	if record.Owner != l.current.Owner.Reference() {
 		return Effect{Verdict: Superseded}
 	}
@@ -186,7 +186,7 @@
 	return Effect{Verdict: Valid}
 }
 
-func (l *Ledger) applyReleased(record Record) Effect {
+func (l *StreamState) applyReleased(record Record) Effect {
 	if l.active.Epoch != l.current.Epoch || record.Index != l.index {
 		return Effect{Verdict: Corrupt}
 	}
--- a/internal/journal/ledger_test.go
+++ b/internal/journal/ledger_test.go
@@ -28,7 +28,7 @@
 // logWriter is one node that has applied a prefix of the stream.
 type logWriter struct {
 	node   identity.Node
-	ledger *Ledger
+	ledger *StreamState
 	// epoch is the claim that it takes for its own; written is its last index there.
 	epoch   identity.Epoch
 	written uint64
@@ -39,7 +39,7 @@
 	for i := range 3 {
 		name := identity.NodeName(fmt.Sprintf("n%d", i))
 		model.writers = append(model.writers, &logWriter{
-			node: identity.Node{Name: name, Incarnation: 1}, ledger: NewLedger(0, 0),
+			node: identity.Node{Name: name, Incarnation: 1}, ledger: NewStreamState(0, 0),
 		})
 	}
 	return model
@@ -157,8 +157,8 @@
 }
 
 // foldWith applies the stream from base, with each record modified by change.
-func (m *logModel) foldWith(base siteservices.Offset, change func(*Ledger, *Record)) (*Ledger, []byte) {
-	ledger := NewLedger(0, base)
+func (m *logModel) foldWith(base siteservices.Offset, change func(*StreamState, *Record)) (*StreamState, []byte) {
+	ledger := NewStreamState(0, base)
 	var state []byte
 	for _, raw := range m.records[base:] {
 		if change != nil {
@@ -185,7 +185,7 @@
 
 // compare compares the ledger with the model's own state, from the start of the
 // stream and from the base that the ledger reports.
-func (m *logModel) compare(change func(*Ledger, *Record)) error {
+func (m *logModel) compare(change func(*StreamState, *Record)) error {
 	ledger, state := m.foldWith(0, change)
 	if ledger.Current().Epoch != m.epoch || ledger.Current().Owner.Name != m.accepted[m.epoch] {
 		return fmt.Errorf("epoch %d of %s, want %d of %s", ledger.Current().Epoch,
@@ -219,13 +219,13 @@
 // TestLedgerChecksDetectFaults checks that the comparison detects faulty variants,
 // which accept records of former owners or claims of any epoch.
 func TestLedgerChecksDetectFaults(t *testing.T) {
-	for name, change := range map[string]func(*Ledger, *Record){
-		"no fencing": func(l *Ledger, r *Record) {
+	for name, change := range map[string]func(*StreamState, *Record){
+		"no fencing": func(l *StreamState, r *Record) {
 			if r.Kind == BatchRecord {
 				r.Epoch = l.Current().Epoch
 			}
 		},
-		"last claim wins": func(l *Ledger, r *Record) {
+		"last claim wins": func(l *StreamState, r *Record) {
 			if r.Kind == ClaimRecord {
 				r.Epoch = l.Current().Epoch + 1
 				r.Claim.Epoch = r.Epoch
--- a/internal/journal/manager.go
+++ b/internal/journal/manager.go
@@ -164,7 +164,7 @@
 }
 
 // recordClaim updates latestClaim, which serves hints.
-func (m *Manager) recordClaim(shard identity.ShardID, ledger *Ledger) {
+func (m *Manager) recordClaim(shard identity.ShardID, ledger *StreamState) {
 	slot := &m.slots[shard]
 	slot.mutex.Lock()
 	defer slot.mutex.Unlock()
--- a/internal/journal/metrics.go
+++ b/internal/journal/metrics.go
@@ -45,8 +45,8 @@
 	counter("handovers_total", "Shards handed over to another node.", func(s Stats) uint64 { return s.HandOvers })
 	counter("lost_total", "Shards taken over by another node.", func(s Stats) uint64 { return s.Lost })
 	counter("incomplete_recoveries_total", "Recoveries that may lack acknowledged records.",
-		func(s Stats) uint64 { return s.MayLack })
-	counter("interim_ownerships_total", "Shards opened without the log.", func(s Stats) uint64 { return s.Interims })
+		func(s Stats) uint64 { return s.IncompleteRecoveries })
+	counter("interim_ownerships_total", "Shards opened without the log.", func(s Stats) uint64 { return s.InterimOwnerships })
 	counter("records_total", "Records enqueued.", func(s Stats) uint64 { return s.Records })
 	counter("record_bytes_total", "Bytes of records enqueued.", func(s Stats) uint64 { return s.RecordBytes })
 	counter("log_appends_total", "Batches and snapshots written to the log.", func(s Stats) uint64 { return s.LogAppends })
--- a/internal/journal/moves_test.go
+++ b/internal/journal/moves_test.go
@@ -41,7 +41,7 @@
 
 		began := time.Now()
 		err = open.add(context.Background(), records, true)
-		is.True(errors.Is(err, ErrNotHeld))
+		is.True(errors.Is(err, ErrNotLogged))
 		is.Equal(time.Since(began), time.Duration(0))
 
 		site.log.SetDown(false)
@@ -207,7 +207,7 @@
 		epoch := owner.host.open(0).shard.Epoch()
 		site.isolate(owner)
 		time.Sleep(10 * time.Second)
-		is.True(errors.Is(owner.host.open(0).shard.CheckLease(), ErrLeaseLapsed))
+		is.True(errors.Is(owner.host.open(0).shard.CheckLease(), ErrLeaseExpired))
 		site.net.HealAll()
 		time.Sleep(3 * time.Second)
 		is.Equal(site.serving(0), owner)
@@ -361,7 +361,7 @@
 		// If the log does not respond, the outcome is unknown after a bounded wait.
 		site.log.SetFaults(logservice.Faults{AppendDelay: time.Minute})
 		began := time.Now()
-		is.True(errors.Is(open.add(context.Background(), 3, true), ErrUnknown))
+		is.True(errors.Is(open.add(context.Background(), 3, true), ErrOutcomeUnknown))
 		is.Equal(time.Since(began), DefaultDurableWait)
 		// The record may still be written; the next owner then reads it.
 		site.log.SetFaults(logservice.Faults{})
--- a/internal/journal/owned.go
+++ b/internal/journal/owned.go
@@ -140,7 +140,7 @@
 	default:
 	}
 	if int64(time.Since(s.manager.start)) >= s.leaseUntil.Load() {
-		return fmt.Errorf("%w: shard %d", ErrLeaseLapsed, s.id)
+		return fmt.Errorf("%w: shard %d", ErrLeaseExpired, s.id)
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	if away {
-		refusal := fmt.Errorf("%w: the log service is away", ErrNotHeld)
+		refusal := fmt.Errorf("%w: the log service is away", ErrNotLogged)
 		return func(context.Context) error { return refusal }, nil
 	}
 	deadline := time.Now().Add(s.manager.config.DurableWait)
@@ -185,7 +185,7 @@
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %w", ErrUnknown, ctx.Err())
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, ctx.Err())
 	}
 }
 
@@ -310,7 +310,7 @@
 // errHandedOver is the loss reason of a shard that was handed over.
 var errHandedOver = errors.New("journal: handed over")
 
-// lose gives the shard up. Waits for records fail with ErrUnknown.
+// lose gives the shard up. Waits for records fail with ErrOutcomeUnknown.
 func (s *ownedShard) lose(reason error) {
 	s.mutex.Lock()
 	if s.lossReason != nil {
@@ -326,7 +326,7 @@
 	s.mutex.Unlock()
 	s.cancel()
 	for _, waiting := range waiters {
-		waiting.done <- fmt.Errorf("%w: %w: shard %d: %w", ErrUnknown, ErrNotOwner, s.id, reason)
+		waiting.done <- fmt.Errorf("%w: %w: shard %d: %w", ErrOutcomeUnknown, ErrNotOwner, s.id, reason)
 	}
 	s.manager.removeOwned(s)
 	if errors.Is(reason, errHandedOver) || errors.Is(reason, errReopened) || errors.Is(reason, errLogRecovered) || s.manager.running.Err() != nil {
--- a/internal/journal/owned_epoch.go
+++ b/internal/journal/owned_epoch.go
@@ -6,11 +6,11 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Held returns the epoch under which this node may act as the owner of shard, or
+// OwnedEpoch returns the epoch under which this node may act as the owner of shard, or
 // ErrNotOwner. Callers check it immediately before each action on the shard's
 // behalf, as serving does with Shard.CheckLease. Interim owners are excluded: they
 // rely on the fences of engine streams, not on the fence of the epoch.
-func (m *Manager) Held(shard identity.ShardID) (identity.Epoch, error) {
+func (m *Manager) OwnedEpoch(shard identity.ShardID) (identity.Epoch, error) {
 	if int(shard) >= len(m.slots) {
 		return 0, fmt.Errorf("%w: there is no shard %d", ErrNotOwner, shard)
 	}
--- a/internal/journal/replica.go
+++ b/internal/journal/replica.go
@@ -33,8 +33,8 @@
 	Drift time.Duration
 }
 
-// Hold returns how long a replica that granted a lease rejects other owners.
-func (t LeaseTerms) Hold() time.Duration { return t.Duration + t.Drift }
+// ReplicaDuration returns how long a replica that granted a lease rejects other owners.
+func (t LeaseTerms) ReplicaDuration() time.Duration { return t.Duration + t.Drift }
 
 // Replica contains the tail of one shard on behalf of its owner. It does no I/O and
 // is not safe for concurrent use. The promised epoch never decreases.
@@ -166,14 +166,14 @@
 	RevokedThrough uint64
 }
 
-// Renew grants the lease to owner until terms.Hold after now.
+// Renew grants the lease to owner until terms.ReplicaDuration after now.
 func (r *Replica) Renew(now time.Time, owner identity.Reference, renewal Renewal, terms LeaseTerms) Status {
 	if r.rejects(renewal.Epoch, renewal.Term, owner) {
 		return Fenced
 	}
 	r.promised, r.leaseEpoch, r.leaseHolder = renewal.Epoch, renewal.Epoch, owner
 	r.term, r.claimant = renewal.Term, owner
-	r.leaseUntil = later(r.leaseUntil, now.Add(terms.Hold()))
+	r.leaseUntil = later(r.leaseUntil, now.Add(terms.ReplicaDuration()))
 	if r.revokedBy == r.owner && r.revokedThrough >= r.authorization {
 		r.authorization = 0 // stays revoked if another owner renews
 	}
--- a/internal/journal/replica_test.go
+++ b/internal/journal/replica_test.go
@@ -99,7 +99,7 @@
 	m.logged += rapid.Uint64Range(0, uint64(len(m.records))-m.logged).Draw(t, "logged")
 	renewal := Renewal{Epoch: m.epoch, Logged: m.logged}
 	if m.replica.Renew(m.now, m.owner, renewal, m.terms) == Granted {
-		m.granted = m.now.Add(m.terms.Hold())
+		m.granted = m.now.Add(m.terms.ReplicaDuration())
 	}
 }
 
--- a/internal/journal/scenario_test.go
+++ b/internal/journal/scenario_test.go
@@ -242,7 +242,7 @@
 // checkLog returns an error if the state read from the log alone differs from the one
 // that is served; the tail must have reached the log.
 func (s *testSite) checkLog(id identity.ShardID) error {
-	ledger := NewLedger(id, 0)
+	ledger := NewStreamState(id, 0)
 	machine := &setMachine{}
 	for _, raw := range s.log.Records(StreamName(id)) {
 		step := ledger.Apply(raw)
--- a/internal/journal/site_test.go
+++ b/internal/journal/site_test.go
@@ -282,7 +282,7 @@
 
 func (h *testHost) NewStateMachine(identity.ShardID) StateMachine { return &setMachine{} }
 
-func (h *testHost) Opened(shard Shard, machine StateMachine) {
+func (h *testHost) ShardOpened(shard Shard, machine StateMachine) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.opened++
@@ -299,7 +299,7 @@
 	_, _ = shard.Enqueue()
 }
 
-func (h *testHost) Closing(_ context.Context, _ Shard) {
+func (h *testHost) PrepareHandOver(_ context.Context, _ Shard) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.closed++
--- a/internal/journal/stats.go
+++ b/internal/journal/stats.go
@@ -25,11 +25,11 @@
 	// HandOvers counts shards handed over, Lost shards taken over by other nodes.
 	HandOvers uint64
 	Lost      uint64
-	// Interims counts shards opened without the log.
-	Interims uint64
-	// MayLack counts recoveries from too few replicas: acknowledged records may be
+	// InterimOwnerships counts shards opened without the log.
+	InterimOwnerships uint64
+	// IncompleteRecoveries counts recoveries from too few replicas: acknowledged records may be
 	// missing.
-	MayLack uint64
+	IncompleteRecoveries uint64
 	// Records and RecordBytes count enqueued records.
 	Records     uint64
 	RecordBytes uint64
@@ -54,20 +54,20 @@
 func (m *Manager) Stats() Stats {
 	c := &m.counters
 	stats := Stats{
-		LogDown:      m.health.isDown(),
-		Claims:       c.claims.Load(),
-		ClaimsFailed: c.claimsFailed.Load(),
-		Replacements: c.replacements.Load(),
-		HandOvers:    c.handOvers.Load(),
-		Lost:         c.lost.Load(),
-		MayLack:      c.mayLack.Load(),
-		Records:      c.records.Load(),
-		RecordBytes:  c.recordBytes.Load(),
-		LogAppends:   c.logAppends.Load(),
-		LogBytes:     c.logBytes.Load(),
-		Snapshots:    c.snapshots.Load(),
-		Fenced:       c.fenced.Load(),
-		Interims:     c.interims.Load(),
+		LogDown:              m.health.isDown(),
+		Claims:               c.claims.Load(),
+		ClaimsFailed:         c.claimsFailed.Load(),
+		Replacements:         c.replacements.Load(),
+		HandOvers:            c.handOvers.Load(),
+		Lost:                 c.lost.Load(),
+		IncompleteRecoveries: c.mayLack.Load(),
+		Records:              c.records.Load(),
+		RecordBytes:          c.recordBytes.Load(),
+		LogAppends:           c.logAppends.Load(),
+		LogBytes:             c.logBytes.Load(),
+		Snapshots:            c.snapshots.Load(),
+		Fenced:               c.fenced.Load(),
+		InterimOwnerships:    c.interims.Load(),
 	}
 	for _, shard := range m.owned() {
 		stats.Owned++
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -25,7 +25,7 @@
 type stream struct {
 	manager *Manager
 	name    string
-	ledger  *Ledger
+	ledger  *StreamState
 	// size is the size of the last append in bytes.
 	size int
 	// onEffect is called with the effect of each record; it may be nil.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.ledger = NewLedger(shard, base)
+	s.ledger = NewStreamState(shard, base)
 	if err := s.catchUp(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/journal/types.go
+++ b/internal/journal/types.go
@@ -35,22 +35,22 @@
 // Records passed to Enqueue may or may not be durable.
 var ErrNotOwner = errors.New("journal: not the owner of the shard")
 
-// ErrNotHeld reports that records are not in the log because it is unavailable;
+// ErrNotLogged reports that records are not in the log because it is unavailable;
 // actions that require them must not be performed. Only the wait of EnqueueDurable
 // returns it.
-var ErrNotHeld = errors.New("journal: record not held by the log")
+var ErrNotLogged = errors.New("journal: record not held by the log")
 
-// ErrUnknown reports that a record may or may not be durable.
-var ErrUnknown = errors.New("journal: unknown whether the record is held")
+// ErrOutcomeUnknown reports that a record may or may not be durable.
+var ErrOutcomeUnknown = errors.New("journal: unknown whether the record is held")
 
-// ErrLeaseLapsed is an ErrNotOwner that may be temporary: the lease expired, but as
+// ErrLeaseExpired is an ErrNotOwner that may be temporary: the lease expired, but as
 // far as this node can tell no other node has claimed the shard. The shard is served
 // again once a write quorum of replicas renews the lease.
-var ErrLeaseLapsed = fmt.Errorf("%w: lease lapsed", ErrNotOwner)
+var ErrLeaseExpired = fmt.Errorf("%w: lease lapsed", ErrNotOwner)
 
 // StateMachine is the state that results from a shard's records. During recovery
 // the journal calls Restore at most once, first, then Apply for each record. After
-// Opened the host applies records itself, before it passes them to Enqueue; the
+// ShardOpened the host applies records itself, before it passes them to Enqueue; the
 // journal then calls only Snapshot, and only from inside Enqueue and EnqueueDurable,
 // on the caller's goroutine and so under the caller's shard lock. Snapshot must
 // therefore cover exactly the records enqueued so far, including those of the
@@ -76,8 +76,8 @@
 	Enqueue(records ...[]byte) (wait func(ctx context.Context) error, err error)
 	// EnqueueDurable is Enqueue with a wait that returns nil only once the records are
 	// in the log and were read back as valid. While the log is known to be unavailable
-	// the wait fails at once with ErrNotHeld; it never takes longer than
-	// Config.DurableWait and then fails with ErrUnknown.
+	// the wait fails at once with ErrNotLogged; it never takes longer than
+	// Config.DurableWait and then fails with ErrOutcomeUnknown.
 	//
 	// In either case the records keep their position in the journal: they may be
 	// replicated, and may reach the log later. A caller that gives up enqueues a
@@ -95,17 +95,17 @@
 type Host interface {
 	// NewStateMachine returns an empty machine for recovery.
 	NewStateMachine(shard identity.ShardID) StateMachine
-	// Opened passes a shard that was claimed and recovered. The host serves it until
+	// ShardOpened passes a shard that was claimed and recovered. The host serves it until
 	// Lost is closed.
-	Opened(shard Shard, machine StateMachine)
+	ShardOpened(shard Shard, machine StateMachine)
 	// Checkpoint requests a call of Enqueue without records under the shard's lock, so
 	// that the journal can take a snapshot of an idle shard. The host ignores it for a
 	// shard that is not open.
 	Checkpoint(shard Shard)
-	// Closing requests the host to prepare a planned hand-over: it stops accepting
+	// PrepareHandOver requests the host to prepare a planned hand-over: it stops accepting
 	// calls for the shard (responding with not run and a short retry delay, or leaving
 	// them to the gateway's retry), and returns once the next owner can take over the
 	// calls in flight without interrupting them: their engine streams continue and the
 	// next owner resumes them.
-	Closing(ctx context.Context, shard Shard)
+	PrepareHandOver(ctx context.Context, shard Shard)
 }
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -126,7 +126,7 @@
 	return fenced >= ReadQuorum(len(s.claim.Replicas))
 }
 
-// awaitBatch waits for Config.Gather to batch records, unless a caller waits for the
+// awaitBatch waits for Config.BatchDelay to batch records, unless a caller waits for the
 // log.
 func (s *ownedShard) awaitBatch() error {
 	s.mutex.Lock()
@@ -135,7 +135,7 @@
 	if urgent {
 		return nil
 	}
-	timer := time.NewTimer(s.manager.config.Gather)
+	timer := time.NewTimer(s.manager.config.BatchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -255,7 +255,7 @@
 	m.tasks.Go(func() { again.write(stream) })
 	m.tasks.Go(func() {
 		if again.awaitLease(m.running) == nil {
-			m.config.Host.Opened(again, again.machine)
+			m.config.Host.ShardOpened(again, again.machine)
 		}
 	})
 	return nil
--- a/internal/operator/programs.go
+++ b/internal/operator/programs.go
@@ -23,7 +23,7 @@
 	if made.Title == "" {
 		made.Title = http.StatusText(status)
 	}
-	return problem.Answer(made)
+	return problem.HandlerError(made)
 }
 
 // newest orders programs by their creation, the latest first.
@@ -151,7 +151,7 @@
 			defer cancel()
 			program, err := act(ctx, identity.ProgramID(input.ID))
 			if err != nil {
-				return nil, problem.Answer(err)
+				return nil, problem.HandlerError(err)
 			}
 			return &documentOf[api.Program]{Body: program}, nil
 		})
--- a/internal/operator/site.go
+++ b/internal/operator/site.go
@@ -134,7 +134,7 @@
 		status.Membership = memberships[answer.member.Status]
 		site.Nodes = append(site.Nodes, status)
 	}
-	backends := o.config.Board.Backends.Copy()
+	backends := o.config.Board.Backends.Clone()
 	site.Backends = make([]BackendStatus, 0, len(backends))
 	for _, name := range slices.Sorted(maps.Keys(backends)) {
 		site.Backends = append(site.Backends, backendStatus(backends[name], site.AsOf))
--- a/internal/operator/versions.go
+++ b/internal/operator/versions.go
@@ -29,7 +29,7 @@
 		wanted = state.InForce
 	}
 	if wanted == 0 {
-		return Table{}, problem.Answer(api.NewProblem(api.CodeNoTable, "no table is in force at %s", o.config.Self.Name))
+		return Table{}, problem.HandlerError(api.NewProblem(api.CodeNoTable, "no table is in force at %s", o.config.Self.Name))
 	}
 	record, err := o.config.Tables.Version(ctx, wanted)
 	switch {
@@ -50,7 +50,7 @@
 // publish hands a table to the controller and words the outcome.
 func (o *Operator) publish(ctx context.Context, asked Publication) (Version, error) {
 	if int64(len(asked.CSV)) > o.config.TableBytes {
-		return Version{}, problem.Answer(api.NewProblem(api.CodeTooLarge, "the table is %d bytes, %d are allowed", len(asked.CSV), o.config.TableBytes))
+		return Version{}, problem.HandlerError(api.NewProblem(api.CodeTooLarge, "the table is %d bytes, %d are allowed", len(asked.CSV), o.config.TableBytes))
 	}
 	entry, err := o.config.Tables.Publish(ctx, tables.Publication{
 		ID: asked.ID, Repeated: asked.Repeated, Base: asked.Base, Author: asked.Author, Note: asked.Note, CSV: []byte(asked.CSV),
@@ -73,23 +73,23 @@
 	case errors.As(err, &invalid):
 		made := api.NewProblem(api.CodeInvalid, "the table has %d finding(s)", len(invalid.Findings))
 		made.Findings = Findings(invalid)
-		return problem.Answer(made)
+		return problem.HandlerError(made)
 	case errors.As(err, &lost):
-		return problem.Answer(api.NewProblem(api.CodeTableConflict,
+		return problem.HandlerError(api.NewProblem(api.CodeTableConflict,
 			"version %d by %s was accepted on base %d first; take your change over into it and publish on base %d",
 			lost.Winner.Version, nameOf(lost.Winner.Author), lost.Base, lost.Winner.Version))
 	case errors.As(err, &base):
-		return problem.Answer(api.NewProblem(api.CodeTableConflict,
+		return problem.HandlerError(api.NewProblem(api.CodeTableConflict,
 			"base %d was never accepted; the newest version is %d", base.Base, base.Current))
 	case errors.Is(err, tables.ErrIDReused):
-		return problem.Answer(api.NewProblem(api.CodeConflict, "%s", err))
+		return problem.HandlerError(api.NewProblem(api.CodeConflict, "%s", err))
 	case errors.As(err, &unknown):
 		made := api.NewProblem(CodeTableUnknown,
 			"it is not known whether publication %s takes effect; publish it again with the same id, or look for the id in the history", asked.ID)
 		made.Status, made.Title = http.StatusServiceUnavailable, "The outcome of the publication is unknown"
-		return problem.Answer(made.WithRetryAfter(unknownRetry))
+		return problem.HandlerError(made.WithRetryAfter(unknownRetry))
 	}
-	return problem.Answer(api.NewProblem(api.CodeLogUnavailable, "nothing was published: %s", err).WithRetryAfter(unknownRetry))
+	return problem.HandlerError(api.NewProblem(api.CodeLogUnavailable, "nothing was published: %s", err).WithRetryAfter(unknownRetry))
 }
 
 // Findings returns the findings of a refused table as the interface shows them.
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -15,8 +15,8 @@
 	"stepseam.example/stepseam/api"
 )
 
-// Of returns the problem that err wraps, or an internal error if it wraps none.
-func Of(err error) *api.Problem {
+// FromError returns the problem that err wraps, or an internal error if it wraps none.
+func FromError(err error) *api.Problem {
 	var found *api.Problem
 	if errors.As(err, &found) {
 		return found
@@ -48,13 +48,13 @@
 	}
 }
 
-// Answer converts a handler's error to the error that huma responds with; nil
+// HandlerError converts a handler's error to the error that huma responds with; nil
 // stays nil.
-func Answer(err error) error {
+func HandlerError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return handlerError{Of(err)}
+	return handlerError{FromError(err)}
 }
 
 // Transform is a huma.Transformer that converts huma's own errors to problems.
--- a/internal/serving/benchmark_test.go
+++ b/internal/serving/benchmark_test.go
@@ -84,7 +84,7 @@
 	for id := range shards {
 		opened := instantShard{id: identity.ShardID(id), lost: make(chan struct{})}
 		var shard journal.Shard = opened
-		owner.Opened(shard, owner.NewStateMachine(opened.id))
+		owner.ShardOpened(shard, owner.NewStateMachine(opened.id))
 	}
 	return owner
 }
--- a/internal/serving/inflight.go
+++ b/internal/serving/inflight.go
@@ -202,7 +202,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.byRole == nil || now.Sub(c.copied) > candidateAge || now.Before(c.copied) {
-		all := lo.Values(c.board.Backends.Copy())
+		all := lo.Values(c.board.Backends.Clone())
 		slices.SortFunc(all, func(a, b blackboard.Backend) int { return cmp.Compare(a.Name, b.Name) })
 		c.byRole = lo.GroupBy(all, func(b blackboard.Backend) siteservices.MachineRole { return b.Role })
 		c.copied = now
--- a/internal/serving/owner.go
+++ b/internal/serving/owner.go
@@ -118,9 +118,9 @@
 // NewStateMachine implements journal.Host.
 func (o *Owner) NewStateMachine(identity.ShardID) journal.StateMachine { return newMachine() }
 
-// Opened implements journal.Host: it takes up the calls and releases that the
+// ShardOpened implements journal.Host: it takes up the calls and releases that the
 // former owner left.
-func (o *Owner) Opened(held journal.Shard, state journal.StateMachine) {
+func (o *Owner) ShardOpened(held journal.Shard, state journal.StateMachine) {
 	s := newShard(o, held, state.(*machine))
 	o.mutex.Lock()
 	former := o.shards[held.ID()]
@@ -147,11 +147,11 @@
 	_, _ = s.commit(false) // no record waits for anything
 }
 
-// Closing implements journal.Host. New calls are sent to the next owner from
+// PrepareHandOver implements journal.Host. New calls are sent to the next owner from
 // now on. Application calls under way cannot be taken over, so they are waited
 // for, bounded; model streams run on at their engines and the next owner
 // resumes them.
-func (o *Owner) Closing(ctx context.Context, held journal.Shard) {
+func (o *Owner) PrepareHandOver(ctx context.Context, held journal.Shard) {
 	o.mutex.RLock()
 	s := o.shards[held.ID()]
 	o.mutex.RUnlock()
--- a/internal/serving/site_test.go
+++ b/internal/serving/site_test.go
@@ -59,7 +59,7 @@
 		return journal.ErrNotOwner
 	}
 	if s.lapsed.Load() {
-		return journal.ErrLeaseLapsed
+		return journal.ErrLeaseExpired
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 	down := s.log.durableDown
 	s.log.mutex.Unlock()
 	if down {
-		return func(context.Context) error { return journal.ErrNotHeld }, nil
+		return func(context.Context) error { return journal.ErrNotLogged }, nil
 	}
 	return s.Enqueue(records...)
 }
@@ -261,7 +261,7 @@
 		}
 	}
 	s.opened = append(s.opened, held)
-	owner.Opened(held, held.machine)
+	owner.ShardOpened(held, held.machine)
 	return held
 }
 
--- a/internal/serving/takeover_test.go
+++ b/internal/serving/takeover_test.go
@@ -219,7 +219,7 @@
 		queued.Branch = "pay"
 		behind := s.start(owner, p1, queued, 0)
 		time.Sleep(10 * time.Millisecond)
-		owner.Closing(s.running, held)
+		owner.PrepareHandOver(s.running, held)
 		is.NoErr((<-paid).err)
 		is.True(serving.IsNotOwner((<-behind).err)) // not begun here any more
 		cut := <-stream
--- a/test/simulation/interim_test.go
+++ b/test/simulation/interim_test.go
@@ -63,7 +63,7 @@
 		site.Log.SetFaults(logservice.Faults{})
 		callers.Wait()
 		time.Sleep(freeingTime)
-		is.Equal(site.journalStats().MayLack, uint64(0))
+		is.Equal(site.journalStats().IncompleteRecoveries, uint64(0))
 		is.Equal(site.journalStats().TailBytes, 0)
 		is.Equal(site.check(records), nil)
 		refused := 0
@@ -103,7 +103,7 @@
 
 // replicas returns the replicas of the shard's active claim.
 func (s *site) replicas(shard identity.ShardID) []identity.NodeName {
-	ledger := journal.NewLedger(shard, 0)
+	ledger := journal.NewStreamState(shard, 0)
 	for _, raw := range s.Log.Records(journal.StreamName(shard)) {
 		ledger.Apply(raw)
 	}
--- a/test/simulation/models_test.go
+++ b/test/simulation/models_test.go
@@ -52,7 +52,7 @@
 // fencesSeen counts the engines whose reports show an acting node's fence to the
 // node at index.
 func (s *site) fencesSeen(index int) (count int) {
-	for _, seen := range s.life(index).Node.Board().Backends.Copy() {
+	for _, seen := range s.life(index).Node.Board().Backends.Clone() {
 		if seen.Report.Fence > 0 {
 			count++
 		}
--- a/test/simulation/stop_test.go
+++ b/test/simulation/stop_test.go
@@ -152,7 +152,7 @@
 			sum.TailBytes += stats.TailBytes
 			sum.ReplicaBytes += stats.ReplicaBytes
 			sum.Owned += stats.Owned
-			sum.MayLack += stats.MayLack
+			sum.IncompleteRecoveries += stats.IncompleteRecoveries
 		}
 	}
 	return sum
