--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -115,7 +115,7 @@
 			act = g.config.Programs.Cancel
 		}
 		if _, err := act(ctx, program); err != nil {
-			g.config.Logger.Warn("program of one call was not ended", "program", program, "error", err)
+			g.config.Logger.Warn("failed to end a single-call program", "program", program, "error", err)
 		}
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,7 +157,7 @@
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	g.Drain()
 	if err := g.server.Shutdown(ctx); err != nil {
-		return fmt.Errorf("gateway: shutdown with %d requests under way: %w", g.inFlight.Load(), err)
+		return fmt.Errorf("gateway: shutdown with %d requests in flight: %w", g.inFlight.Load(), err)
 	}
 	g.endings.Wait()
 	return nil
--- a/internal/journal/claim.go
+++ b/internal/journal/claim.go
@@ -16,12 +16,12 @@
 
 // Reasons why a claim is not made, or not valid.
 var (
-	errOwnedElsewhere = errors.New("journal: another node holds the shard")
-	errLostRace       = errors.New("journal: another claim came first")
+	errOwnedElsewhere = errors.New("journal: another node owns the shard")
+	errLostRace       = errors.New("journal: superseded by another claim")
 	errNoQuorum       = errors.New("journal: too few of the former replicas answer")
-	errNotDesired     = errors.New("journal: this node should not own the shard")
+	errNotDesired     = errors.New("journal: this node is not the desired owner of the shard")
 	errRivalClaim     = errors.New("journal: another node is claiming the shard")
-	errNoNodes        = errors.New("journal: no live node to hold the tail")
+	errNoNodes        = errors.New("journal: no live node for a replica")
 )
 
 // leaseRunsError reports that a claim must wait: the former owner's lease may still
@@ -33,7 +33,7 @@
 
 // Error returns the former owner and the remaining time.
 func (e *leaseRunsError) Error() string {
-	return fmt.Sprintf("journal: the lease of epoch %d of %s may still run for %v",
+	return fmt.Sprintf("journal: the lease of epoch %d of %s may still be valid for %v",
 		e.former.Epoch, e.former.Owner.Name, e.remaining)
 }
 
--- a/internal/journal/hand_over.go
+++ b/internal/journal/hand_over.go
@@ -32,7 +32,7 @@
 		return errUnexpectedResponse
 	}
 	if answer.Result == retryLater {
-		return fmt.Errorf("%w: %s hands it over later", errOwnedElsewhere, active.Owner.Name)
+		return fmt.Errorf("%w: %s does not hand it over yet", errOwnedElsewhere, active.Owner.Name)
 	}
 	return c.stream.catchUp(ctx)
 }
@@ -66,7 +66,7 @@
 }
 
 // errBusy reports that a shard cannot be handed over at the moment.
-var errBusy = errors.New("journal: the shard's replicas are being exchanged or it is being handed over")
+var errBusy = errors.New("journal: the shard cannot be handed over at the moment")
 
 // handOver lets the host finish, flushes the shard to the log, and releases it.
 func (m *Manager) handOver(ctx context.Context, shard *ownedShard) error {
@@ -143,7 +143,7 @@
 // unavailable, the shards are served until it recovers or ctx ends.
 func (m *Manager) drainOwned(ctx context.Context) error {
 	if err := m.health.await(ctx, false); err != nil {
-		return fmt.Errorf("the log service is away: %w", err)
+		return fmt.Errorf("the log service is unavailable: %w", err)
 	}
 	group := errgroup.Group{}
 	group.SetLimit(m.config.ConcurrentHandOvers)
--- a/internal/journal/interim.go
+++ b/internal/journal/interim.go
@@ -11,7 +11,7 @@
 )
 
 // errLogRecovered ends an interim ownership once the log is available.
-var errLogRecovered = errors.New("journal: the log is back")
+var errLogRecovered = errors.New("journal: the log is available again")
 
 // acquireShard takes the shard over by a claim in the log or, during an outage of
 // the log, as its interim owner.
@@ -102,7 +102,7 @@
 		}
 	}
 	if newest.Epoch == 0 {
-		return Claim{}, fmt.Errorf("%w: none holds a whole state while the log is away", errNoQuorum)
+		return Claim{}, fmt.Errorf("%w: no replica has an authorized full state while the log is unavailable", errNoQuorum)
 	}
 	return newest, nil
 }
@@ -123,7 +123,7 @@
 		willing++
 	}
 	if willing < WriteQuorum(len(claim.Replicas)) {
-		return 0, fmt.Errorf("%w: %d of %d hold a whole state", errNoQuorum, willing, len(claim.Replicas))
+		return 0, fmt.Errorf("%w: %d of %d have an authorized full state", errNoQuorum, willing, len(claim.Replicas))
 	}
 	if remaining > 0 {
 		return 0, &leaseRunsError{former: claim, remaining: remaining}
--- a/internal/journal/link.go
+++ b/internal/journal/link.go
@@ -136,7 +136,7 @@
 }
 
 // errUnexpectedResponse reports a response of the wrong message type.
-var errUnexpectedResponse = errors.New("journal: unexpected answer")
+var errUnexpectedResponse = errors.New("journal: unexpected response")
 
 func (s *ownedShard) handleWriteResponse(link *link, write Write, generation uint64, answer WriteResponse) {
 	s.mutex.Lock()
--- a/internal/journal/owned.go
+++ b/internal/journal/owned.go
@@ -164,7 +164,7 @@
 		return nil, err
 	}
 	if away {
-		refusal := fmt.Errorf("%w: the log service is away", ErrNotLogged)
+		refusal := fmt.Errorf("%w: the log service is unavailable", ErrNotLogged)
 		return func(context.Context) error { return refusal }, nil
 	}
 	deadline := time.Now().Add(s.manager.config.DurableWait)
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -10,7 +10,7 @@
 )
 
 // ErrCorrupt reports that bytes in a log stream are not a valid journal record.
-var ErrCorrupt = errors.New("journal: damaged log record")
+var ErrCorrupt = errors.New("journal: corrupt log record")
 
 // RecordID is unique over all log records of a site. A record that is appended again
 // after a request whose outcome was unknown takes effect once.
--- a/internal/journal/replace.go
+++ b/internal/journal/replace.go
@@ -214,7 +214,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.next != next {
-		return false, fmt.Errorf("%w: given up", errNotCopied)
+		return false, fmt.Errorf("%w: replacement abandoned", errNotCopied)
 	}
 	s.startSenders()
 	held := max(quorumValue(s.matches(next.replicas)), s.logged)
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -15,7 +15,7 @@
 const readLimit = 256
 
 // errLogUnavailable reports that the log certainly did not accept a request.
-var errLogUnavailable = errors.New("journal: the log is away")
+var errLogUnavailable = errors.New("journal: the log is unavailable")
 
 // StreamName returns the name of shard's log stream.
 func StreamName(shard identity.ShardID) string { return fmt.Sprintf("shard-%04d", shard) }
--- a/internal/journal/types.go
+++ b/internal/journal/types.go
@@ -38,15 +38,15 @@
 // ErrNotLogged reports that records are not in the log because it is unavailable;
 // actions that require them must not be performed. Only the wait of EnqueueDurable
 // returns it.
-var ErrNotLogged = errors.New("journal: record not held by the log")
+var ErrNotLogged = errors.New("journal: record not in the log")
 
 // ErrOutcomeUnknown reports that a record may or may not be durable.
-var ErrOutcomeUnknown = errors.New("journal: unknown whether the record is held")
+var ErrOutcomeUnknown = errors.New("journal: unknown whether the record is durable")
 
 // ErrLeaseExpired is an ErrNotOwner that may be temporary: the lease expired, but as
 // far as this node can tell no other node has claimed the shard. The shard is served
 // again once a write quorum of replicas renews the lease.
-var ErrLeaseExpired = fmt.Errorf("%w: lease lapsed", ErrNotOwner)
+var ErrLeaseExpired = fmt.Errorf("%w: lease expired", ErrNotOwner)
 
 // StateMachine is the state that results from a shard's records. During recovery
 // the journal calls Restore at most once, first, then Apply for each record. After
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -8,7 +8,7 @@
 )
 
 // errTakenOver reports that a shard was lost to another node's claim in the log.
-var errTakenOver = errors.New("journal: another node's claim stands in the log")
+var errTakenOver = errors.New("journal: taken over by another node's claim")
 
 // write appends the shard's records to the log until the shard is lost. Only write
 // uses the stream: one append is in flight at a time, and an append whose outcome is
@@ -223,7 +223,7 @@
 
 // errReopened is the loss reason of a shard whose hand-over failed and which this
 // node opened again.
-var errReopened = errors.New("journal: the log went away during the hand-over")
+var errReopened = errors.New("journal: the log became unavailable during the hand-over")
 
 // reopen passes the shard to the host again, in the same epoch. It is used if the
 // log becomes unavailable during a hand-over and the release cannot have been
