--- a/internal/serving/owner.go
+++ b/internal/serving/owner.go
@@ -118,9 +118,9 @@
 // NewStateMachine implements journal.Host.
 func (o *Owner) NewStateMachine(identity.ShardID) journal.StateMachine { return newMachine() }
 
-// Opened implements journal.Host. It resumes the open calls and pending releases of the
+// ShardOpened implements journal.Host. It resumes the open calls and pending releases of the
 // previous owner.
-func (o *Owner) Opened(opened journal.Shard, state journal.StateMachine) {
+func (o *Owner) ShardOpened(opened journal.Shard, state journal.StateMachine) {
 	s := newShard(o, opened, state.(*machine))
 	o.mutex.Lock()
 	former := o.shards[opened.ID()]
@@ -147,11 +147,11 @@
 	_, _ = s.commit(false) // there are no records to wait for
 }
 
-// Closing implements journal.Host. From now on new calls are sent to the next owner.
-// Application calls in flight cannot be resumed elsewhere, so Closing waits up to
+// PrepareHandOver implements journal.Host. From now on new calls are sent to the next owner.
+// Application calls in flight cannot be resumed elsewhere, so PrepareHandOver waits up to
 // HandoverTimeout for them. Model streams continue at their engines, and the next owner
 // resumes them.
-func (o *Owner) Closing(ctx context.Context, owned journal.Shard) {
+func (o *Owner) PrepareHandOver(ctx context.Context, owned journal.Shard) {
 	o.mutex.RLock()
 	s := o.shards[owned.ID()]
 	o.mutex.RUnlock()
--- a/internal/serving/site_test.go
+++ b/internal/serving/site_test.go
@@ -60,7 +60,7 @@
 		return journal.ErrNotOwner
 	}
 	if s.lapsed.Load() {
-		return journal.ErrLeaseLapsed
+		return journal.ErrLeaseExpired
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 	down := s.log.durableDown
 	s.log.mutex.Unlock()
 	if down {
-		return func(context.Context) error { return journal.ErrNotHeld }, nil
+		return func(context.Context) error { return journal.ErrNotLogged }, nil
 	}
 	return s.Enqueue(records...)
 }
@@ -262,7 +262,7 @@
 		}
 	}
 	s.opened = append(s.opened, held)
-	owner.Opened(held, held.machine)
+	owner.ShardOpened(held, held.machine)
 	return held
 }
 
