--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -28,9 +28,9 @@
 // ErrStreamUnknown tells that the engine knows no such stream.
 var ErrStreamUnknown = errors.New("backend: stream unknown")
 
-// ErrBroken tells that the connection ended after the request was sent: it may
+// ErrOutcomeUnknown tells that the connection ended after the request was sent: it may
 // have run, be running still, or never have started.
-var ErrBroken = errors.New("backend: connection broke, the outcome is unknown")
+var ErrOutcomeUnknown = errors.New("backend: connection broke, the outcome is unknown")
 
 // ErrStaleFence tells that an order came from a holder that was replaced.
 var ErrStaleFence = errors.New("backend: order carries a stale fence")
@@ -161,8 +161,8 @@
 	// Release frees the cache memory held for a program; for one branch if
 	// branch is set. It confirms also if nothing was held.
 	Release(ctx context.Context, program identity.ProgramID, branch identity.BranchID) error
-	// Held lists the cache memory held, for the audit.
-	Held(ctx context.Context) ([]HeldPrefix, error)
+	// CachedPrefixes lists the cache memory held, for the audit.
+	CachedPrefixes(ctx context.Context) ([]HeldPrefix, error)
 	// Load returns the engine's lagging report.
 	Load(ctx context.Context) (LoadReport, error)
 	// CacheEvents returns events with numbers of from and above.
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -105,7 +105,7 @@
 		if !connected.Load() {
 			return nil, fmt.Errorf("%w: %w", ErrNotDelivered, err)
 		}
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	in := &incoming{response: response, ctx: ctx, cancel: cancel, idle: idle, timeout: c.options.IdleTimeout}
 	idle.Stop()
@@ -158,12 +158,12 @@
 	status := in.response.StatusCode
 	body, err := readAll(in, maxErrorBytes)
 	if err != nil {
-		return fmt.Errorf("%w: status %d: %w", ErrBroken, status, err)
+		return fmt.Errorf("%w: status %d: %w", ErrOutcomeUnknown, status, err)
 	}
 	document := ErrorDocument{Status: status}
 	mediaType, _, _ := mime.ParseMediaType(in.response.Header.Get("Content-Type"))
 	if mediaType != contentTypeProblem || json.Unmarshal(body, &document) != nil {
-		return fmt.Errorf("%w: %w", ErrBroken, statusError(status))
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, statusError(status))
 	}
 	return document.sentinel()
 }
@@ -192,7 +192,7 @@
 	defer in.close()
 	body, err := readAll(in, c.options.MaxBodyBytes)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return body, nil
 }
@@ -213,7 +213,7 @@
 		return err
 	}
 	if err := json.Unmarshal(body, output); err != nil {
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return nil
 }
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -48,7 +48,7 @@
 		engine("cancel", func(ctx context.Context, e backend.Engine) error { return e.Cancel(ctx, stream) }),
 		engine("release", func(ctx context.Context, e backend.Engine) error { return e.Release(ctx, "p", "main") }),
 		engine("held", func(ctx context.Context, e backend.Engine) error {
-			_, err := e.Held(ctx)
+			_, err := e.CachedPrefixes(ctx)
 			return err
 		}),
 		engine("load", func(ctx context.Context, e backend.Engine) error {
@@ -124,7 +124,7 @@
 			is := is.New(t)
 			err := call.run(t.Context(), directory, address)
 			is.True(errors.Is(err, backend.ErrNotDelivered))
-			is.True(!errors.Is(err, backend.ErrBroken))
+			is.True(!errors.Is(err, backend.ErrOutcomeUnknown))
 		})
 	}
 }
@@ -165,7 +165,7 @@
 					wanted := other == sentinel || (sentinel == backend.ErrDraining && other == backend.ErrRefused)
 					is.Equal(errors.Is(err, other), wanted)
 				}
-				is.True(!errors.Is(err, backend.ErrBroken))
+				is.True(!errors.Is(err, backend.ErrOutcomeUnknown))
 			})
 		}
 	}
@@ -210,7 +210,7 @@
 			t.Run(name+"/"+call.name, func(t *testing.T) {
 				inBubble(t, reading, limit, func(t *testing.T, directory backend.Directory, address netip.AddrPort) {
 					err := call.run(t.Context(), directory, address)
-					if !errors.Is(err, backend.ErrBroken) || backend.NotRun(err) {
+					if !errors.Is(err, backend.ErrOutcomeUnknown) || backend.NotRun(err) {
 						t.Errorf("got %v", err)
 					}
 				})
@@ -236,7 +236,7 @@
 				_, _ = io.WriteString(w, text)
 			})
 			_, err := directory.Engine(address).Generate(t.Context(), backend.GenerateRequest{MaxTokens: 1}, nil)
-			if !errors.Is(err, backend.ErrBroken) {
+			if !errors.Is(err, backend.ErrOutcomeUnknown) {
 				t.Errorf("got %v", err)
 			}
 		})
@@ -308,7 +308,7 @@
 			_, err := application.Invoke(t.Context(), request)
 			is.NoErr(err)
 			_, err = application.Invoke(t.Context(), request)
-			is.True(errors.Is(err, backend.ErrBroken))
+			is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 			is.Equal(arrived.Load(), int32(2))
 		})
 	}
--- a/internal/backend/engine_client.go
+++ b/internal/backend/engine_client.go
@@ -61,7 +61,7 @@
 	for {
 		event, err := events.next()
 		if err != nil {
-			return GenerateResult{}, fmt.Errorf("%w after %d tokens: %w", ErrBroken, assembly.next, err)
+			return GenerateResult{}, fmt.Errorf("%w after %d tokens: %w", ErrOutcomeUnknown, assembly.next, err)
 		}
 		ended, err := assembly.take(event)
 		if err != nil {
@@ -87,7 +87,7 @@
 	if event.name == EventError {
 		var document ErrorDocument
 		if err := json.Unmarshal(event.data, &document); err != nil {
-			return false, fmt.Errorf("%w: error event: %w", ErrBroken, err)
+			return false, fmt.Errorf("%w: error event: %w", ErrOutcomeUnknown, err)
 		}
 		return false, document.sentinel()
 	}
@@ -96,7 +96,7 @@
 	}
 	var chunk ChatResponse
 	if err := json.Unmarshal(event.data, &chunk); err != nil {
-		return false, fmt.Errorf("%w: event after token %d: %w", ErrBroken, a.next, err)
+		return false, fmt.Errorf("%w: event after token %d: %w", ErrOutcomeUnknown, a.next, err)
 	}
 	if chunk.Usage != nil {
 		usage := chunk.Usage.usage()
@@ -110,7 +110,7 @@
 			continue
 		}
 		if event.id != "" && event.id != strconv.Itoa(a.next) {
-			return false, fmt.Errorf("%w: got token %s, expected %d", ErrBroken, event.id, a.next)
+			return false, fmt.Errorf("%w: got token %s, expected %d", ErrOutcomeUnknown, event.id, a.next)
 		}
 		if err := a.token(choice.Delta.Content); err != nil {
 			return false, err
@@ -133,10 +133,10 @@
 // it finished, or with another number of tokens than it says, is not whole.
 func (a *answerAssembly) result() (GenerateResult, error) {
 	if a.reason == "" || a.usage == nil {
-		return GenerateResult{}, fmt.Errorf("%w: the stream ended without its usage", ErrBroken)
+		return GenerateResult{}, fmt.Errorf("%w: the stream ended without its usage", ErrOutcomeUnknown)
 	}
 	if a.usage.CompletionTokens != a.next {
-		return GenerateResult{}, fmt.Errorf("%w: got %d tokens of %d", ErrBroken, a.next, a.usage.CompletionTokens)
+		return GenerateResult{}, fmt.Errorf("%w: got %d tokens of %d", ErrOutcomeUnknown, a.next, a.usage.CompletionTokens)
 	}
 	return GenerateResult{Text: a.text.String(), FinishReason: a.reason, Usage: *a.usage}, nil
 }
@@ -160,8 +160,8 @@
 	return e.call(ctx, "release "+string(program), out, nil, nil)
 }
 
-// Held implements Engine.
-func (e *EngineClient) Held(ctx context.Context) ([]HeldPrefix, error) {
+// CachedPrefixes implements Engine.
+func (e *EngineClient) CachedPrefixes(ctx context.Context) ([]HeldPrefix, error) {
 	var held []HeldPrefix
 	err := e.call(ctx, "held", outgoing{method: http.MethodGet, path: PathPrefixes}, nil, &held)
 	return held, err
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -123,7 +123,7 @@
 			return fmt.Errorf("%w: %s", kind.err, d.Detail)
 		}
 	}
-	return fmt.Errorf("%w: status %d, code %q: %s", ErrBroken, d.Status, d.Code, d.Detail)
+	return fmt.Errorf("%w: status %d, code %q: %s", ErrOutcomeUnknown, d.Status, d.Code, d.Detail)
 }
 
 // FormatStreamID writes a stream id as one line: five fields between slashes,
--- a/internal/controller/backends/controller_test.go
+++ b/internal/controller/backends/controller_test.go
@@ -283,7 +283,7 @@
 		time.Sleep(2100 * time.Millisecond)
 		for i := range 2 {
 			s.engines[addressOf(0)].SetFaults(engine.Faults{LoseNext: 1})
-			is.True(errors.Is(generate(s, addressOf(0), fmt.Sprint(i)), backend.ErrBroken))
+			is.True(errors.Is(generate(s, addressOf(0), fmt.Sprint(i)), backend.ErrOutcomeUnknown))
 			time.Sleep(600 * time.Millisecond)
 		}
 		is.Equal(s.shown(addressOf(0)).Health, scheduling.Ejected)
--- a/internal/controller/backends/observe.go
+++ b/internal/controller/backends/observe.go
@@ -73,7 +73,7 @@
 // isBackendFailure reports whether the error counts against the back end's
 // health. Refusals, cancelled streams and calls abandoned by the caller do not.
 func isBackendFailure(ctx context.Context, result Result) bool {
-	return ctx.Err() == nil && (errors.Is(result.Err, backend.ErrNotDelivered) || errors.Is(result.Err, backend.ErrBroken))
+	return ctx.Err() == nil && (errors.Is(result.Err, backend.ErrNotDelivered) || errors.Is(result.Err, backend.ErrOutcomeUnknown))
 }
 
 // isHung reports whether an application did not answer before the call's
--- a/internal/controller/backends/poll.go
+++ b/internal/controller/backends/poll.go
@@ -162,7 +162,7 @@
 		return
 	}
 	c.metrics.resyncs.Inc()
-	held, err := client.Held(ctx)
+	held, err := client.CachedPrefixes(ctx)
 	if err == nil {
 		c.cache.Replace(started, polled.name, held)
 	}
--- a/internal/controller/models/site_test.go
+++ b/internal/controller/models/site_test.go
@@ -149,13 +149,13 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if silent := e.node.site.unresponsive; silent != nil && e.Engine == backend.Engine(silent) {
-		return backend.ErrBroken
+		return backend.ErrOutcomeUnknown
 	}
 	load := order.Kind == backend.OrderLoadModel || order.Kind == backend.OrderLoadAdapter
 	if load && e.node.site.loses(e.node) {
 		e.node.site.group.Go(func() { _ = e.Engine.Order(ctx, order) })
 		time.Sleep(time.Millisecond)
-		return backend.ErrBroken
+		return backend.ErrOutcomeUnknown
 	}
 	return e.Engine.Order(ctx, order)
 }
--- a/internal/controller/tables/site_test.go
+++ b/internal/controller/tables/site_test.go
@@ -98,7 +98,7 @@
 	}
 	offset, err := l.view.Append(ctx, stream, records)
 	if gateErr := l.endpoint.Gate(context.Background()); gateErr != nil {
-		return 0, errors.Join(siteservices.ErrAnswerLost, gateErr)
+		return 0, errors.Join(siteservices.ErrOutcomeUnknown, gateErr)
 	}
 	return offset, err
 }
@@ -109,7 +109,7 @@
 	}
 	result, err := l.view.Read(ctx, stream, from, limit, wait)
 	if gateErr := l.endpoint.Gate(context.Background()); gateErr != nil {
-		return siteservices.ReadResult{}, errors.Join(siteservices.ErrAnswerLost, gateErr)
+		return siteservices.ReadResult{}, errors.Join(siteservices.ErrOutcomeUnknown, gateErr)
 	}
 	return result, err
 }
--- a/internal/emulator/application/application.go
+++ b/internal/emulator/application/application.go
@@ -191,9 +191,9 @@
 			return result.answer, nil
 		}
 	case <-broken:
-		err = backend.ErrBroken
+		err = backend.ErrOutcomeUnknown
 	case <-ctx.Done():
-		err = fmt.Errorf("%w: %w", backend.ErrBroken, ctx.Err())
+		err = fmt.Errorf("%w: %w", backend.ErrOutcomeUnknown, ctx.Err())
 	}
 	return nil, fmt.Errorf("application %s: %s: %w", a.parameters.Name, request.Operation, err)
 }
@@ -248,18 +248,18 @@
 func (a *Application) run(request backend.InvokeRequest, operation Operation) ([]byte, error) {
 	latency := a.latency(operation)
 	if !a.sleep(latency/2) || !a.awaitFault(func(faults Faults) bool { return faults.HangBefore }) {
-		return nil, backend.ErrBroken
+		return nil, backend.ErrOutcomeUnknown
 	}
 	execution := a.ledger.execute(a.parameters.Name, request, operation.Effect)
 	if !a.sleep(latency-latency/2) || !a.awaitFault(func(faults Faults) bool { return faults.HangAfter }) || a.loseAnswer() {
-		return nil, fmt.Errorf("%w: the answer was lost", backend.ErrBroken)
+		return nil, fmt.Errorf("%w: the answer was lost", backend.ErrOutcomeUnknown)
 	}
 	answer, err := json.Marshal(Answer{
 		Operation: request.Operation, Execution: execution, Replica: a.parameters.Name,
 		Receipt: receipt(request), Input: request.Body,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", backend.ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", backend.ErrOutcomeUnknown, err)
 	}
 	return answer, nil
 }
--- a/internal/emulator/application/application_test.go
+++ b/internal/emulator/application/application_test.go
@@ -63,7 +63,7 @@
 		is := is.New(t)
 		a.SetFaults(application.Faults{LoseNext: 1})
 		_, err := a.Invoke(t.Context(), enrol("k"))
-		is.True(errors.Is(err, backend.ErrBroken))
+		is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 		is.Equal(a.Ledger().Executions("enrol", "k"), 1)
 	})
 }
@@ -75,7 +75,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		_, err := a.Invoke(ctx, enrol("k"))
-		is.True(errors.Is(err, backend.ErrBroken))
+		is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 		is.Equal(a.Ledger().Executions("enrol", "k"), 0)
 		a.SetFaults(application.Faults{})
 		time.Sleep(time.Second)
--- a/internal/emulator/application/server_test.go
+++ b/internal/emulator/application/server_test.go
@@ -31,7 +31,7 @@
 
 	a.SetFaults(application.Faults{LoseNext: 1})
 	_, err = client.Invoke(t.Context(), enrol("lost"))
-	is.True(errors.Is(err, backend.ErrBroken))
+	is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 	is.Equal(a.Ledger().Executions("enrol", "lost"), 1)
 
 	a.SetFaults(application.Faults{Refuse: true})
--- a/internal/emulator/engine/batch.go
+++ b/internal/emulator/engine/batch.go
@@ -206,7 +206,7 @@
 			next++
 		}
 		if news.lost {
-			return backend.GenerateResult{}, fmt.Errorf("%w: the answer was lost", backend.ErrBroken)
+			return backend.GenerateResult{}, fmt.Errorf("%w: the answer was lost", backend.ErrOutcomeUnknown)
 		}
 		if news.ended {
 			return news.result, news.err
@@ -217,9 +217,9 @@
 		select {
 		case <-news.changed:
 		case <-news.broken:
-			return backend.GenerateResult{}, backend.ErrBroken
+			return backend.GenerateResult{}, backend.ErrOutcomeUnknown
 		case <-ctx.Done():
-			return backend.GenerateResult{}, errors.Join(backend.ErrBroken, ctx.Err())
+			return backend.GenerateResult{}, errors.Join(backend.ErrOutcomeUnknown, ctx.Err())
 		}
 	}
 }
--- a/internal/emulator/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -88,11 +88,11 @@
 		next, err := e.Generate(t.Context(), second, nil)
 		is.NoErr(err)
 		is.Equal(next.Usage.CachedTokens, backend.CountTokens(second.Messages[:2]))
-		held, err := e.Held(t.Context())
+		held, err := e.CachedPrefixes(t.Context())
 		is.NoErr(err)
 		is.Equal(len(held), 1)
 		is.NoErr(e.Release(t.Context(), "p", ""))
-		held, err = e.Held(t.Context())
+		held, err = e.CachedPrefixes(t.Context())
 		is.NoErr(err)
 		is.Equal(len(held), 0)
 	})
@@ -109,7 +109,7 @@
 			}
 			return nil
 		})
-		is.True(errors.Is(err, backend.ErrBroken))
+		is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 		var rest strings.Builder
 		whole, err := e.Resume(t.Context(), streamID("p", 1, 1), 3, func(token backend.Token) error {
 			is.True(token.Index >= 3)
--- a/internal/emulator/engine/faults.go
+++ b/internal/emulator/engine/faults.go
@@ -68,7 +68,7 @@
 
 func (e *Engine) loseStreams() {
 	for _, s := range e.streams {
-		e.stop(s, OutcomeLost, backend.ErrBroken)
+		e.stop(s, OutcomeLost, backend.ErrOutcomeUnknown)
 	}
 }
 
@@ -142,16 +142,16 @@
 	case answer := <-answered:
 		return answer.value, answer.err
 	case <-broken:
-		return zero, backend.ErrBroken
+		return zero, backend.ErrOutcomeUnknown
 	case <-ctx.Done():
-		return zero, fmt.Errorf("%w: %w", backend.ErrBroken, ctx.Err())
+		return zero, fmt.Errorf("%w: %w", backend.ErrOutcomeUnknown, ctx.Err())
 	}
 }
 
 // answer returns err to the caller, or loses it. A refusal is an answer too.
 func (e *Engine) answer(err error) error {
 	if e.loseAnswer() {
-		return fmt.Errorf("%w: the answer was lost", backend.ErrBroken)
+		return fmt.Errorf("%w: the answer was lost", backend.ErrOutcomeUnknown)
 	}
 	return err
 }
@@ -160,7 +160,7 @@
 // later part of a request whose first part was sent.
 func afterSending(err error) error {
 	if errors.Is(err, backend.ErrNotDelivered) {
-		return fmt.Errorf("%w: %w", backend.ErrBroken, context.Canceled)
+		return fmt.Errorf("%w: %w", backend.ErrOutcomeUnknown, context.Canceled)
 	}
 	return err
 }
--- a/internal/emulator/engine/faults_test.go
+++ b/internal/emulator/engine/faults_test.go
@@ -36,7 +36,7 @@
 		e.SetFaults(engine.Faults{Frozen: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		is.True(errors.Is(<-begin(ctx, e, request("p", 1)), backend.ErrBroken))
+		is.True(errors.Is(<-begin(ctx, e, request("p", 1)), backend.ErrOutcomeUnknown))
 		is.True(errors.Is(<-begin(ctx, e, request("q", 1)), backend.ErrNotDelivered)) // its time was over before it left
 		is.Equal(len(e.Truth().Arrivals), 0)
 		e.SetFaults(engine.Faults{})
@@ -66,7 +66,7 @@
 		is := is.New(t)
 		ended := begin(t.Context(), e, request("p", 1))
 		e.SetFaults(engine.Faults{Down: true})
-		is.True(errors.Is(<-ended, backend.ErrBroken))
+		is.True(errors.Is(<-ended, backend.ErrOutcomeUnknown))
 		is.True(errors.Is(e.Cancel(t.Context(), streamID("p", 1, 1)), backend.ErrNotDelivered))
 		time.Sleep(time.Minute)
 		e.SetFaults(engine.Faults{})
@@ -83,7 +83,7 @@
 		is.NoErr(e.Cancel(t.Context(), streamID("cancelled", 1, 1)))
 		ended := begin(t.Context(), e, request("running", 1))
 		e.Restart()
-		is.True(errors.Is(<-ended, backend.ErrBroken))
+		is.True(errors.Is(<-ended, backend.ErrOutcomeUnknown))
 		truth := e.Truth()
 		is.Equal(truth.Arrivals[1].Outcome, engine.OutcomeLost)
 		is.Equal(len(truth.Held), 0)
@@ -121,7 +121,7 @@
 		lose := func(run func() error) {
 			t.Helper()
 			e.SetFaults(engine.Faults{LoseNext: 1})
-			is.True(errors.Is(run(), backend.ErrBroken))
+			is.True(errors.Is(run(), backend.ErrOutcomeUnknown))
 			is.Equal(e.Faults().LoseNext, 0)
 		}
 		lose(func() error { return <-begin(t.Context(), e, request("p", 1)) })
--- a/internal/emulator/engine/http_test.go
+++ b/internal/emulator/engine/http_test.go
@@ -75,10 +75,10 @@
 			}
 			return nil
 		})
-		is.True(errors.Is(err, backend.ErrBroken))
+		is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 		is.True(time.Since(started) < 2*backend.DefaultOptions().IdleTimeout)
 		_, err = client.Load(t.Context())
-		is.True(errors.Is(err, backend.ErrBroken))
+		is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 
 		e.SetFaults(engine.Faults{})
 		result, err := client.Resume(t.Context(), first.Stream, seen, func(token backend.Token) error {
--- a/internal/emulator/engine/memory.go
+++ b/internal/emulator/engine/memory.go
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// Held implements backend.Engine.
-func (e *Engine) Held(ctx context.Context) ([]backend.HeldPrefix, error) {
+// CachedPrefixes implements backend.Engine.
+func (e *Engine) CachedPrefixes(ctx context.Context) ([]backend.HeldPrefix, error) {
 	held, err := deliver(ctx, e, func() ([]backend.HeldPrefix, error) { return e.held(), nil })
 	if err != nil {
 		return nil, fmt.Errorf("engine %s: held: %w", e.parameters.Name, err)
@@ -231,9 +231,9 @@
 	case <-time.After(duration):
 		return nil
 	case <-broken:
-		return backend.ErrBroken
+		return backend.ErrOutcomeUnknown
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %w", backend.ErrBroken, ctx.Err())
+		return fmt.Errorf("%w: %w", backend.ErrOutcomeUnknown, ctx.Err())
 	}
 }
 
--- a/internal/emulator/engine/orders.go
+++ b/internal/emulator/engine/orders.go
@@ -28,9 +28,9 @@
 	case <-accepted.loaded:
 		return nil
 	case <-accepted.broken:
-		return fmt.Errorf("engine %s: order: %w", e.parameters.Name, backend.ErrBroken)
+		return fmt.Errorf("engine %s: order: %w", e.parameters.Name, backend.ErrOutcomeUnknown)
 	case <-ctx.Done():
-		return fmt.Errorf("engine %s: order: %w: %w", e.parameters.Name, backend.ErrBroken, ctx.Err())
+		return fmt.Errorf("engine %s: order: %w: %w", e.parameters.Name, backend.ErrOutcomeUnknown, ctx.Err())
 	}
 }
 
--- a/internal/emulator/engine/server_json.go
+++ b/internal/emulator/engine/server_json.go
@@ -56,7 +56,7 @@
 		})
 	huma.Register(api, operation("held", http.MethodGet, backend.PathPrefixes, "List the cache memory held", http.StatusOK),
 		func(ctx context.Context, _ *none) (*body[[]backend.HeldPrefix], error) {
-			return respond(s.engine.Held(ctx))
+			return respond(s.engine.CachedPrefixes(ctx))
 		})
 	huma.Register(api, operation("load", http.MethodGet, backend.PathLoad, "Read the lagging load report", http.StatusOK),
 		func(ctx context.Context, _ *none) (*body[backend.LoadReport], error) {
--- a/internal/emulator/engine/server_test.go
+++ b/internal/emulator/engine/server_test.go
@@ -70,7 +70,7 @@
 	is.NoErr(err)
 	is.Equal(resumed, result)
 
-	held, err := client.Held(t.Context())
+	held, err := client.CachedPrefixes(t.Context())
 	is.NoErr(err)
 	is.Equal(held, e.Truth().Held)
 	events, err := client.CacheEvents(t.Context(), 0)
@@ -127,7 +127,7 @@
 	_, client, url := overHTTP(t)
 	send(t, http.MethodPut, url+engine.PathFaults, engine.Faults{LoseNext: 1})
 	_, err := client.Generate(t.Context(), request("p", 1), nil)
-	is.True(errors.Is(err, backend.ErrBroken))
+	is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 	_, err = client.Resume(t.Context(), streamID("p", 1, 1), 0, nil)
 	is.NoErr(err) // its effect had happened
 
@@ -145,7 +145,7 @@
 	is.Equal(truth.Arrivals[0].Outcome, engine.OutcomeFinished)
 
 	send(t, http.MethodPut, url+engine.PathFaults, engine.Faults{Down: true})
-	is.True(errors.Is(client.Cancel(t.Context(), streamID("p", 9, 1)), backend.ErrBroken))
+	is.True(errors.Is(client.Cancel(t.Context(), streamID("p", 9, 1)), backend.ErrOutcomeUnknown))
 }
 
 // A switch can be set by hand with curl: other fields stay off, and the body
--- a/internal/emulator/logservice/service.go
+++ b/internal/emulator/logservice/service.go
@@ -157,5 +157,5 @@
 }
 
 func answerLost(place string) error {
-	return fmt.Errorf("logservice: %s: %w", place, siteservices.ErrAnswerLost)
+	return fmt.Errorf("logservice: %s: %w", place, siteservices.ErrOutcomeUnknown)
 }
--- a/internal/emulator/logservice/service_test.go
+++ b/internal/emulator/logservice/service_test.go
@@ -62,7 +62,7 @@
 	service := New(1)
 	node := service.ViewFor("n1")
 	node.Script(LoseRequest, LoseAnswer, RefuseAppend, Succeed)
-	wanted := []error{siteservices.ErrAnswerLost, siteservices.ErrAnswerLost, siteservices.ErrUnavailable, nil}
+	wanted := []error{siteservices.ErrOutcomeUnknown, siteservices.ErrOutcomeUnknown, siteservices.ErrUnavailable, nil}
 	for i, want := range wanted {
 		_, err := node.Append(t.Context(), "a", [][]byte{{byte(i)}})
 		check.True(errors.Is(err, want))
@@ -89,7 +89,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		defer cancel()
 		_, err := service.Append(ctx, "a", [][]byte{{1}})
-		check.True(errors.Is(err, siteservices.ErrAnswerLost))
+		check.True(errors.Is(err, siteservices.ErrOutcomeUnknown))
 		check.Equal(len(service.Records("a")), 0)
 		time.Sleep(time.Second)
 		check.Equal(len(service.Records("a")), 1)
--- a/internal/emulator/machinelist/list.go
+++ b/internal/emulator/machinelist/list.go
@@ -174,7 +174,7 @@
 	case <-timer.C:
 		return machines, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("machinelist: %w: %w", siteservices.ErrAnswerLost, ctx.Err())
+		return nil, fmt.Errorf("machinelist: %w: %w", siteservices.ErrOutcomeUnknown, ctx.Err())
 	}
 }
 
--- a/internal/emulator/weightstore/store.go
+++ b/internal/emulator/weightstore/store.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	if err := wait.For(ctx, time.Until(done)); err != nil {
-		return fmt.Errorf("weightstore: fetch %s %s: %w: %w", model, version, siteservices.ErrAnswerLost, err)
+		return fmt.Errorf("weightstore: fetch %s %s: %w: %w", model, version, siteservices.ErrOutcomeUnknown, err)
 	}
 	return nil
 }
--- a/internal/journal/manager.go
+++ b/internal/journal/manager.go
@@ -252,7 +252,7 @@
 	ctx, cancel := context.WithTimeout(ctx, m.config.LogTimeout)
 	defer cancel()
 	_, err := m.config.Log.Read(ctx, StreamName(0), 0, 1, 0)
-	if errors.Is(err, siteservices.ErrAnswerLost) {
+	if errors.Is(err, siteservices.ErrOutcomeUnknown) {
 		return
 	}
 	m.noteLog(err)
--- a/internal/journal/scenario_test.go
+++ b/internal/journal/scenario_test.go
@@ -45,7 +45,7 @@
 
 func (b *blindLog) Append(ctx context.Context, stream string, records [][]byte) (siteservices.Offset, error) {
 	offset, err := b.Log.Append(ctx, stream, records)
-	if !errors.Is(err, siteservices.ErrAnswerLost) {
+	if !errors.Is(err, siteservices.ErrOutcomeUnknown) {
 		return offset, err
 	}
 	b.mutex.Lock()
--- a/internal/journal/site_test.go
+++ b/internal/journal/site_test.go
@@ -208,7 +208,7 @@
 	}
 	offset, err := g.log.Append(ctx, stream, records)
 	if gate := g.endpoint.Gate(context.Background()); gate != nil {
-		return 0, fmt.Errorf("%w: %w", siteservices.ErrAnswerLost, gate)
+		return 0, fmt.Errorf("%w: %w", siteservices.ErrOutcomeUnknown, gate)
 	}
 	return offset, err
 }
@@ -219,7 +219,7 @@
 	}
 	result, err := g.log.Read(ctx, stream, from, limit, wait)
 	if gate := g.endpoint.Gate(context.Background()); gate != nil {
-		return siteservices.ReadResult{}, fmt.Errorf("%w: %w", siteservices.ErrAnswerLost, gate)
+		return siteservices.ReadResult{}, fmt.Errorf("%w: %w", siteservices.ErrOutcomeUnknown, gate)
 	}
 	return result, err
 }
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -209,7 +209,7 @@
 	if errors.Is(err, context.Canceled) {
 		return
 	}
-	if errors.Is(err, siteservices.ErrAnswerLost) && !errors.Is(err, context.DeadlineExceeded) {
+	if errors.Is(err, siteservices.ErrOutcomeUnknown) && !errors.Is(err, context.DeadlineExceeded) {
 		return // one lost answer tells nothing of the next request
 	}
 	down := err != nil
--- a/internal/lab/simulated/outside.go
+++ b/internal/lab/simulated/outside.go
@@ -36,7 +36,7 @@
 	}
 	offset, err := g.log.Append(ctx, stream, records)
 	if gateErr := g.endpoint.Gate(context.WithoutCancel(ctx)); gateErr != nil {
-		return 0, fmt.Errorf("%w: %w", siteservices.ErrAnswerLost, gateErr)
+		return 0, fmt.Errorf("%w: %w", siteservices.ErrOutcomeUnknown, gateErr)
 	}
 	return offset, err
 }
@@ -111,10 +111,10 @@
 	err := request(ctx)
 	time.Sleep(d.site.plan.BackendLatency)
 	if gateErr := d.endpoint.Gate(context.WithoutCancel(ctx)); gateErr != nil {
-		return fmt.Errorf("%w: %w", backend.ErrBroken, gateErr)
+		return fmt.Errorf("%w: %w", backend.ErrOutcomeUnknown, gateErr)
 	}
 	if d.site.backendCut(d.endpoint.Node().Name, zone) {
-		return fmt.Errorf("%w: link cut", backend.ErrBroken)
+		return fmt.Errorf("%w: link cut", backend.ErrOutcomeUnknown)
 	}
 	return err
 }
@@ -139,10 +139,10 @@
 	endpoint, zone := g.directory.endpoint, g.directory.site.engines[g.address].zone
 	return func(token backend.Token) error {
 		if err := endpoint.Gate(context.Background()); err != nil {
-			return fmt.Errorf("%w: %w", backend.ErrBroken, err)
+			return fmt.Errorf("%w: %w", backend.ErrOutcomeUnknown, err)
 		}
 		if g.directory.site.backendCut(endpoint.Node().Name, zone) {
-			return fmt.Errorf("%w: link cut", backend.ErrBroken)
+			return fmt.Errorf("%w: link cut", backend.ErrOutcomeUnknown)
 		}
 		return onToken(token)
 	}
@@ -172,8 +172,11 @@
 	return g.with(ctx, func(ctx context.Context, engine backend.Engine) error { return engine.Release(ctx, program, branch) })
 }
 
-func (g gatedEngine) Held(ctx context.Context) (held []backend.HeldPrefix, err error) {
-	err = g.with(ctx, func(ctx context.Context, engine backend.Engine) error { held, err = engine.Held(ctx); return err })
+func (g gatedEngine) CachedPrefixes(ctx context.Context) (held []backend.HeldPrefix, err error) {
+	err = g.with(ctx, func(ctx context.Context, engine backend.Engine) error {
+		held, err = engine.CachedPrefixes(ctx)
+		return err
+	})
 	return held, err
 }
 
--- a/internal/routednode/followers.go
+++ b/internal/routednode/followers.go
@@ -86,16 +86,16 @@
 
 func (f *following) replicasWait() time.Duration {
 	if f.distributes() {
-		return min(f.chosen.Follow.Wait, readerPause)
+		return min(f.chosen.Watch.Wait, readerPause)
 	}
-	return f.chosen.Follow.Wait
+	return f.chosen.Watch.Wait
 }
 
 func (f *following) replicasPause() time.Duration {
 	if f.distributes() {
-		return min(f.chosen.Follow.ReplicasPause, readerPause)
+		return min(f.chosen.Watch.ReplicasInterval, readerPause)
 	}
-	return f.chosen.Follow.ReplicasPause
+	return f.chosen.Watch.ReplicasInterval
 }
 
 // longestPause keeps all nodes that read again after a failure within a part of what the
--- a/internal/routednode/keepers.go
+++ b/internal/routednode/keepers.go
@@ -27,10 +27,10 @@
 func provideKeepers(injector do.Injector) (*aggregator.Service, error) {
 	chosen := do.MustInvoke[settings.Routed](injector)
 	others, err := do.Invoke[*peers](injector)
-	if err != nil || others == nil || !chosen.Addresses.Keepers.IsValid() {
+	if err != nil || others == nil || !chosen.Addresses.Aggregators.IsValid() {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(chosen.Addresses.Keepers))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(chosen.Addresses.Aggregators))
 	if err != nil {
 		return nil, fmt.Errorf("routednode: addresses.keepers: %w", err)
 	}
--- a/internal/routednode/nodestatus.go
+++ b/internal/routednode/nodestatus.go
@@ -12,7 +12,7 @@
 	chosen := n.settings.Load()
 	status := nodestatus.Status{
 		Node: string(chosen.Node.Name), Zone: string(chosen.Node.Zone), Members: len(n.homes.Addresses()) + 1,
-		Millicores: chosen.Machine.Thousandths(), Partitions: n.homes.Coordinated(), Replicas: n.views.fleet.Size(),
+		Millicores: chosen.Machine.Millicores(), Partitions: n.homes.Coordinated(), Replicas: n.views.fleet.Size(),
 	}
 	if n.keepers != nil {
 		status.ReplicasKept = n.keepers.Aggregates().Len()
--- a/internal/routednode/peers.go
+++ b/internal/routednode/peers.go
@@ -76,7 +76,7 @@
 		Self: self, Config: membership.DefaultConfig(), Seeds: chosen.Seeds, Conn: packets,
 		RandomSeed: rand.Uint64(), OnView: made.take, Logger: logger,
 	})
-	made.runner.SetInfo(0, chosen.Machine.Thousandths())
+	made.runner.SetInfo(0, chosen.Machine.Millicores())
 	return made, nil
 }
 
--- a/internal/routednode/providers.go
+++ b/internal/routednode/providers.go
@@ -82,7 +82,7 @@
 		Store: do.MustInvoke[logstore.Store](injector),
 		Topic: adapter.LedgerTopic, TextTopic: adapter.TextTopic, Partitions: chosen.Store.Partitions,
 		Producer:    string(coordinator.IncarnationOf(do.MustInvoke[identity.Node](injector).Reference())),
-		RecordBytes: chosen.Store.RecordBytes, CallBytes: chosen.Store.CallBytes, Retain: chosen.Store.Retain(), IndexTextBytes: chosen.Store.IndexTextBytes,
+		RecordBytes: chosen.Store.RecordBytes, CallBytes: chosen.Store.CallBytes, Retain: chosen.Store.Retention(), IndexTextBytes: chosen.Store.IndexTextBytes,
 		Availability: do.MustInvoke[*guardedstore.Store](injector),
 		CacheBytes:   chosen.Machine.MemoryMebibytes * mebibyte / cacheShare,
 		Logger:       do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
@@ -116,7 +116,7 @@
 	}
 	config.Peers = others.transport
 	config.Announce = func(changes uint64, everybody bool) {
-		others.runner.BroadcastInfo(changes, chosen.Machine.Thousandths(), everybody)
+		others.runner.BroadcastInfo(changes, chosen.Machine.Millicores(), everybody)
 	}
 	made := coordinator.New(config)
 	made.Register(others.registry)
@@ -127,7 +127,7 @@
 func provideLimits(injector do.Injector) (*limits.Service, error) {
 	chosen := do.MustInvoke[settings.Routed](injector)
 	config := limits.Config{
-		Self: chosen.Node.Name, Strategy: limits.Strategy(chosen.Limits.Way),
+		Self: chosen.Node.Name, Strategy: limits.Strategy(chosen.Limits.Strategy),
 		Policy: quota.Policy{Window: chosen.Limits.Window, Overage: chosen.Limits.Overage, Slack: chosen.Limits.Slack},
 		Now:    do.MustInvoke[clock](injector), Logger: do.MustInvoke[*slog.Logger](injector),
 		Registerer: do.MustInvoke[*prometheus.Registry](injector),
@@ -156,7 +156,7 @@
 		Keepers: keepers, Now: do.MustInvoke[clock](injector),
 		Names:      do.MustInvoke[Adapter](injector).Names,
 		Zone:       string(do.MustInvoke[settings.Routed](injector).Node.Zone),
-		ScanUpTo:   do.MustInvoke[settings.Routed](injector).Choice.ScanUpTo,
+		ScanUpTo:   do.MustInvoke[settings.Routed](injector).ReplicaSelection.FullScanLimit,
 		NodeNumber: xxhash.Sum64String(string(do.MustInvoke[settings.Routed](injector).Node.Name)),
 		Replicas:   do.MustInvoke[*exchange.Client](injector), Fleet: do.MustInvoke[*fleet.Directory](injector),
 		Regions:     do.MustInvoke[settings.Routed](injector).Zones,
@@ -266,7 +266,7 @@
 	made := distribution.New(distribution.Config{
 		Self: chosen.Node.Name, Own: chosen.Addresses.Peers, Seeds: chosen.Seeds, Peers: built.peers.transport,
 		LinkBytesPerSecond: chosen.Machine.LinkBytesPerSecond(),
-		Policy:             distribution.Policy{DirectEntries: chosen.Follow.DirectEntries, ReadEntries: chosen.Follow.ReadEntries},
+		Policy:             distribution.Policy{DirectEntries: chosen.Watch.DirectEntries, ReadEntries: chosen.Watch.ReadEntries},
 		Subscriptions:      []distribution.Subscription{configurationTopic: built.views.operatorsFeed(), replicasTopic: built.views.replicasFeed()},
 		Logger:             built.logger, Registerer: built.registry,
 	})
--- a/internal/routednode/readers.go
+++ b/internal/routednode/readers.go
@@ -49,9 +49,9 @@
 	lease := chosen.Keys.Lease()
 	switch {
 	case lease == 0:
-		return chosen.Follow.Wait
+		return chosen.Watch.Wait
 	case r.chosen.Load():
-		return min(chosen.Follow.Wait, lease/readerReadsInLease)
+		return min(chosen.Watch.Wait, lease/readerReadsInLease)
 	}
-	return min(chosen.Follow.Wait, lease/readsInLease)
+	return min(chosen.Watch.Wait, lease/readsInLease)
 }
--- a/internal/routednode/run.go
+++ b/internal/routednode/run.go
@@ -60,7 +60,7 @@
 	}
 	logger.Info("started", "host", hostname(), "clients", chosen.Addresses.Clients, "store", chosen.Store.Address,
 		"partitions", chosen.Store.Partitions, "memory_mebibytes", chosen.Machine.MemoryMebibytes, "grace", chosen.Stop.Grace.String(),
-		"key_lease", chosen.Keys.Lease().String(), "limits_way", chosen.Limits.Way, "limits_window", chosen.Limits.Window.String(),
+		"key_lease", chosen.Keys.Lease().String(), "limits_way", chosen.Limits.Strategy, "limits_window", chosen.Limits.Window.String(),
 		"limits_overage", chosen.Limits.Overage, "limits_slack", chosen.Limits.Slack)
 	built.wait(ctx, stops, reloads, &reloader{file: file, content: string(content), node: built})
 	built.stop(end)
--- a/internal/serving/audit.go
+++ b/internal/serving/audit.go
@@ -66,7 +66,7 @@
 	requestContext, cancel := context.WithTimeout(ctx, o.config.Timing.RequestTimeout)
 	defer cancel()
 	client := o.config.Directory.Engine(engine.Address)
-	held, err := client.Held(requestContext)
+	held, err := client.CachedPrefixes(requestContext)
 	if err != nil {
 		o.logger.Debug("audit: engine did not answer", "backend", engine.Name, "error", err)
 		return
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -15,15 +15,15 @@
 	Seeds []netip.AddrPort `yaml:"seeds"`
 	// Zones tells the region of each zone of the site. Data whose homes are regions goes
 	// to no zone that is not listed.
-	Zones   map[string]string `yaml:"zones"`
-	Store   Store             `yaml:"store"`
-	Machine Machine           `yaml:"machine"`
-	Stop    Stop              `yaml:"stop"`
-	Follow  Follow            `yaml:"follow"`
-	Choice  Choice            `yaml:"choice"`
-	Keys    Keys              `yaml:"keys"`
-	Limits  TenantLimits      `yaml:"limits"`
-	Logging Logging           `yaml:"logging"`
+	Zones            map[string]string `yaml:"zones"`
+	Store            Store             `yaml:"store"`
+	Machine          Machine           `yaml:"machine"`
+	Stop             Stop              `yaml:"stop"`
+	Watch            Watch             `yaml:"follow"`
+	ReplicaSelection ReplicaSelection  `yaml:"choice"`
+	Keys             Keys              `yaml:"keys"`
+	Limits           TenantLimits      `yaml:"limits"`
+	Logging          Logging           `yaml:"logging"`
 }
 
 // RoutedAddresses are where the node listens.
@@ -38,10 +38,10 @@
 	// Loads takes datagrams of other nodes on what they have under way. All nodes of
 	// a site use the same port. Unset, nodes don't tell each other.
 	Loads netip.AddrPort `yaml:"loads"`
-	// Keepers takes datagrams by which nodes tell and ask the keepers of replicas. All
+	// Aggregators takes datagrams by which nodes tell and ask the keepers of replicas. All
 	// nodes of a site use the same port. Unset, a node chooses by its own knowledge and
 	// by what is told at Loads.
-	Keepers netip.AddrPort `yaml:"keepers"`
+	Aggregators netip.AddrPort `yaml:"keepers"`
 	// Metrics serves counters and histograms; unset serves none.
 	Metrics netip.AddrPort `yaml:"metrics"`
 }
@@ -64,8 +64,10 @@
 	ReadsPerSecond float64 `yaml:"reads_per_second" validate:"min=0"`
 }
 
-// Retain returns how long the store keeps records.
-func (s Store) Retain() time.Duration { return time.Duration(s.RetainSeconds * float64(time.Second)) }
+// Retention returns how long the store keeps records.
+func (s Store) Retention() time.Duration {
+	return time.Duration(s.RetainSeconds * float64(time.Second))
+}
 
 // Machine says what the process may use.
 type Machine struct {
@@ -73,16 +75,16 @@
 	MemoryMebibytes int `yaml:"memory_mebibytes" validate:"min=32"`
 	// Descriptors bounds open files and sockets.
 	Descriptors int `yaml:"descriptors" validate:"min=64"`
-	// ProcessorShare of a core is the process's, and a core is Cores times as fast as
+	// ProcessorFraction of a core is the process's, and a core is Cores times as fast as
 	// usual. Nodes that have more do more for the others.
-	ProcessorShare float64 `yaml:"processor_share" validate:"min=0"`
-	Cores          float64 `yaml:"cores" validate:"min=0"`
+	ProcessorFraction float64 `yaml:"processor_share" validate:"min=0"`
+	Cores             float64 `yaml:"cores" validate:"min=0"`
 	// LinkMegabits is what the machine's link carries in a second.
 	LinkMegabits float64 `yaml:"link_megabits" validate:"min=0.1"`
 }
 
-// Thousandths returns the processor in thousandths of a core.
-func (m Machine) Thousandths() uint32 { return uint32(m.ProcessorShare * m.Cores * 1000) }
+// Millicores returns the processor in thousandths of a core.
+func (m Machine) Millicores() uint32 { return uint32(m.ProcessorFraction * m.Cores * 1000) }
 
 // LinkBytesPerSecond returns what the link carries.
 func (m Machine) LinkBytesPerSecond() float64 { return m.LinkMegabits * 1e6 / 8 }
@@ -93,10 +95,10 @@
 	Grace time.Duration `yaml:"grace" validate:"min=1s,max=1h"`
 }
 
-// Follow says how configuration and replicas are followed in the store.
-type Follow struct {
-	// ReplicasPause is the time between two reads of the replicas' entries.
-	ReplicasPause time.Duration `yaml:"replicas_pause" validate:"min=50ms,max=1m"`
+// Watch says how configuration and replicas are followed in the store.
+type Watch struct {
+	// ReplicasInterval is the time between two reads of the replicas' entries.
+	ReplicasInterval time.Duration `yaml:"replicas_pause" validate:"min=50ms,max=1m"`
 	// Wait is how long a read waits for something new.
 	Wait time.Duration `yaml:"wait" validate:"min=100ms,max=1m"`
 	// DirectEntries is up to how many entries, nodes times replicas, all nodes read the
@@ -106,11 +108,11 @@
 	ReadEntries   int `yaml:"read_entries" validate:"min=1"`
 }
 
-// Choice says how the replica for a request is chosen.
-type Choice struct {
-	// ScanUpTo is up to how many replicas of a service all are looked at; 0 always looks
+// ReplicaSelection says how the replica for a request is chosen.
+type ReplicaSelection struct {
+	// FullScanLimit is up to how many replicas of a service all are looked at; 0 always looks
 	// at all. Beyond it a few are gathered by what they are likely to hold, and by chance.
-	ScanUpTo int `yaml:"scan_up_to" validate:"min=0"`
+	FullScanLimit int `yaml:"scan_up_to" validate:"min=0"`
 }
 
 // Keys says what holds for clients' keys.
@@ -128,9 +130,9 @@
 	// tenant may be served beyond it in a window.
 	Overage float64 `yaml:"overage" validate:"min=0,max=1"`
 	Slack   float64 `yaml:"slack" validate:"min=0"`
-	// Way is how nodes share a limit: allocator has one node a tenant hand out what may
+	// Strategy is how nodes share a limit: allocator has one node a tenant hand out what may
 	// run, shares gives every node an equal part.
-	Way string `yaml:"way" validate:"oneof=allocator shares"`
+	Strategy string `yaml:"way" validate:"oneof=allocator shares"`
 }
 
 // leasePercent of the bound on revocation is how old the configuration may be; the rest
@@ -145,15 +147,15 @@
 func DefaultRouted() Routed {
 	return Routed{
 		Store:   Store{Partitions: 12, RecordBytes: 256 << 10, CallBytes: 2 << 20, RetainSeconds: 300, IndexTextBytes: 64 << 10},
-		Machine: Machine{MemoryMebibytes: 256, Descriptors: 1024, ProcessorShare: 1, Cores: 1, LinkMegabits: 100},
+		Machine: Machine{MemoryMebibytes: 256, Descriptors: 1024, ProcessorFraction: 1, Cores: 1, LinkMegabits: 100},
 		Stop:    Stop{Grace: 8 * time.Second},
-		Follow: Follow{
-			ReplicasPause: 700 * time.Millisecond, Wait: time.Second,
+		Watch: Watch{
+			ReplicasInterval: 700 * time.Millisecond, Wait: time.Second,
 			DirectEntries: 200_000, ReadEntries: 20_000,
 		},
-		Choice:  Choice{ScanUpTo: 150},
-		Limits:  TenantLimits{Window: 5 * time.Second, Overage: 0.1, Slack: 20, Way: "allocator"},
-		Logging: Logging{Level: "info", Format: "json"},
+		ReplicaSelection: ReplicaSelection{FullScanLimit: 150},
+		Limits:           TenantLimits{Window: 5 * time.Second, Overage: 0.1, Slack: 20, Strategy: "allocator"},
+		Logging:          Logging{Level: "info", Format: "json"},
 	}
 }
 
@@ -186,7 +188,7 @@
 	if settings.Addresses.Metrics.IsValid() && settings.Addresses.Metrics == clients {
 		add("addresses.metrics", "is the same as addresses.clients")
 	}
-	if settings.Follow.ReplicasPause >= settings.Stop.Grace {
+	if settings.Watch.ReplicasInterval >= settings.Stop.Grace {
 		add("follow.replicas_pause", "must be shorter than stop.grace")
 	}
 }
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -22,7 +22,7 @@
 	is.NoErr(err)
 	is.Equal(read.Store.Partitions, 6)
 	is.Equal(read.Stop.Grace, 4800*time.Millisecond)
-	is.Equal(read.Follow, DefaultRouted().Follow)
+	is.Equal(read.Watch, DefaultRouted().Watch)
 }
 
 func TestZonesAreReadWithTheirRegions(t *testing.T) {
@@ -65,7 +65,7 @@
 	read, err := ParseRouted("f", []byte(routedFile+"keys: {revocation: 5000ms}\nlimits: {window: 4s, overage: 0.2, slack: 7, way: shares}\n"))
 	is.NoErr(err)
 	is.Equal(read.Keys.Lease(), 4750*time.Millisecond)
-	is.Equal(read.Limits, TenantLimits{Window: 4 * time.Second, Overage: 0.2, Slack: 7, Way: "shares"})
+	is.Equal(read.Limits, TenantLimits{Window: 4 * time.Second, Overage: 0.2, Slack: 7, Strategy: "shares"})
 	read, err = ParseRouted("f", []byte(routedFile))
 	is.NoErr(err)
 	is.Equal(read.Keys.Lease(), time.Duration(0))
--- a/internal/siteservices/client.go
+++ b/internal/siteservices/client.go
@@ -97,7 +97,7 @@
 		if !connected.Load() {
 			return fmt.Errorf("site services: %s: %w: %w", place, ErrUnavailable, err)
 		}
-		return fmt.Errorf("site services: %s: %w: %w", place, ErrAnswerLost, err)
+		return fmt.Errorf("site services: %s: %w: %w", place, ErrOutcomeUnknown, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -134,7 +134,7 @@
 // refusal turns an answer other than 200 into an error. Only the service's own
 // word counts as proof that nothing happened.
 func refusal(place string, response *http.Response) error {
-	kind := ErrAnswerLost
+	kind := ErrOutcomeUnknown
 	if response.Header.Get(EffectHeader) == EffectNone {
 		kind = ErrUnavailable
 	}
@@ -147,13 +147,13 @@
 	limited := &io.LimitedReader{R: body, N: MaxBodyBytes + 1}
 	encoded, err := io.ReadAll(limited)
 	if err != nil {
-		return fmt.Errorf("site services: %s: %w: read answer: %w", place, ErrAnswerLost, err)
+		return fmt.Errorf("site services: %s: %w: read answer: %w", place, ErrOutcomeUnknown, err)
 	}
 	if len(encoded) > MaxBodyBytes {
-		return fmt.Errorf("site services: %s: %w: answer is over the limit of %d bytes", place, ErrAnswerLost, MaxBodyBytes)
+		return fmt.Errorf("site services: %s: %w: answer is over the limit of %d bytes", place, ErrOutcomeUnknown, MaxBodyBytes)
 	}
 	if err := json.Unmarshal(encoded, answer); err != nil {
-		return fmt.Errorf("site services: %s: %w: decode answer: %w", place, ErrAnswerLost, err)
+		return fmt.Errorf("site services: %s: %w: decode answer: %w", place, ErrOutcomeUnknown, err)
 	}
 	return nil
 }
--- a/internal/siteservices/client_test.go
+++ b/internal/siteservices/client_test.go
@@ -51,8 +51,8 @@
 		stored  int
 	}{
 		"refused":      {logservice.RefuseAppend, siteservices.ErrUnavailable, 0},
-		"request lost": {logservice.LoseRequest, siteservices.ErrAnswerLost, 0},
-		"answer lost":  {logservice.LoseAnswer, siteservices.ErrAnswerLost, 1},
+		"request lost": {logservice.LoseRequest, siteservices.ErrOutcomeUnknown, 0},
+		"answer lost":  {logservice.LoseAnswer, siteservices.ErrOutcomeUnknown, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 	}{
 		"503 that is not the service's own word": {
 			func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
 		"503 with the service's word": {
 			func(w http.ResponseWriter, _ *http.Request) {
@@ -83,24 +83,24 @@
 		},
 		"connection broken": {
 			func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
 		"answer cut short": {
 			func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Content-Length", "100")
 				_, _ = w.Write([]byte(`{"offset":1`))
 			},
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
 		"answer is no JSON": {
 			func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) },
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
 		"answer too large": {
 			func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write([]byte(strings.Repeat(" ", siteservices.MaxBodyBytes+1)))
 			},
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
 	}
 	for name, c := range cases {
@@ -132,7 +132,7 @@
 	client := siteservices.NewLogClient(options)
 	_, err := client.Append(t.Context(), "a", [][]byte{{1}})
 	close(release)
-	check.True(errors.Is(err, siteservices.ErrAnswerLost))
+	check.True(errors.Is(err, siteservices.ErrOutcomeUnknown))
 	check.True(errors.Is(err, context.DeadlineExceeded))
 }
 
@@ -173,7 +173,7 @@
 	check.Equal(wait, time.Duration(0))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	check.True(errors.Is(store.Fetch(ctx, "org/model", "1"), siteservices.ErrAnswerLost))
+	check.True(errors.Is(store.Fetch(ctx, "org/model", "1"), siteservices.ErrOutcomeUnknown))
 	wait, err = client.Wait(t.Context(), "org/model", "1")
 	check.NoErr(err)
 	check.True(wait > 500*time.Second && wait <= 1000*time.Second)
--- a/internal/siteservices/clients.go
+++ b/internal/siteservices/clients.go
@@ -53,7 +53,7 @@
 	}
 	if answer.From != from {
 		return ReadResult{}, fmt.Errorf("site services: read %s: %w: asked offset %d, got %d",
-			stream, ErrAnswerLost, from, answer.From)
+			stream, ErrOutcomeUnknown, from, answer.From)
 	}
 	return ReadResult(answer), nil
 }
--- a/internal/siteservices/platform.go
+++ b/internal/siteservices/platform.go
@@ -17,9 +17,9 @@
 // effect, for certain.
 var ErrUnavailable = errors.New("site services: service unavailable")
 
-// ErrAnswerLost tells that the request may or may not have had its effect. The
+// ErrOutcomeUnknown tells that the request may or may not have had its effect. The
 // caller must read back before it tries again.
-var ErrAnswerLost = errors.New("site services: answer lost, the effect is unknown")
+var ErrOutcomeUnknown = errors.New("site services: answer lost, the effect is unknown")
 
 // Offset is a position in a log stream, counted from 0 without gaps.
 type Offset uint64
--- a/test/simulation/wrong_test.go
+++ b/test/simulation/wrong_test.go
@@ -43,7 +43,7 @@
 }
 
 func (d *wrongDirectory) judge(err error) error {
-	if d.certain && errors.Is(err, backend.ErrBroken) {
+	if d.certain && errors.Is(err, backend.ErrOutcomeUnknown) {
 		return fmt.Errorf("%w: said to be", backend.ErrNotDelivered)
 	}
 	return err
