--- a/api/headers.go
+++ b/api/headers.go
@@ -1,8 +1,7 @@
 package api
 
-// The headers of the OpenAI-shaped endpoint, by which a client of that shape
-// gives its calls their place in a program. Answers carry the program, sequence
-// and branch back.
+// The headers with which clients of the OpenAI-compatible endpoint assign a call to a
+// program and branch. Responses return the program, sequence and branch.
 const (
 	HeaderProgram  = "Stepseam-Program"
 	HeaderSequence = "Stepseam-Sequence"
@@ -11,10 +10,10 @@
 	HeaderClass    = "Stepseam-Class"
 )
 
-// HeaderLastEventID resumes a stream after the event of that number.
+// HeaderLastEventID is the index of the last event received; the stream resumes after it.
 const HeaderLastEventID = "Last-Event-ID"
 
-// The media types of answers.
+// The media types of responses.
 const (
 	MediaJSON        = "application/json"
 	MediaProblem     = "application/problem+json"
--- a/api/name.go
+++ b/api/name.go
@@ -1,11 +1,10 @@
 package api
 
-// MaxNameLength is the largest length of ids of programs and names of branches.
+// MaxNameLength is the maximum length of program ids and branch names, in bytes.
 const MaxNameLength = 64
 
-// ValidName tells whether name may be the id of a program or the name of a
-// branch: letters, digits and . _ : - so that it stands in paths, headers and
-// logs as it is.
+// ValidName reports whether name is a valid program id or branch name. Names consist of
+// letters, digits and . _ : - so that paths, headers and logs need no escaping.
 func ValidName(name string) bool {
 	if name == "" || len(name) > MaxNameLength {
 		return false
--- a/api/name_test.go
+++ b/api/name_test.go
@@ -10,9 +10,9 @@
 	"stepseam.example/stepseam/api"
 )
 
-// ValidName and the patterns of the OpenAPI document agree, except that the
-// fields may be left empty.
-func TestValidNameIsThePatternOfTheFields(t *testing.T) {
+// TestValidNameMatchesTheFieldPatterns checks that ValidName and the patterns of the OpenAPI
+// document agree, except that the fields may be empty.
+func TestValidNameMatchesTheFieldPatterns(t *testing.T) {
 	program, _ := reflect.TypeFor[api.ProgramRequest]().FieldByName("ID")
 	branch, _ := reflect.TypeFor[api.CallRequest]().FieldByName("Branch")
 	if program.Tag.Get("pattern") != branch.Tag.Get("pattern") {
--- a/api/problem.go
+++ b/api/problem.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Code is the stable machine-readable name of a problem. Codes are never
-// renamed and never given another meaning.
+// Code is the stable, machine-readable identifier of a problem. Codes are never renamed and
+// never change their meaning.
 type Code string
 
-// The codes of problems. The comment gives the HTTP status and whether the
-// request certainly did not run.
+// The codes of problems. Each comment gives the HTTP status and, where it is certain, that
+// the request did not run.
 const (
-	// CodeInvalid: 400/422, not run. The request is malformed; Findings say where.
+	// CodeInvalid: 400/422, not run. The request is malformed; Findings list the places.
 	CodeInvalid Code = "invalid_request"
 	// CodeTooLarge: 413, not run. The body is over the limit.
 	CodeTooLarge Code = "body_too_large"
@@ -26,7 +26,7 @@
 	CodeUnknownClass Code = "unknown_class"
 	// CodeUnknownModel: 422, not run. The table has no such model.
 	CodeUnknownModel Code = "unknown_model"
-	// CodeConflict: 409, not run. The sequence or key stands with another body.
+	// CodeConflict: 409, not run. The sequence or key was used with a different body.
 	CodeConflict Code = "sequence_conflict"
 	// CodeHistoryMismatch: 409, not run. The messages do not continue the stored history.
 	CodeHistoryMismatch Code = "history_mismatch"
@@ -34,11 +34,11 @@
 	CodeSequenceGap Code = "sequence_gap"
 	// CodeProgramEnded: 410, not run. The program was ended, cancelled or timed out.
 	CodeProgramEnded Code = "program_ended"
-	// CodeBudget: 402, not run. The worst case of the call would pass the budget.
+	// CodeBudget: 402, not run. The call could exceed the program's budget.
 	CodeBudget Code = "budget_exhausted"
 	// CodeLimit: 429, not run. A limit of the class (calls, branches, time) is reached.
 	CodeLimit Code = "limit_reached"
-	// CodeOverloaded: 429, not run. Admission refuses; Retry-After says when to come back.
+	// CodeOverloaded: 429, not run. Admission control rejected the call; see Retry-After.
 	CodeOverloaded Code = "overloaded"
 	// CodeNoOwner: 503, not run. The shard has no owner yet; Retry-After.
 	CodeNoOwner Code = "shard_unavailable"
@@ -50,34 +50,33 @@
 	CodeNoTable Code = "no_table"
 	// CodeDraining: 503, not run. The node is stopping; use another one.
 	CodeDraining Code = "node_draining"
-	// CodeDeadline: 504. The caller's deadline passed; not_run tells if it ran.
+	// CodeDeadline: 504. The caller's deadline passed; see not_run.
 	CodeDeadline Code = "deadline_exceeded"
-	// CodeOutcomeUnknown: 502, may have run. An unrepeatable request was sent
-	// and its answer is lost; it is never sent again.
+	// CodeOutcomeUnknown: 502, may have run. An unrepeatable request was sent and its
+	// response was lost; it is never sent again.
 	CodeOutcomeUnknown Code = "outcome_unknown"
-	// CodeBackendFailed: 502. The back end answered with an error.
+	// CodeBackendFailed: 502. The back end returned an error.
 	CodeBackendFailed Code = "backend_failed"
-	// CodeCancelled: 410. The call was cancelled; not_run tells if it ran.
+	// CodeCancelled: 410. The call was cancelled; see not_run.
 	CodeCancelled Code = "cancelled"
-	// CodeInterrupted: 503. The answer was cut off on the way; fetch it again by
-	// its sequence.
+	// CodeInterrupted: 503. The connection broke before the answer was complete; fetch
+	// it again by its sequence.
 	CodeInterrupted Code = "interrupted"
-	// CodeTableConflict: 409, not run. Another version won the race for the base.
+	// CodeTableConflict: 409, not run. Another version was accepted on the base first.
 	CodeTableConflict Code = "table_conflict"
-	// CodeInternal: 500.
+	// CodeInternal: 500. An internal error of the node.
 	CodeInternal Code = "internal"
 )
 
-// Finding is one fault of an input with its place.
+// Finding is one error in an input, with its location.
 type Finding struct {
 	// Place is a JSON path, or file:line and a field, or row and column.
 	Place   string `json:"place"`
 	Message string `json:"message"`
 }
 
-// Problem is an RFC 9457 problem document and the error type that crosses node
-// boundaries. NotRun is true only where it is certain that the request did not
-// run at any back end.
+// Problem is an RFC 9457 problem document, and the error type that nodes exchange. NotRun is
+// true only if the request is known not to have run at any back end.
 type Problem struct {
 	Type     string    `json:"type"`
 	Title    string    `json:"title"`
@@ -86,23 +85,23 @@
 	Code     Code      `json:"code"`
 	NotRun   bool      `json:"not_run"`
 	Findings []Finding `json:"findings,omitempty"`
-	// RetryAfter is when to come back; it also goes out as Retry-After, in
-	// whole seconds rounded up. 0 means that a retry does not help.
+	// RetryAfter is the time after which to retry. It is also sent as the Retry-After
+	// header, in whole seconds rounded up. 0 means that a retry does not help.
 	RetryAfter time.Duration `json:"-"`
-	// RetryAfterSeconds is RetryAfter in the document itself.
+	// RetryAfterSeconds is RetryAfter in the JSON document.
 	RetryAfterSeconds float64 `json:"retry_after_seconds,omitempty"`
 }
 
-// Error returns code and detail.
+// Error implements error.
 func (p *Problem) Error() string { return fmt.Sprintf("%s: %s", p.Code, p.Detail) }
 
-type kindOfProblem struct {
+type codeProperties struct {
 	status int
 	title  string
 	notRun bool
 }
 
-var kindsOfProblem = map[Code]kindOfProblem{
+var propertiesByCode = map[Code]codeProperties{
 	CodeInvalid:         {422, "The request is not valid", true},
 	CodeTooLarge:        {413, "The request body is too large", true},
 	CodeSlowSender:      {408, "The request body did not arrive in time", true},
@@ -131,37 +130,36 @@
 	CodeInternal:        {500, "Internal error", false},
 }
 
-// Codes lists every code, for documents and tests.
+// Codes returns all codes, in no particular order.
 func Codes() []Code {
-	codes := make([]Code, 0, len(kindsOfProblem))
-	for code := range kindsOfProblem {
+	codes := make([]Code, 0, len(propertiesByCode))
+	for code := range propertiesByCode {
 		codes = append(codes, code)
 	}
 	return codes
 }
 
-// NewProblem returns the problem of code with the code's usual status, title
-// and certainty about not having run.
+// NewProblem returns a problem with the default status, title and NotRun of code.
 func NewProblem(code Code, format string, arguments ...any) *Problem {
-	kind := kindsOfProblem[code]
+	properties := propertiesByCode[code]
 	return &Problem{
 		Type:   "urn:stepseam:problem:" + string(code),
-		Title:  kind.title,
-		Status: kind.status,
+		Title:  properties.title,
+		Status: properties.status,
 		Detail: fmt.Sprintf(format, arguments...),
 		Code:   code,
-		NotRun: kind.notRun,
+		NotRun: properties.notRun,
 	}
 }
 
-// WithRetryAfter sets when to come back and returns p.
+// WithRetryAfter sets RetryAfter and returns p.
 func (p *Problem) WithRetryAfter(after time.Duration) *Problem {
 	p.RetryAfter = after
 	p.RetryAfterSeconds = after.Seconds()
 	return p
 }
 
-// WithNotRun sets the certainty about not having run and returns p.
+// WithNotRun sets NotRun and returns p.
 func (p *Problem) WithNotRun(notRun bool) *Problem {
 	p.NotRun = notRun
 	return p
--- a/api/types.go
+++ b/api/types.go
@@ -1,5 +1,5 @@
-// Package api holds the public types of stepseam's HTTP interface for callers:
-// programs, calls, answers, stream events and problems.
+// Package api defines the types of stepseam's HTTP API for callers: programs, calls,
+// answers, stream events and problems.
 package api
 
 import (
@@ -17,12 +17,12 @@
 type ProgramRequest struct {
 	Tenant string `json:"tenant" minLength:"1" maxLength:"128"`
 	Class  string `json:"class" minLength:"1" maxLength:"128"`
-	// ID may be chosen by the caller so that creating can be repeated safely;
-	// left empty, the node chooses one.
+	// ID is chosen by the caller to make retries of the request safe. If it is empty,
+	// the node chooses one.
 	ID string `json:"id,omitempty" maxLength:"64" pattern:"^[A-Za-z0-9._:-]*$" patternDescription:"letters, digits and . _ : -"`
 }
 
-// ProgramState is where a program is in its life.
+// ProgramState is a program's state. All states but ProgramRunning are final.
 type ProgramState string
 
 // The states of programs.
@@ -33,7 +33,7 @@
 	ProgramExpired   ProgramState = "expired"
 )
 
-// Program is what a caller or operator sees of a program.
+// Program is a program's state as shown to callers and operators.
 type Program struct {
 	ID      string       `json:"id"`
 	Tenant  string       `json:"tenant"`
@@ -44,7 +44,7 @@
 	Budget   int64 `json:"budget"`
 	Spent    int64 `json:"spent"`
 	Reserved int64 `json:"reserved"`
-	// Branches gives the last answered sequence of each branch.
+	// Branches is the last answered sequence of each branch.
 	Branches map[string]uint64 `json:"branches"`
 	Calls    int               `json:"calls"`
 	Owner    string            `json:"owner"`
@@ -52,7 +52,7 @@
 	Epoch    uint64            `json:"epoch"`
 }
 
-// CallKind tells a model call from an application call.
+// CallKind is the kind of a call.
 type CallKind string
 
 // The kinds of calls.
@@ -65,28 +65,28 @@
 type CallRequest struct {
 	// Sequence is the call's position in its branch, from 1.
 	Sequence uint64 `json:"sequence" minimum:"1"`
-	// Branch is the chain the call belongs to; empty means main.
+	// Branch is the sequence of calls that the call belongs to; empty means main.
 	Branch string   `json:"branch,omitempty" maxLength:"64" pattern:"^[A-Za-z0-9._:-]*$" patternDescription:"letters, digits and . _ : -"`
 	Kind   CallKind `json:"kind" enum:"model,application"`
-	// Model names a row of the table; empty takes the class's model.
+	// Model is the name of a model in the table; empty means the class's model.
 	Model string `json:"model,omitempty" maxLength:"128"`
-	// Messages are the new turns; the branch's history goes before them.
+	// Messages are the new messages; the branch's history precedes them.
 	Messages []Message `json:"messages,omitempty"`
-	// WholeHistory tells that Messages repeats the branch's history from its
-	// start, as OpenAI clients do; it must continue the stored one.
+	// WholeHistory is set if Messages includes the branch's history from its start, as
+	// OpenAI clients send it. It must continue the stored history.
 	WholeHistory bool `json:"whole_history,omitempty"`
 	MaxTokens    int  `json:"max_tokens,omitempty" minimum:"0" maximum:"1000000"`
 	Stream       bool `json:"stream,omitempty"`
-	// Application and Operation name what an application call does; Input is
-	// its JSON body.
+	// Application and Operation select what an application call runs; Input is its JSON
+	// body.
 	Application string          `json:"application,omitempty" maxLength:"128"`
 	Operation   string          `json:"operation,omitempty" maxLength:"128"`
 	Input       json.RawMessage `json:"input,omitempty"`
-	// IdempotencyKey names the action; one key runs once in a program.
+	// IdempotencyKey identifies the action; calls with the same key run once per program.
 	IdempotencyKey string `json:"idempotency_key,omitempty" maxLength:"256"`
-	// Unrepeatable calls run at most once, whatever fails.
+	// Unrepeatable calls run at most once, even after failures.
 	Unrepeatable bool `json:"unrepeatable,omitempty"`
-	// DeadlineSeconds is how long the caller waits for the answer; 0 takes the
+	// DeadlineSeconds is how long the caller waits for the answer; 0 means the
 	// class's limit.
 	DeadlineSeconds float64 `json:"deadline_seconds,omitempty" minimum:"0"`
 }
@@ -98,7 +98,7 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// Answer is the whole answer of a call.
+// Answer is the complete answer of a call.
 type Answer struct {
 	Program  string `json:"program"`
 	Branch   string `json:"branch"`
@@ -108,12 +108,13 @@
 	Output       json.RawMessage `json:"output,omitempty"`
 	FinishReason string          `json:"finish_reason,omitempty"`
 	Usage        Usage           `json:"usage"`
-	// Backend and Reason tell where the call ran and why there.
+	// Backend is where the call ran, and Reason why it was selected.
 	Backend string `json:"backend"`
 	Reason  string `json:"reason,omitempty"`
-	// Replayed tells that the answer came from the journal.
+	// Replayed is set if the answer was read from the journal.
 	Replayed bool `json:"replayed,omitempty"`
-	// QueuedSeconds and RunSeconds are the call's time before and at the back end.
+	// QueuedSeconds and RunSeconds are the time before the call was sent to the back end
+	// and the time it ran there.
 	QueuedSeconds float64 `json:"queued_seconds"`
 	RunSeconds    float64 `json:"run_seconds"`
 }
@@ -121,20 +122,20 @@
 // EventKind is the kind of a stream event.
 type EventKind string
 
-// The kinds of stream events. A stream is tokens, then one answer or problem.
+// The kinds of stream events. A stream consists of tokens followed by one answer or problem.
 const (
 	EventToken   EventKind = "token"
 	EventAnswer  EventKind = "answer"
 	EventProblem EventKind = "problem"
 )
 
-// Event is one server-sent event of a call's stream. Tokens are numbered from
-// 0; a client that reconnects gives the number after the last one it has.
+// Event is one server-sent event of a call's stream. Tokens are numbered from 0. A client
+// that reconnects sends the number of the last token it received as Last-Event-ID.
 type Event struct {
 	Kind   EventKind `json:"kind"`
 	Index  int       `json:"index"`
 	Text   string    `json:"text,omitempty"`
 	Answer *Answer   `json:"answer,omitempty"`
-	// Problem ends a stream that failed.
+	// Problem is the error that ended the stream.
 	Problem *Problem `json:"problem,omitempty"`
 }
--- a/client/branch.go
+++ b/client/branch.go
@@ -10,27 +10,28 @@
 	"stepseam.example/stepseam/api"
 )
 
-// ErrOutcomeOpen tells that the branch's last call has no known outcome yet. It
-// must be settled, by sending the same call again or by Resolve, before the next.
+// ErrOutcomeOpen is returned for a new call while the outcome of the branch's last call
+// is unknown. Send the same call again, or call Resolve, before the next one.
 var ErrOutcomeOpen = errors.New("client: the last call's outcome is open")
 
-// Branch numbers the calls of one branch of a program. It makes one call at a
-// time: the next sequence is given out only when the last call has its outcome,
-// so that a call which may have run is never sent under another sequence.
+// Branch numbers the calls of one branch of a program. It makes one call at a time: it
+// assigns the next sequence only when the outcome of the last call is known, so that a
+// call that may have run is never sent under another sequence. It is safe for concurrent
+// use.
 type Branch struct {
 	client  *Client
 	program string
 	name    string
 
-	// mutex is held during a call.
+	// mutex is held during a call and guards next and pending.
 	mutex sync.Mutex
 	next  uint64
-	// open is the call without a known outcome, nil if there is none.
-	open *api.CallRequest
+	// pending is the call whose outcome is unknown, or nil.
+	pending *api.CallRequest
 }
 
-// Branch returns a branch of a program, whose next call has the sequence next; a
-// new branch begins at 1. An empty name is the main branch.
+// Branch returns a branch of a program. Its next call gets the sequence next; a new branch
+// starts at 1. An empty name means the main branch.
 func (c *Client) Branch(program, name string, next uint64) *Branch {
 	return &Branch{client: c, program: program, name: name, next: max(next, 1)}
 }
@@ -42,13 +43,13 @@
 	return b.next
 }
 
-// Call makes the branch's next call and streams its tokens if onToken is not
-// nil. It sets the call's sequence and branch.
+// Call makes the branch's next call, setting its sequence and branch. It streams the
+// tokens if onToken is not nil.
 func (b *Branch) Call(ctx context.Context, call api.CallRequest, onToken TokenFunc) (api.Answer, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	call.Sequence, call.Branch = b.next, b.name
-	if b.open != nil && !reflect.DeepEqual(*b.open, call) {
+	if b.pending != nil && !reflect.DeepEqual(*b.pending, call) {
 		return api.Answer{}, fmt.Errorf("%w: branch %q, sequence %d", ErrOutcomeOpen, b.name, b.next)
 	}
 	var answer api.Answer
@@ -58,38 +59,38 @@
 	} else {
 		answer, err = b.client.Call(ctx, b.program, call)
 	}
-	return answer, b.settle(&call, err)
+	return answer, b.recordOutcome(&call, err)
 }
 
-// Resolve waits for the outcome of a call that was left open.
+// Resolve waits for the outcome of the last call, if it is unknown.
 func (b *Branch) Resolve(ctx context.Context) (api.Answer, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.open == nil {
+	if b.pending == nil {
 		return api.Answer{}, errors.New("client: no outcome is open")
 	}
 	answer, err := b.client.Fetch(ctx, b.program, b.name, b.next)
-	return answer, b.settle(b.open, err)
+	return answer, b.recordOutcome(b.pending, err)
 }
 
-// settle moves on once the call has an outcome that stands. A call that did not
-// run keeps its sequence for the next one.
-func (b *Branch) settle(call *api.CallRequest, err error) error {
+// recordOutcome advances the sequence once the outcome of the call is final. If the call
+// did not run, its sequence is used for the next call.
+func (b *Branch) recordOutcome(call *api.CallRequest, err error) error {
 	switch {
-	case err == nil || errors.Is(err, ErrStreamRestarted) || concluded(err):
+	case err == nil || errors.Is(err, ErrStreamRestarted) || outcomeIsFinal(err):
 		b.next++
-		b.open = nil
+		b.pending = nil
 	case NotRun(err):
-		b.open = nil
+		b.pending = nil
 	default:
-		b.open = call
+		b.pending = call
 	}
 	return err
 }
 
-// concluded tells that the call's failure is kept as its outcome: its sequence
-// is used up. After other failures the same call may be sent again.
-func concluded(err error) bool {
+// outcomeIsFinal reports whether the failure is the recorded outcome of the call, so that
+// its sequence is used up. After other failures the same call may be sent again.
+func outcomeIsFinal(err error) bool {
 	var problem *api.Problem
 	return errors.As(err, &problem) && problem.Code == api.CodeOutcomeUnknown
 }
--- a/client/client.go
+++ b/client/client.go
@@ -1,8 +1,7 @@
-// Package client is the Go client for callers of stepseam. It knows several
-// nodes and asks another one when a node fails or drains: any node takes any
-// program, and the same sequence with the same body joins or replays a call, so
-// asking again is safe, also for unrepeatable calls. It never gives a call
-// another sequence.
+// Package client is the Go client of stepseam. It retries requests at another node when a
+// node fails or drains. Any node serves any program, and a repeated sequence with the same
+// body joins the running call or replays its answer, so retries are safe even for
+// unrepeatable calls. The client never changes the sequence of a call.
 package client
 
 import (
@@ -34,30 +33,29 @@
 	maxProblemBytes      = 1 << 20
 )
 
-// ErrUnreachable tells that no node answered. What was asked for may have been
-// done, unless NotRun says otherwise.
+// ErrUnreachable means that no node responded. The request may have had its effect, unless
+// NotRun reports otherwise.
 var ErrUnreachable = errors.New("client: no node answered")
 
-// errNotSent marks tries that certainly never reached a node.
+// errNotSent marks attempts that never reached a node.
 var errNotSent = errors.New("client: not sent")
 
-// Options are a client's settings. Nodes is required; zero fields take their
-// defaults.
+// Options configure a Client. Nodes is required; other zero fields get defaults.
 type Options struct {
-	// Nodes are the addresses of nodes for callers, as host:port.
+	// Nodes are the callers' addresses of nodes, as host:port.
 	Nodes []string
-	// Patience bounds the time spent on tries that fail, beside the context's
-	// deadline. Waiting for an answer that is being made does not count.
+	// Patience bounds the time spent on failing attempts, in addition to the context's
+	// deadline. It does not limit how long a call may run.
 	Patience time.Duration
-	// FirstPause and MaxPause bound the pauses between tries where the answer
-	// does not say when to come back.
+	// FirstPause and MaxPause are the initial and maximum backoff between attempts
+	// where the response has no Retry-After.
 	FirstPause time.Duration
 	MaxPause   time.Duration
-	// StreamSilence is how long a stream may be silent before another node is
-	// asked; nodes send a comment every ten seconds.
+	// StreamSilence is the idle timeout of a stream, after which another node is tried.
+	// Nodes send a comment every ten seconds.
 	StreamSilence time.Duration
-	// Transport carries the requests; nil makes one with short dials and
-	// keep-alive.
+	// Transport carries the requests; nil uses one with a short dial timeout and
+	// TCP keep-alive.
 	Transport http.RoundTripper
 }
 
@@ -68,7 +66,7 @@
 	http    *http.Client
 }
 
-// New returns a client.
+// New returns a client, or an error if the options have no nodes or an invalid address.
 func New(options Options) (*Client, error) {
 	if len(options.Nodes) == 0 {
 		return nil, errors.New("client: no nodes are given")
@@ -88,8 +86,8 @@
 	return &Client{options: options, nodes: newNodes(options.Nodes), http: &http.Client{Transport: options.Transport}}, nil
 }
 
-// newTransport finds dead nodes within about 20 seconds also while it waits for
-// a long answer.
+// newTransport returns a transport whose keep-alive detects dead nodes within about 20
+// seconds, also while a request waits for a long answer.
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
@@ -105,31 +103,31 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// CreateProgram makes a program. Without an id it chooses one, so that a try
-// whose answer was lost is not made twice.
+// CreateProgram creates a program. If the request has no id, the client chooses one, so
+// that a retry after a lost response does not create a second program.
 func (c *Client) CreateProgram(ctx context.Context, request api.ProgramRequest) (api.Program, error) {
 	if request.ID == "" {
 		request.ID = uuid.NewString()
 	}
-	return c.onProgram(ctx, http.MethodPost, "/v1/programs", request)
+	return c.requestProgram(ctx, http.MethodPost, "/v1/programs", request)
 }
 
-// Program returns a program as it stands.
+// Program returns the current state of a program.
 func (c *Client) Program(ctx context.Context, id string) (api.Program, error) {
-	return c.onProgram(ctx, http.MethodGet, "/v1/programs/"+url.PathEscape(id), nil)
+	return c.requestProgram(ctx, http.MethodGet, "/v1/programs/"+url.PathEscape(id), nil)
 }
 
-// EndProgram ends a program; it may be repeated.
+// EndProgram ends a program. It is idempotent.
 func (c *Client) EndProgram(ctx context.Context, id string) (api.Program, error) {
-	return c.onProgram(ctx, http.MethodPost, "/v1/programs/"+url.PathEscape(id)+"/end", nil)
+	return c.requestProgram(ctx, http.MethodPost, "/v1/programs/"+url.PathEscape(id)+"/end", nil)
 }
 
-// CancelProgram cancels a program; it may be repeated.
+// CancelProgram cancels a program. It is idempotent.
 func (c *Client) CancelProgram(ctx context.Context, id string) (api.Program, error) {
-	return c.onProgram(ctx, http.MethodDelete, "/v1/programs/"+url.PathEscape(id), nil)
+	return c.requestProgram(ctx, http.MethodDelete, "/v1/programs/"+url.PathEscape(id), nil)
 }
 
-func (c *Client) onProgram(ctx context.Context, method, path string, body any) (api.Program, error) {
+func (c *Client) requestProgram(ctx context.Context, method, path string, body any) (api.Program, error) {
 	var program api.Program
 	err := c.retry(ctx, func(ctx context.Context, node string) error {
 		return c.exchange(ctx, node, method, path, body, &program)
@@ -137,21 +135,20 @@
 	return program, err
 }
 
-// Call runs a call and returns its whole answer. The call's sequence and body
-// stay the same however often it is sent. It waits on a stream without tokens,
-// whose comments tell a node that is gone from an answer that takes long.
+// Call runs a call and returns its complete answer. All attempts have the same sequence and
+// body. It waits on a stream without tokens, whose comments distinguish a failed node from
+// a long-running call.
 func (c *Client) Call(ctx context.Context, program string, call api.CallRequest) (api.Answer, error) {
 	call.Stream = true
 	return c.stream(ctx, http.MethodPost, callsPath(program)+"?"+withoutTokens, call, nil)
 }
 
-// Fetch returns the answer of a call that was made before, and waits for it if
-// it still runs.
+// Fetch returns the answer of an earlier call and waits for it if it still runs.
 func (c *Client) Fetch(ctx context.Context, program, branch string, sequence uint64) (api.Answer, error) {
 	return c.stream(ctx, http.MethodGet, fetchPath(program, branch, sequence)+"&"+withoutTokens, nil, nil)
 }
 
-// withoutTokens leaves the tokens out of a stream.
+// withoutTokens is the query that omits the tokens from a stream.
 const withoutTokens = "tokens=false"
 
 func callsPath(program string) string { return "/v1/programs/" + url.PathEscape(program) + "/calls" }
@@ -160,7 +157,7 @@
 	return callsPath(program) + "/" + strconv.FormatUint(sequence, 10) + "?branch=" + url.QueryEscape(branch)
 }
 
-// exchange makes one request at one node and decodes its answer.
+// exchange makes one request to one node and decodes the JSON response.
 func (c *Client) exchange(ctx context.Context, node, method, path string, body, into any) error {
 	response, err := c.send(ctx, node, method, path, body, nil)
 	if err != nil {
@@ -173,7 +170,8 @@
 	return nil
 }
 
-// send makes one request. Its error is a problem, or wraps ErrUnreachable.
+// send makes one request to one node. Errors are *api.Problem or wrap ErrUnreachable, except
+// if the request itself is invalid. The caller closes the response's body.
 func (c *Client) send(ctx context.Context, node, method, path string, body any, headers http.Header) (*http.Response, error) {
 	var reader io.Reader
 	if body != nil {
@@ -195,7 +193,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, unreachable(node, err)
+		return nil, unreachableError(node, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		defer func() { _ = response.Body.Close() }()
@@ -204,8 +202,9 @@
 	return response, nil
 }
 
-// unreachable tells what is certain of a try that brought no answer.
-func unreachable(node string, err error) error {
+// unreachableError wraps the error of an attempt without a response, with errNotSent if the
+// dial failed.
+func unreachableError(node string, err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return fmt.Errorf("%w: %w: %s: %w", ErrUnreachable, errNotSent, node, err)
@@ -213,8 +212,8 @@
 	return fmt.Errorf("%w: %s: %w", ErrUnreachable, node, err)
 }
 
-// readProblem decodes a refusal. Anything that is no problem document does not
-// come from a node, so nothing is certain about it.
+// readProblem decodes the problem document of an error response. Any other body does not
+// come from a node, so the outcome is unknown.
 func readProblem(node string, response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxProblemBytes))
 	if err != nil {
@@ -224,15 +223,15 @@
 	if err := json.Unmarshal(body, &problem); err != nil || problem.Code == "" {
 		return fmt.Errorf("%w: %s: status %d without a problem document", ErrUnreachable, node, response.StatusCode)
 	}
-	return restored(&problem)
+	return decodeRetryAfter(&problem)
 }
 
-// restored puts back what a problem's JSON form holds in seconds.
-func restored(problem *api.Problem) *api.Problem {
+// decodeRetryAfter sets RetryAfter from the seconds in the problem document.
+func decodeRetryAfter(problem *api.Problem) *api.Problem {
 	return problem.WithRetryAfter(time.Duration(problem.RetryAfterSeconds * float64(time.Second)))
 }
 
-// NotRun tells that what failed with err certainly did not run.
+// NotRun reports whether the request that failed with err is known not to have run.
 func NotRun(err error) bool {
 	var problem *api.Problem
 	if errors.As(err, &problem) {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -22,8 +22,8 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// site is a few nodes with real gateways before one owner that remembers the
-// calls it ran, over in-memory connections.
+// site is a set of nodes with real gateways, over in-memory connections, in front of one
+// owner that records the calls it ran.
 type site struct {
 	listeners map[string]*pipeListener
 	boards    map[string]*blackboard.Board
@@ -31,15 +31,15 @@
 	mutex sync.Mutex
 	// executions counts the calls that ran, by branch, sequence and operation.
 	executions map[string]int
-	// failures are what the next calls answer with, one each.
+	// failures are the errors of the next calls, one each.
 	failures []error
-	// dropAnswers closes the connections of that many calls after they ran.
-	dropAnswers int
-	// cutAfter cuts streams after that many tokens, cuts times.
+	// dropResponses is the number of calls whose connections are closed after they ran.
+	dropResponses int
+	// cutAfter is the number of tokens after which the next cuts streams are broken.
 	cutAfter, cuts int
-	froms          []int
+	resumedFrom    []int
 	text           string
-	// silent holds streams back until it is closed; nil does not.
+	// silent, if not nil, blocks streams until it is closed.
 	silent chan struct{}
 }
 
@@ -71,10 +71,10 @@
 	return made
 }
 
-// kill lets nothing reach a node any more.
+// kill closes a node's listener and its connections.
 func (s *site) kill(name string) { s.listeners[name].kill() }
 
-// owner answers for one node; what ran is the site's.
+// owner serves the calls of one node with the state of the site.
 type owner struct {
 	*site
 	listener *pipeListener
@@ -107,15 +107,15 @@
 	o.mutex.Lock()
 	key := fmt.Sprint(request.Call.Branch, request.Call.Sequence, request.Call.Operation)
 	if o.executions[key] == 0 {
-		o.executions[key] = 1 // the same sequence joins or replays
+		o.executions[key] = 1 // a repeated sequence joins or replays the call
 	}
-	drop := o.dropAnswers > 0
+	drop := o.dropResponses > 0
 	if drop {
-		o.dropAnswers--
+		o.dropResponses--
 	}
 	o.mutex.Unlock()
 	if drop {
-		o.listener.cut()
+		o.listener.closeConnections()
 		<-ctx.Done()
 		return api.Answer{}, ctx.Err()
 	}
@@ -136,7 +136,7 @@
 func (o *owner) answer(ctx context.Context, sequence uint64, from int, onToken serving.TokenFunc) (api.Answer, error) {
 	o.mutex.Lock()
 	text, silent, cutAfter := o.text, o.silent, -1
-	o.froms = append(o.froms, from)
+	o.resumedFrom = append(o.resumedFrom, from)
 	if o.cuts > 0 {
 		o.cuts--
 		cutAfter = o.cutAfter
@@ -154,7 +154,7 @@
 			continue
 		}
 		if index-from == cutAfter {
-			o.listener.cut()
+			o.listener.closeConnections()
 			<-ctx.Done()
 			return api.Answer{}, ctx.Err()
 		}
@@ -165,7 +165,7 @@
 	return api.Answer{Program: "p", Sequence: sequence, Text: text}, nil
 }
 
-// pipeListener makes in-memory connections that can be cut.
+// pipeListener accepts in-memory connections that can be broken.
 type pipeListener struct {
 	sockets chan net.Conn
 	once    sync.Once
@@ -207,8 +207,7 @@
 	}
 }
 
-// cut closes all connections.
-func (l *pipeListener) cut() {
+func (l *pipeListener) closeConnections() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, socket := range l.near {
@@ -219,14 +218,14 @@
 
 func (l *pipeListener) kill() {
 	_ = l.Close()
-	l.cut()
+	l.closeConnections()
 }
 
 func call(sequence uint64) api.CallRequest {
 	return api.CallRequest{Sequence: sequence, Kind: api.CallApplication, Operation: "pay", Unrepeatable: true}
 }
 
-func TestOtherNodesAreAskedWhenOneIsDead(t *testing.T) {
+func TestRequestsMoveToALiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, "a:1", "b:1", "c:1")
@@ -252,12 +251,12 @@
 	})
 }
 
-func TestLostAnswersAreAskedForWithTheSameSequence(t *testing.T) {
+func TestRetryAfterLostResponseRepeatsTheSequence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, "a:1", "b:1")
 		c := s.client(t, "a:1", "b:1")
-		s.dropAnswers = 3
+		s.dropResponses = 3
 		answer, err := c.Call(t.Context(), "p", call(1))
 		is.NoErr(err)
 		is.Equal(answer.Text, s.text)
@@ -265,7 +264,7 @@
 	})
 }
 
-func TestRefusalAfterALostAnswerIsNotCertain(t *testing.T) {
+func TestRejectionAfterLostResponseIsNotReportedAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, "a:1", "b:1")
@@ -273,7 +272,7 @@
 		s.failures = []error{api.NewProblem(api.CodeBudget, "spent")}
 		_, err := c.Call(t.Context(), "p", call(1))
 		is.True(client.NotRun(err))
-		s.dropAnswers = 1
+		s.dropResponses = 1
 		s.failures = []error{nil, api.NewProblem(api.CodeBudget, "spent")}
 		_, err = c.Call(t.Context(), "p", call(1))
 		var problem *api.Problem
@@ -301,7 +300,7 @@
 		start = time.Now()
 		_, err = c.Call(ctx, "p", call(2))
 		is.True(client.NotRun(err))
-		is.Equal(time.Since(start), time.Duration(0)) // coming back would be too late: said at once
+		is.Equal(time.Since(start), time.Duration(0)) // the retry would start after the deadline: fails at once
 
 		s.failures = []error{api.NewProblem(api.CodeOutcomeUnknown, "sent once").WithRetryAfter(time.Second)}
 		_, err = c.Call(t.Context(), "p", call(3))
@@ -311,7 +310,7 @@
 	})
 }
 
-func TestDrainingNodeIsLeftAtOnce(t *testing.T) {
+func TestDrainingNodeIsAvoidedWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, "a:1", "b:1")
@@ -341,7 +340,7 @@
 		is.NoErr(err)
 		is.Equal(text, s.text)
 		is.Equal(answer.Text, s.text)
-		is.Equal(s.froms, []int{0, 2, 4})
+		is.Equal(s.resumedFrom, []int{0, 2, 4})
 		is.Equal(s.executions, map[string]int{"main1pay": 1})
 
 		text = ""
@@ -354,7 +353,7 @@
 	})
 }
 
-func TestStreamBegunAnewIsTold(t *testing.T) {
+func TestRestartedStreamIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, "a:1", "b:1")
@@ -376,7 +375,7 @@
 	})
 }
 
-func TestQuietStreamsLiveAndSilentOnesAreLeft(t *testing.T) {
+func TestStreamsWithCommentsContinueAndSilentOnesTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, "a:1")
@@ -384,10 +383,10 @@
 		s.silent = make(chan struct{})
 		time.AfterFunc(10*time.Minute, func() { close(s.silent) })
 		_, err := c.Call(t.Context(), "p", call(1))
-		is.NoErr(err) // the node's comments kept it
-		is.Equal(len(s.froms), 1)
+		is.NoErr(err) // the node's comments kept the stream alive
+		is.Equal(len(s.resumedFrom), 1)
 
-		// A node that takes connections and never answers is left for the other one.
+		// A node that accepts connections and never responds times out, and the other one is used.
 		frozen := &pipeListener{sockets: make(chan net.Conn), closed: make(chan struct{})}
 		s.listeners["frozen:1"] = frozen
 		go func() {
@@ -400,7 +399,7 @@
 			}
 		}()
 		defer frozen.kill()
-		for range 4 { // whichever node it begins with
+		for range 4 { // starts with a random node
 			c := s.client(t, "frozen:1", "a:1")
 			start := time.Now()
 			_, err = c.Call(t.Context(), "p", call(2))
@@ -410,7 +409,7 @@
 	})
 }
 
-func TestBranchKeepsTheSequenceOfAnOpenOutcome(t *testing.T) {
+func TestBranchKeepsTheSequenceOfAnUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, "a:1")
@@ -423,7 +422,7 @@
 		s.failures = []error{api.NewProblem(api.CodeBudget, "spent")}
 		_, err = branch.Call(t.Context(), call(0), nil)
 		is.True(client.NotRun(err))
-		is.Equal(branch.Next(), uint64(2)) // it did not run, so the sequence is free
+		is.Equal(branch.Next(), uint64(2)) // it did not run, so its sequence is used again
 
 		s.failures = []error{api.NewProblem(api.CodeBackendFailed, "broke")}
 		_, err = branch.Call(t.Context(), call(0), nil)
@@ -440,11 +439,11 @@
 		s.failures = []error{api.NewProblem(api.CodeOutcomeUnknown, "sent once")}
 		_, err = branch.Call(t.Context(), call(0), nil)
 		is.True(err != nil)
-		is.Equal(branch.Next(), uint64(5)) // the unknown outcome stands for its sequence
+		is.Equal(branch.Next(), uint64(5)) // the unknown outcome uses up the sequence
 	})
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestOptionsAreChecked(t *testing.T) {
 	is := is.New(t)
 	_, err := client.New(client.Options{})
 	is.True(err != nil)
--- a/client/retry.go
+++ b/client/retry.go
@@ -13,18 +13,18 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// avoidDraining is how long a node that drains is left alone.
+// avoidDraining is the minimum time for which a draining node is avoided.
 const avoidDraining = 10 * time.Second
 
-// avoidFailed is how long a node that did not answer is left alone, as long as
-// there are others.
+// avoidFailed is how long a node that did not respond is avoided.
 const avoidFailed = time.Second
 
-// nodes picks the node to ask: the one that answered last, else the next.
+// nodes selects the node for the next attempt: the current one, or the next one that is not
+// to be avoided.
 type nodes struct {
 	addresses []string
 
-	// mutex guards current and avoid, the time before which a node is left alone.
+	// mutex guards current and avoid. avoid is the time until which a node is avoided.
 	mutex   sync.Mutex
 	current int
 	avoid   []time.Time
@@ -33,13 +33,13 @@
 func newNodes(addresses []string) *nodes {
 	return &nodes{
 		addresses: slices.Clone(addresses),
-		current:   rand.N(len(addresses)), // clients spread over the nodes
+		current:   rand.N(len(addresses)), // distributes clients over the nodes
 		avoid:     make([]time.Time, len(addresses)),
 	}
 }
 
-// pick returns the node to ask now: from the current one on the first that need
-// not be avoided, else the one to be avoided for the shortest time.
+// pick returns the index of the first node, starting with the current one, that is not to be
+// avoided. If all are, it returns the one whose period ends first.
 func (n *nodes) pick() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -58,30 +58,30 @@
 	return best
 }
 
-// leave keeps a node from being picked for a while, if there are others.
-func (n *nodes) leave(at int, period time.Duration) {
+// avoidFor makes pick prefer other nodes for the given period.
+func (n *nodes) avoidFor(at int, period time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.avoid[at] = time.Now().Add(period)
 }
 
-// attempts is the state of one request over its tries.
+// attempts is the retry state of one request.
 type attempts struct {
 	client  *Client
 	started time.Time
 	pause   time.Duration
-	// failed counts the nodes that failed in a row without a pause between.
+	// failed counts the attempts that failed since the last pause.
 	failed int
-	// uncertain tells that a try vanished: it may still be acted on, so no later
-	// refusal proves that nothing ran.
-	uncertain bool
+	// outcomeUnknown is set when an attempt was sent and got no response. That attempt may
+	// still run, so a later rejection does not prove that nothing ran.
+	outcomeUnknown bool
 }
 
 func (c *Client) newAttempts() *attempts {
 	return &attempts{client: c, started: time.Now(), pause: c.options.FirstPause}
 }
 
-// retry makes tries until one succeeds or trying again does not help.
+// retry calls try until it succeeds or another attempt can't help.
 func (c *Client) retry(ctx context.Context, try func(ctx context.Context, node string) error) error {
 	attempts := c.newAttempts()
 	for {
@@ -96,42 +96,42 @@
 	}
 }
 
-// next waits for the next try, or returns the error to end with.
+// next waits until the next attempt, or returns the final error.
 func (a *attempts) next(ctx context.Context, at int, err error) error {
 	var problem *api.Problem
 	isProblem := errors.As(err, &problem)
 	if !isProblem && errors.Is(err, ErrUnreachable) && !errors.Is(err, errNotSent) {
-		a.uncertain = true
+		a.outcomeUnknown = true
 	}
 	if ctx.Err() != nil {
-		return a.final(fmt.Errorf("%w: %w", ctx.Err(), err))
+		return a.finalError(fmt.Errorf("%w: %w", ctx.Err(), err))
 	}
-	pause, again := a.plan(at, err, problem)
+	pause, again := a.planRetry(at, err, problem)
 	if !again || time.Since(a.started)+pause > a.client.options.Patience {
-		return a.final(err)
+		return a.finalError(err)
 	}
 	if deadline, bounded := ctx.Deadline(); bounded && time.Now().Add(pause).After(deadline) {
-		return a.final(err) // the answer would come too late to be used
+		return a.finalError(err) // the next attempt would start after the deadline
 	}
 	if ended := wait.For(ctx, pause); ended != nil {
-		return a.final(fmt.Errorf("%w: %w", ended, err))
+		return a.finalError(fmt.Errorf("%w: %w", ended, err))
 	}
 	return nil
 }
 
-// plan decides whether to try again and when. Other nodes are asked at once,
-// until all have failed; then there is a pause.
-func (a *attempts) plan(at int, err error, problem *api.Problem) (pause time.Duration, again bool) {
+// planRetry decides whether and when to retry. Other nodes are tried at once until all have
+// failed; the pause after that doubles up to MaxPause.
+func (a *attempts) planRetry(at int, err error, problem *api.Problem) (pause time.Duration, again bool) {
 	nodes := a.client.nodes
 	switch {
 	case problem == nil && !errors.Is(err, ErrUnreachable):
-		return 0, false // a fault of the request itself
+		return 0, false // the request itself is invalid
 	case problem == nil:
-		nodes.leave(at, avoidFailed)
+		nodes.avoidFor(at, avoidFailed)
 	case problem.Code == api.CodeDraining:
-		nodes.leave(at, max(problem.RetryAfter, avoidDraining))
-	case problem.RetryAfter > 0 && retryHelps(problem.Code):
-		return spread(problem.RetryAfter), true
+		nodes.avoidFor(at, max(problem.RetryAfter, avoidDraining))
+	case problem.RetryAfter > 0 && mayRetry(problem.Code):
+		return jitter(problem.RetryAfter), true
 	default:
 		return 0, false
 	}
@@ -140,14 +140,14 @@
 		return 0, true
 	}
 	a.failed = 0
-	pause = spread(a.pause)
+	pause = jitter(a.pause)
 	a.pause = min(2*a.pause, a.client.options.MaxPause)
 	return pause, true
 }
 
-// retryHelps tells whether the same request may succeed later. A passed deadline
-// is the caller's own to renew.
-func retryHelps(code api.Code) bool {
+// mayRetry reports whether the same request may succeed later. After a passed deadline only
+// the caller can set a new one.
+func mayRetry(code api.Code) bool {
 	switch code {
 	case api.CodeDeadline, api.CodeOutcomeUnknown, api.CodeCancelled, api.CodeProgramEnded, api.CodeConflict:
 		return false
@@ -155,14 +155,13 @@
 	return true
 }
 
-// spread adds up to a quarter, so that clients told the same time do not come
-// back all at once; it never comes back early.
-func spread(pause time.Duration) time.Duration { return pause + rand.N(pause/4+1) }
+// jitter adds a random time of up to a quarter of pause, so that clients with the same
+// Retry-After do not retry at the same time. The result is never shorter than pause.
+func jitter(pause time.Duration) time.Duration { return pause + rand.N(pause/4+1) }
 
-// final takes the certainty off a refusal where an earlier try may still be
-// acted on.
-func (a *attempts) final(err error) error {
-	if !a.uncertain || !NotRun(err) {
+// finalError removes the not-run claim from an error if an earlier attempt may still run.
+func (a *attempts) finalError(err error) error {
+	if !a.outcomeUnknown || !NotRun(err) {
 		return err
 	}
 	var problem *api.Problem
--- a/client/stream.go
+++ b/client/stream.go
@@ -15,15 +15,16 @@
 	"stepseam.example/stepseam/api"
 )
 
-// ErrStreamRestarted tells that the tokens handed out are not the answer's: the
-// call was answered anew on the way. The answer that comes with it is whole.
+// ErrStreamRestarted means that the tokens passed to the callback do not match the answer,
+// because the call was run again during the stream. The answer returned with it is
+// complete.
 var ErrStreamRestarted = errors.New("client: the answer was begun anew; take the answer's text instead of the tokens")
 
-// TokenFunc takes one token of a stream. Its error ends the stream; the call
-// itself goes on and can be fetched.
+// TokenFunc receives one token of a stream. If it returns an error, the stream ends; the
+// call continues and its answer can be fetched.
 type TokenFunc func(index int, text string) error
 
-// Stream runs a call and hands out its tokens as they come. A broken stream is
+// Stream runs a call and passes its tokens to onToken as they arrive. A broken stream is
 // resumed at another node after the last token, with the same sequence and body.
 func (c *Client) Stream(ctx context.Context, program string, call api.CallRequest, onToken TokenFunc) (api.Answer, error) {
 	if onToken == nil {
@@ -33,7 +34,7 @@
 	return c.stream(ctx, http.MethodPost, callsPath(program), call, onToken)
 }
 
-// FetchStream is Fetch with the answer's tokens from the first one on.
+// FetchStream is like Fetch, and passes all tokens of the answer to onToken.
 func (c *Client) FetchStream(ctx context.Context, program, branch string, sequence uint64, onToken TokenFunc) (api.Answer, error) {
 	if onToken == nil {
 		return c.Fetch(ctx, program, branch, sequence)
@@ -41,19 +42,20 @@
 	return c.stream(ctx, http.MethodGet, fetchPath(program, branch, sequence), nil, onToken)
 }
 
-// streaming is a stream over its tries.
-type streaming struct {
+// streamState is the state of one stream over its attempts.
+type streamState struct {
 	client  *Client
 	onToken TokenFunc
-	next    int
-	text    []byte
-	answer  api.Answer
-	// refused is the caller's own error.
-	refused error
+	// next is the index of the next token, and text the tokens before it.
+	next   int
+	text   []byte
+	answer api.Answer
+	// callbackErr is the error that onToken returned.
+	callbackErr error
 }
 
 func (c *Client) stream(ctx context.Context, method, path string, body any, onToken TokenFunc) (api.Answer, error) {
-	s := &streaming{client: c, onToken: onToken}
+	s := &streamState{client: c, onToken: onToken}
 	attempts := c.newAttempts()
 	for {
 		at, before := c.nodes.pick(), s.next
@@ -61,11 +63,11 @@
 		switch {
 		case err == nil:
 			return s.finish()
-		case s.refused != nil:
-			return api.Answer{}, s.refused
+		case s.callbackErr != nil:
+			return api.Answer{}, s.callbackErr
 		}
 		if s.next > before {
-			// A stream that gets on is no failure in a row.
+			// Progress resets the retry time and the backoff.
 			attempts.started, attempts.pause = time.Now(), c.options.FirstPause
 		}
 		if stop := attempts.next(ctx, at, err); stop != nil {
@@ -74,24 +76,24 @@
 	}
 }
 
-// finish compares the tokens with the answer's text: an owner that changed
-// between two tries may have answered anew.
-func (s *streaming) finish() (api.Answer, error) {
+// finish compares the tokens with the answer's text. A new owner may have run the call
+// again between two attempts.
+func (s *streamState) finish() (api.Answer, error) {
 	if s.next > 0 && s.answer.Text != string(s.text) {
 		return s.answer, ErrStreamRestarted
 	}
 	return s.answer, nil
 }
 
-func (s *streaming) try(ctx context.Context, node, method, path string, body any) error {
+func (s *streamState) try(ctx context.Context, node, method, path string, body any) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	headers := http.Header{"Accept": {api.MediaEventStream}}
 	if s.next > 0 {
 		headers.Set(api.HeaderLastEventID, strconv.Itoa(s.next-1))
 	}
-	// Nothing comes before the first token or comment; from the sending on, silence
-	// means that the node is gone.
+	// The timer runs from the sending of the request, since a node sends comments before
+	// the first token too. When it expires, the node has failed.
 	silence := time.AfterFunc(s.client.options.StreamSilence, cancel)
 	defer silence.Stop()
 	response, err := s.client.send(ctx, node, method, path, body, headers)
@@ -102,8 +104,8 @@
 	return s.read(node, response.Body, func() { silence.Reset(s.client.options.StreamSilence) })
 }
 
-// read takes events until the one that ends the stream. alive is called for each line.
-func (s *streaming) read(node string, body io.Reader, alive func()) error {
+// read handles events up to the one that ends the stream. It calls alive for each line.
+func (s *streamState) read(node string, body io.Reader, alive func()) error {
 	reader := bufio.NewReader(body)
 	for {
 		line, err := reader.ReadBytes('\n')
@@ -113,35 +115,35 @@
 		alive()
 		data, isData := bytes.CutPrefix(line, []byte("data: "))
 		if !isData {
-			continue // ids and names stand in the data too; comments have no meaning
+			continue // the data repeats ids and names; comments only keep the stream alive
 		}
 		var event api.Event
 		if err := json.Unmarshal(data, &event); err != nil {
 			return fmt.Errorf("%w: %s: event: %w", ErrUnreachable, node, err)
 		}
-		ended, err := s.take(node, &event)
+		ended, err := s.handleEvent(node, &event)
 		if ended || err != nil {
 			return err
 		}
 	}
 }
 
-// take handles one event and tells whether it ends the stream.
-func (s *streaming) take(node string, event *api.Event) (ended bool, err error) {
+// handleEvent handles one event and reports whether it ends the stream.
+func (s *streamState) handleEvent(node string, event *api.Event) (ended bool, err error) {
 	switch {
 	case event.Kind == api.EventToken && event.Index == s.next:
 		s.next++
 		s.text = append(s.text, event.Text...)
 		if s.onToken == nil {
-			return false, nil // a node that does not know how to leave them out
+			return false, nil // the node does not support omitting tokens
 		}
-		s.refused = s.onToken(event.Index, event.Text)
-		return false, s.refused
+		s.callbackErr = s.onToken(event.Index, event.Text)
+		return false, s.callbackErr
 	case event.Kind == api.EventAnswer && event.Answer != nil:
 		s.answer = *event.Answer
 		return true, nil
 	case event.Kind == api.EventProblem && event.Problem != nil:
-		return true, restored(event.Problem)
+		return true, decodeRetryAfter(event.Problem)
 	default:
 		return true, fmt.Errorf("%w: %s: event %q %d in place of token %d", ErrUnreachable, node, event.Kind, event.Index, s.next)
 	}
