--- a/client/branch.go
+++ b/client/branch.go
@@ -12,7 +12,7 @@
 
 // ErrOutcomeOpen is returned for a new call while the outcome of the branch's last call
 // is unknown. Send the same call again, or call Resolve, before the next one.
-var ErrOutcomeOpen = errors.New("client: the last call's outcome is open")
+var ErrOutcomeOpen = errors.New("client: the outcome of the last call is unknown")
 
 // Branch numbers the calls of one branch of a program. It makes one call at a time: it
 // assigns the next sequence only when the outcome of the last call is known, so that a
@@ -67,7 +67,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.pending == nil {
-		return api.Answer{}, errors.New("client: no outcome is open")
+		return api.Answer{}, errors.New("client: there is no call with an unknown outcome")
 	}
 	answer, err := b.client.Fetch(ctx, b.program, b.name, b.next)
 	return answer, b.recordOutcome(b.pending, err)
--- a/client/client.go
+++ b/client/client.go
@@ -35,10 +35,10 @@
 
 // ErrUnreachable means that no node responded. The request may have had its effect, unless
 // NotRun reports otherwise.
-var ErrUnreachable = errors.New("client: no node answered")
+var ErrUnreachable = errors.New("client: no node responded")
 
 // errNotSent marks attempts that never reached a node.
-var errNotSent = errors.New("client: not sent")
+var errNotSent = errors.New("client: request not sent")
 
 // Options configure a Client. Nodes is required; other zero fields get defaults.
 type Options struct {
@@ -69,7 +69,7 @@
 // New returns a client, or an error if the options have no nodes or an invalid address.
 func New(options Options) (*Client, error) {
 	if len(options.Nodes) == 0 {
-		return nil, errors.New("client: no nodes are given")
+		return nil, errors.New("client: no nodes configured")
 	}
 	for i, node := range options.Nodes {
 		if _, _, err := net.SplitHostPort(node); err != nil {
@@ -165,7 +165,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
-		return fmt.Errorf("%w: %s: the answer broke off: %w", ErrUnreachable, node, err)
+		return fmt.Errorf("%w: %s: response interrupted: %w", ErrUnreachable, node, err)
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 func readProblem(node string, response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxProblemBytes))
 	if err != nil {
-		return fmt.Errorf("%w: %s: the answer broke off: %w", ErrUnreachable, node, err)
+		return fmt.Errorf("%w: %s: response interrupted: %w", ErrUnreachable, node, err)
 	}
 	var problem api.Problem
 	if err := json.Unmarshal(body, &problem); err != nil || problem.Code == "" {
--- a/client/retry.go
+++ b/client/retry.go
@@ -169,5 +169,5 @@
 		qualified := *problem
 		return qualified.WithNotRun(false)
 	}
-	return fmt.Errorf("%w: an earlier try was lost; at last: %s", ErrUnreachable, err)
+	return fmt.Errorf("%w: an earlier attempt got no response; last error: %s", ErrUnreachable, err)
 }
--- a/client/stream.go
+++ b/client/stream.go
@@ -18,7 +18,7 @@
 // ErrStreamRestarted means that the tokens passed to the callback do not match the answer,
 // because the call was run again during the stream. The answer returned with it is
 // complete.
-var ErrStreamRestarted = errors.New("client: the answer was begun anew; take the answer's text instead of the tokens")
+var ErrStreamRestarted = errors.New("client: the call was run again during the stream; use the answer's text instead of the tokens")
 
 // TokenFunc receives one token of a stream. If it returns an error, the stream ends; the
 // call continues and its answer can be fetched.
@@ -110,7 +110,7 @@
 	for {
 		line, err := reader.ReadBytes('\n')
 		if err != nil {
-			return fmt.Errorf("%w: %s: the stream broke off: %w", ErrUnreachable, node, err)
+			return fmt.Errorf("%w: %s: stream interrupted: %w", ErrUnreachable, node, err)
 		}
 		alive()
 		data, isData := bytes.CutPrefix(line, []byte("data: "))
@@ -119,7 +119,7 @@
 		}
 		var event api.Event
 		if err := json.Unmarshal(data, &event); err != nil {
-			return fmt.Errorf("%w: %s: event: %w", ErrUnreachable, node, err)
+			return fmt.Errorf("%w: %s: invalid event: %w", ErrUnreachable, node, err)
 		}
 		ended, err := s.handleEvent(node, &event)
 		if ended || err != nil {
@@ -145,6 +145,6 @@
 	case event.Kind == api.EventProblem && event.Problem != nil:
 		return true, decodeRetryAfter(event.Problem)
 	default:
-		return true, fmt.Errorf("%w: %s: event %q %d in place of token %d", ErrUnreachable, node, event.Kind, event.Index, s.next)
+		return true, fmt.Errorf("%w: %s: unexpected event %q %d, want token %d", ErrUnreachable, node, event.Kind, event.Index, s.next)
 	}
 }
