--- a/cmd/stepseam-lab/application.go
+++ b/cmd/stepseam-lab/application.go
@@ -7,9 +7,9 @@
 	"stepseam.example/stepseam/internal/emulator/standin"
 )
 
-// applicationCommand runs a stand-in of an application replica.
+// applicationCommand runs an application replica emulator.
 type applicationCommand struct {
-	standInFlags
+	emulatorFlags
 }
 
 func (c *applicationCommand) run(ctx context.Context) error {
--- a/cmd/stepseam-lab/compare.go
+++ b/cmd/stepseam-lab/compare.go
@@ -16,10 +16,10 @@
 	"stepseam.example/stepseam/internal/lab/experiment"
 )
 
-// comparisonWorkers bounds how many runs go on at once.
+// comparisonWorkers is the maximum number of concurrent runs.
 const comparisonWorkers = 4
 
-// compareCommand runs policies over one workload in virtual time.
+// compareCommand runs scheduling policies over one workload in virtual time.
 type compareCommand struct {
 	Site   string   `arg:"--site" help:"quito or haldane"`
 	Load   float64  `arg:"--load" default:"0.9" help:"offered load as a share of capacity"`
@@ -61,7 +61,7 @@
 	return checkOutcomes(trace, results)
 }
 
-// workload draws the programs, or reads them from a trace.
+// workload generates the programs, or reads them from a trace.
 func (c *compareCommand) workload() (*experiment.Trace, experiment.Options, error) {
 	if c.Replay != "" {
 		return readTrace(c.Replay)
@@ -111,7 +111,7 @@
 	return errors.Join(trace.Write(out), out.Flush(), file.Close())
 }
 
-// checkOutcomes compares the results with what the trace states of their policies.
+// checkOutcomes compares the results with the outcomes that the trace states for their policies.
 func checkOutcomes(trace *experiment.Trace, results []experiment.Result) error {
 	var faults []error
 	for i := range results {
@@ -124,7 +124,8 @@
 	return errors.Join(faults...)
 }
 
-// runAll runs experiments, a few at once, and returns their results in order.
+// runAll runs experiments with up to comparisonWorkers at once and returns their results in
+// the order of options.
 func runAll(ctx context.Context, options []experiment.Options) ([]experiment.Result, error) {
 	results := make([]experiment.Result, len(options))
 	group, ctx := errgroup.WithContext(ctx)
--- a/cmd/stepseam-lab/demo.go
+++ b/cmd/stepseam-lab/demo.go
@@ -7,7 +7,7 @@
 	"stepseam.example/stepseam/internal/lab/demo"
 )
 
-// demoCommand runs the demonstration.
+// demoCommand runs the demonstration over real processes.
 type demoCommand struct {
 	Programs  string `arg:"--programs" default:"bin" placeholder:"DIRECTORY" help:"where the built programs are"`
 	KeepFiles bool   `arg:"--keep-files" help:"leave settings and logs behind"`
--- a/cmd/stepseam-lab/engine.go
+++ b/cmd/stepseam-lab/engine.go
@@ -7,9 +7,9 @@
 	"stepseam.example/stepseam/internal/emulator/standin"
 )
 
-// engineCommand runs a model engine stand-in.
+// engineCommand runs a model engine emulator.
 type engineCommand struct {
-	standInFlags
+	emulatorFlags
 	Models []string `arg:"--model,separate" help:"model that is loaded from the start, beside the file's; may be repeated"`
 }
 
--- a/cmd/stepseam-lab/knowledge.go
+++ b/cmd/stepseam-lab/knowledge.go
@@ -9,7 +9,8 @@
 	"stepseam.example/stepseam/internal/lab/knowledge"
 )
 
-// knowledgeCommand compares what nodes believed of engines with what was so.
+// knowledgeCommand compares the nodes' estimates of engines with the state that the logs
+// show.
 type knowledgeCommand struct {
 	File string `arg:"positional,required" help:"log lines of all nodes, merged or one after the other; - is standard input"`
 }
--- a/cmd/stepseam-lab/log.go
+++ b/cmd/stepseam-lab/log.go
@@ -7,14 +7,14 @@
 	"stepseam.example/stepseam/internal/emulator/standin"
 )
 
-// logCommand runs a log service stand-in.
+// logCommand runs a log service emulator.
 type logCommand struct {
-	standInFlags
+	emulatorFlags
 }
 
-// logParameters is the file that --parameters names.
+// logParameters is the content of the --parameters file.
 type logParameters struct {
-	// Seed drives the draws of faults.
+	// Seed is the random seed of the injected faults.
 	Seed   uint64            `yaml:"seed"`
 	Faults logservice.Faults `yaml:"faults"`
 }
--- a/cmd/stepseam-lab/machines.go
+++ b/cmd/stepseam-lab/machines.go
@@ -13,12 +13,12 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// machinesCommand runs a machine list stand-in.
+// machinesCommand runs a machine list emulator.
 type machinesCommand struct {
-	standInFlags
+	emulatorFlags
 }
 
-// machinesParameters is the file that --parameters names.
+// machinesParameters is the content of the --parameters file.
 type machinesParameters struct {
 	Faults   machinelist.Faults     `yaml:"faults"`
 	Machines []siteservices.Machine `yaml:"machines"`
--- a/cmd/stepseam-lab/main.go
+++ b/cmd/stepseam-lab/main.go
@@ -1,6 +1,6 @@
-// Command stepseam-lab runs what a laboratory site needs beside stepseamd: the
-// stand-ins of the platform and of the back ends, a demonstration over real
-// processes, and experiments. Nothing of it is part of a production site.
+// Command stepseam-lab runs the components of a laboratory site other than stepseamd: the
+// emulators of the platform and of the back ends, a demonstration over real processes, and
+// experiments. It is not part of a production site.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/alexflint/go-arg"
 )
 
-// arguments holds the subcommands; each one has a file of its own.
+// arguments defines the subcommands.
 type arguments struct {
 	Log         *logCommand         `arg:"subcommand:log" help:"run a log service stand-in"`
 	Machines    *machinesCommand    `arg:"subcommand:machines" help:"run a machine list stand-in"`
@@ -29,7 +29,7 @@
 	Knowledge   *knowledgeCommand   `arg:"subcommand:knowledge" help:"compare what nodes believed of engines with what their logs show"`
 }
 
-// Description is shown by --help.
+// Description returns the description for --help.
 func (arguments) Description() string {
 	return "Stand-ins, demonstration and experiments of a stepseam laboratory site."
 }
--- a/cmd/stepseam-lab/replay.go
+++ b/cmd/stepseam-lab/replay.go
@@ -9,8 +9,8 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// replayCommand checks traces and replays them in real time over a site of real
-// nodes in this process. The tests replay them in virtual time.
+// replayCommand checks traces and replays them in real time over a site of real nodes in
+// this process.
 type replayCommand struct {
 	Files []string `arg:"positional,required" placeholder:"FILE"`
 	Check bool     `arg:"--check" help:"only check the files"`
@@ -21,7 +21,7 @@
 func (c *replayCommand) run(ctx context.Context) error {
 	var failed error
 	for _, file := range c.Files {
-		if err := c.one(ctx, file); err != nil {
+		if err := c.replayFile(ctx, file); err != nil {
 			fmt.Println(err)
 			failed = errReplay
 		}
@@ -29,8 +29,8 @@
 	return failed
 }
 
-// one replays one trace and prints its differences.
-func (c *replayCommand) one(ctx context.Context, file string) error {
+// replayFile replays one trace and prints the differences from its stated outcomes.
+func (c *replayCommand) replayFile(ctx context.Context, file string) error {
 	played, err := trace.ReadFile(file)
 	if err != nil {
 		return err
--- a/cmd/stepseam-lab/report.go
+++ b/cmd/stepseam-lab/report.go
@@ -10,7 +10,7 @@
 	"stepseam.example/stepseam/internal/lab/experiment"
 )
 
-// reportCommand plots latency and waste against load.
+// reportCommand plots latency and wasted cache against load.
 type reportCommand struct {
 	Site   []string  `arg:"--site,separate" help:"quito or haldane, may be repeated; both without it"`
 	Load   []float64 `arg:"--load,separate" help:"load, may be repeated; 0.5, 0.7, 0.9 and 1.1 without it"`
@@ -38,7 +38,7 @@
 	return err
 }
 
-// results reads the figures from files, or runs the experiments.
+// results reads the results from files, or runs the experiments.
 func (c *reportCommand) results(ctx context.Context) ([]experiment.Result, error) {
 	if len(c.From) > 0 {
 		return readResults(c.From)
--- a/cmd/stepseam-lab/tools.go
+++ b/cmd/stepseam-lab/tools.go
@@ -7,9 +7,9 @@
 	"stepseam.example/stepseam/internal/emulator/tools"
 )
 
-// toolsCommand runs a tool service stand-in.
+// toolsCommand runs a tool service emulator.
 type toolsCommand struct {
-	standInFlags
+	emulatorFlags
 }
 
 func (c *toolsCommand) run(ctx context.Context) error {
--- a/cmd/stepseam-lab/weights.go
+++ b/cmd/stepseam-lab/weights.go
@@ -7,9 +7,9 @@
 	"stepseam.example/stepseam/internal/emulator/weightstore"
 )
 
-// weightsCommand runs a weight store stand-in.
+// weightsCommand runs a weight store emulator.
 type weightsCommand struct {
-	standInFlags
+	emulatorFlags
 }
 
 func (c *weightsCommand) run(ctx context.Context) error {
--- a/cmd/stepseamctl/client.go
+++ b/cmd/stepseamctl/client.go
@@ -19,7 +19,8 @@
 	"stepseam.example/stepseam/internal/operator"
 )
 
-// client asks the operators' address of the first node that answers.
+// client sends requests to the operators' addresses of the nodes, in order, until one
+// responds.
 type client struct {
 	addresses []string
 	http      *http.Client
@@ -34,7 +35,7 @@
 	}
 }
 
-// checkAddresses refuses a command line that names no node.
+// checkAddresses returns a usage failure if no address is given or one is invalid.
 func (c *client) checkAddresses() error {
 	if len(c.addresses) == 0 {
 		return &failure{
@@ -50,27 +51,28 @@
 	return nil
 }
 
-// get asks for a document.
+// get fetches a document.
 func (c *client) get(ctx context.Context, path string, document any) error {
-	return c.ask(ctx, http.MethodGet, path, func(bool) any { return nil }, document)
+	return c.send(ctx, http.MethodGet, path, func(bool) any { return nil }, document)
 }
 
-// post sends a body that may be sent again to another node without harm.
+// post sends a body. The request must be idempotent, since it may be repeated at another
+// node.
 func (c *client) post(ctx context.Context, path string, body, document any) error {
-	return c.ask(ctx, http.MethodPost, path, func(bool) any { return body }, document)
+	return c.send(ctx, http.MethodPost, path, func(bool) any { return body }, document)
 }
 
-// ask tries one address after the other until a node answers. body is told
-// whether an earlier node may have got the request.
-func (c *client) ask(ctx context.Context, method, path string, body func(repeated bool) any, document any) error {
+// send tries the addresses in order until a node responds. The argument of body is true if
+// an earlier node may have received the request.
+func (c *client) send(ctx context.Context, method, path string, body func(repeated bool) any, document any) error {
 	if err := c.checkAddresses(); err != nil {
 		return err
 	}
 	var causes []error
 	sent := false
 	for _, address := range c.addresses {
-		err := c.askOne(ctx, address, method, path, body(sent), document)
-		if !errors.Is(err, errNoAnswer) {
+		err := c.sendTo(ctx, address, method, path, body(sent), document)
+		if !errors.Is(err, errNoResponse) {
 			return err
 		}
 		sent = sent || !errors.Is(err, errNotSent)
@@ -82,22 +84,23 @@
 	}
 }
 
-// errNoAnswer tells that a node gave no answer; it may have got the request.
-var errNoAnswer = errors.New("no answer")
+// errNoResponse means that a node did not respond. It may have received the request.
+var errNoResponse = errors.New("no answer")
 
-// errNotSent is an errNoAnswer for which the request certainly never left.
-var errNotSent = fmt.Errorf("%w, not connected", errNoAnswer)
+// errNotSent is an errNoResponse of a request that was not sent.
+var errNotSent = fmt.Errorf("%w, not connected", errNoResponse)
 
-// noAnswer names a failure of the connection to address.
-func noAnswer(address string, err error) error {
+// responseError wraps a connection error with errNotSent if the dial failed, else with
+// errNoResponse.
+func responseError(address string, err error) error {
 	var failed *net.OpError
 	if errors.As(err, &failed) && failed.Op == "dial" {
 		return fmt.Errorf("%w: %s: %w", errNotSent, address, err)
 	}
-	return fmt.Errorf("%w from %s: %w", errNoAnswer, address, err)
+	return fmt.Errorf("%w from %s: %w", errNoResponse, address, err)
 }
 
-func (c *client) askOne(ctx context.Context, address, method, path string, body, document any) error {
+func (c *client) sendTo(ctx context.Context, address, method, path string, body, document any) error {
 	var payload io.Reader
 	if body != nil {
 		encoded, err := json.Marshal(body)
@@ -113,15 +116,15 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		return noAnswer(address, err)
+		return responseError(address, err)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return noAnswer(address, err)
+		return responseError(address, err)
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return refusal(address, response.StatusCode, content)
+		return problemFailure(address, response.StatusCode, content)
 	}
 	if err := json.Unmarshal(content, document); err != nil {
 		return &failure{
@@ -132,8 +135,9 @@
 	return nil
 }
 
-// refusals gives exit code and advice for the codes that need their own.
-var refusals = map[api.Code]failure{
+// failuresByCode maps the codes of problems to exit codes and advice. Other codes exit with
+// exitFailed.
+var failuresByCode = map[api.Code]failure{
 	api.CodeInvalid:             {code: exitFindings, advice: "Mend the places named and publish again; nothing was published."},
 	api.CodeTableConflict:       {code: exitConflict, advice: "Fetch the version in force (table show --csv), make your change in it, and publish on its version."},
 	api.CodeConflict:            {code: exitConflict},
@@ -146,8 +150,8 @@
 	api.CodeNoTable:             {code: exitNotFound, advice: "Publish the first table on base 0, or see in status why the node has none."},
 }
 
-// refusal turns a problem document into an error.
-func refusal(address string, status int, content []byte) error {
+// problemFailure converts an error response to a failure.
+func problemFailure(address string, status int, content []byte) error {
 	var problem api.Problem
 	if err := json.Unmarshal(content, &problem); err != nil || problem.Status == 0 {
 		return &failure{
@@ -155,17 +159,17 @@
 			advice: "See that the address is the operators' address of a stepseamd of the same release.",
 		}
 	}
-	made, found := refusals[problem.Code]
+	result, found := failuresByCode[problem.Code]
 	if !found {
-		made.code = exitFailed
+		result.code = exitFailed
 	}
 	lines := []string{fmt.Sprintf("%s: %s", problem.Title, problem.Detail)}
 	for _, finding := range problem.Findings {
 		lines = append(lines, "  "+finding.Place+": "+finding.Message)
 	}
-	made.reason = strings.Join(lines, "\n")
+	result.reason = strings.Join(lines, "\n")
 	if problem.RetryAfterSeconds > 0 {
-		made.advice = strings.TrimSpace(fmt.Sprintf("%s Come back in %.0f s.", made.advice, problem.RetryAfterSeconds))
+		result.advice = strings.TrimSpace(fmt.Sprintf("%s Come back in %.0f s.", result.advice, problem.RetryAfterSeconds))
 	}
-	return &made
+	return &result
 }
--- a/cmd/stepseamctl/drain.go
+++ b/cmd/stepseamctl/drain.go
@@ -10,21 +10,21 @@
 	"stepseam.example/stepseam/internal/operator"
 )
 
-// drainCommand begins a planned stop.
+// drainCommand starts the planned stop of a node.
 type drainCommand struct {
 	Node        string        `arg:"positional,required" help:"the node's name, as status shows it"`
 	Wait        bool          `arg:"--wait" help:"wait until the node has left"`
 	WaitTimeout time.Duration `arg:"--wait-timeout" default:"2m" help:"how long to wait at most"`
 }
 
-// drained is the JSON document of a planned stop.
-type drained struct {
+// drainResult is the JSON output of drain.
+type drainResult struct {
 	operator.DrainStarted
 	Left bool `json:"left"`
 }
 
 func (c *drainCommand) run(ctx context.Context, s *session) error {
-	result := drained{}
+	result := drainResult{}
 	if err := s.client.post(ctx, "/v1/drain", operator.DrainRequest{Node: c.Node}, &result.DrainStarted); err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	})
 }
 
-// await waits until the node is no member any more, as another node sees it.
+// await polls the status until the node is no longer a reachable member.
 func (c *drainCommand) await(ctx context.Context, s *session) error {
 	ctx, cancel := context.WithTimeout(ctx, c.WaitTimeout)
 	defer cancel()
--- a/cmd/stepseamctl/explain.go
+++ b/cmd/stepseamctl/explain.go
@@ -11,7 +11,7 @@
 	"stepseam.example/stepseam/internal/operator"
 )
 
-// explainCommand shows the last decision on a call.
+// explainCommand shows the last scheduling decision on a call.
 type explainCommand struct {
 	Program  string `arg:"positional,required" help:"the program's id"`
 	Sequence uint64 `arg:"positional,required" help:"the call's sequence"`
@@ -30,20 +30,20 @@
 }
 
 func writeExplanation(w io.Writer, found operator.Explanation) {
-	cells(w, "call", fmt.Sprintf("%s/%s/%d", found.Program, found.Branch, found.Sequence))
-	cells(w, "decided", fmt.Sprintf("%s at %s, attempt %d", found.At.Format(time.RFC3339Nano), found.Node, found.Attempt))
-	cells(w, "action", found.Action)
-	cells(w, "back end", found.Backend)
-	cells(w, "reason", found.Reason)
+	writeRow(w, "call", fmt.Sprintf("%s/%s/%d", found.Program, found.Branch, found.Sequence))
+	writeRow(w, "decided", fmt.Sprintf("%s at %s, attempt %d", found.At.Format(time.RFC3339Nano), found.Node, found.Attempt))
+	writeRow(w, "action", found.Action)
+	writeRow(w, "back end", found.Backend)
+	writeRow(w, "reason", found.Reason)
 	if found.RetryAfterSeconds > 0 {
-		cells(w, "look again in", fmt.Sprintf("%.3f s", found.RetryAfterSeconds))
+		writeRow(w, "look again in", fmt.Sprintf("%.3f s", found.RetryAfterSeconds))
 	}
 	if len(found.Candidates) == 0 {
 		return
 	}
 	fmt.Fprintln(w)
-	cells(w, "CANDIDATE", "EXPECTED", "NOTE")
+	writeRow(w, "CANDIDATE", "EXPECTED", "NOTE")
 	for _, candidate := range found.Candidates {
-		cells(w, candidate.Backend, fmt.Sprintf("%.3f s", candidate.CostSeconds), candidate.Note)
+		writeRow(w, candidate.Backend, fmt.Sprintf("%.3f s", candidate.CostSeconds), candidate.Note)
 	}
 }
--- a/cmd/stepseamctl/main.go
+++ b/cmd/stepseamctl/main.go
@@ -1,7 +1,6 @@
-// Command stepseamctl is the operators' client: it checks, compares and
-// publishes the table, shows the state of the site and its programs, stops
-// nodes as planned, and explains decisions. It talks to the operators' address
-// of any node.
+// Command stepseamctl is the operators' command-line client. It checks, compares and
+// publishes the table, shows the state of the site and its programs, drains nodes, and
+// explains scheduling decisions. It connects to the operators' address of any node.
 package main
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/alexflint/go-arg"
 )
 
-// The exit codes. Scripts may rely on them.
+// The exit codes. They are part of the interface for scripts.
 const (
 	exitDone        = 0
 	exitFailed      = 1
@@ -30,7 +29,7 @@
 	exitWaited      = 8
 )
 
-// arguments is the command line; each subcommand has a file of its own.
+// arguments is the command line.
 type arguments struct {
 	Address []string      `arg:"--address,separate,env:STEPSEAM_ADDRESS" placeholder:"IP:PORT" help:"operators' address of a node; may be repeated, the next one is tried when one does not answer"`
 	Output  string        `arg:"--output,-o" default:"table" help:"table or json"`
@@ -62,16 +61,16 @@
 	run(ctx context.Context, s *session) error
 }
 
-// failure is an error with its exit code and what to do about it.
+// failure is an error with an exit code and advice for the operator.
 type failure struct {
 	code   int
 	reason string
 	advice string
-	// sent tells that a node which did not answer may have got the request.
+	// sent is set if a node that did not respond may have received the request.
 	sent bool
 }
 
-// Error returns the reason.
+// Error implements error.
 func (f *failure) Error() string { return f.reason }
 
 func main() {
@@ -81,7 +80,7 @@
 	os.Exit(code)
 }
 
-// run is the whole program with its surroundings as arguments.
+// run parses the command line, runs the subcommand and returns the exit code.
 func run(ctx context.Context, line []string, in io.Reader, out, errOut io.Writer) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "stepseamctl", Out: errOut}, &parsed)
@@ -111,7 +110,7 @@
 	return report(errOut, chosen.run(ctx, s))
 }
 
-// report prints an error with what to do and returns the exit code.
+// report prints an error with its advice and returns the exit code.
 func report(errOut io.Writer, err error) int {
 	if err == nil {
 		return exitDone
--- a/cmd/stepseamctl/main_test.go
+++ b/cmd/stepseamctl/main_test.go
@@ -37,7 +37,7 @@
 class,applicant,,,asesor,,60000,40,1h,15m,90s,1024
 `
 
-// site is a few nodes' operators' faces over an emulated log and network.
+// site is a set of nodes that serve the operators' API over an emulated log and network.
 type site struct {
 	t       *testing.T
 	log     *logservice.Service
@@ -50,7 +50,7 @@
 	drained []string
 }
 
-// programs stands in for the site's programs.
+// programs is a fake of the site's programs.
 type programs map[identity.ProgramID]api.Program
 
 func (p programs) Get(_ context.Context, id identity.ProgramID) (api.Program, error) {
@@ -106,7 +106,7 @@
 		ID: "p-" + string(self.Name), Tenant: "usfq", Class: "applicant", State: api.ProgramRunning,
 		Created: time.Unix(int64(len(s.names)), 0).UTC(), Budget: 60000, Spent: 123, Branches: map[string]uint64{"main": 2}, Owner: string(self.Name),
 	}
-	face := operator.New(operator.Config{
+	handler := operator.New(operator.Config{
 		Self: self, ShardCount: 64, Board: board, Peers: endpoint, Tables: controller,
 		Programs: programs{"p-quito-1": own}, Registry: prometheus.NewRegistry(),
 		OwnPrograms: func() []api.Program { return []api.Program{own} },
@@ -125,7 +125,7 @@
 		},
 	}, registry)
 	endpoint.Serve()
-	server := httptest.NewServer(face.Handler())
+	server := httptest.NewServer(handler.Handler())
 	s.t.Cleanup(server.Close)
 	s.servers, s.boards, s.names = append(s.servers, server), append(s.boards, board), append(s.names, string(self.Name))
 	return controller
@@ -152,7 +152,7 @@
 	return path
 }
 
-func TestCheckPrintsEveryPlace(t *testing.T) {
+func TestCheckPrintsEveryFinding(t *testing.T) {
 	is := is.New(t)
 	path := writeFile(t, strings.NewReplacer(
 		"max_calls", "max_cals", // an unknown column, and a missing one
@@ -170,11 +170,11 @@
 		"row 3, column max_duration: is \"1 hour\"",
 		"row 3, column budget_tokens: is -1",
 	} {
-		is.True(strings.Contains(out, path+": "+place)) // every place
+		is.True(strings.Contains(out, path+": "+place)) // each finding with its place
 	}
 	is.True(strings.Contains(errOut, "What to do: Mend the places named"))
 	code, out, _ = runLine("-o", "json", "table", "check", path)
-	var result checked
+	var result checkResult
 	is.NoErr(json.Unmarshal([]byte(out), &result))
 	is.Equal(code, exitFindings)
 	is.True(!result.Valid && len(result.Findings) >= 5)
@@ -207,7 +207,7 @@
 	is.Equal(code, exitConflict)
 	is.True(strings.Contains(errOut, "base 9 was never accepted; the newest version is 2"))
 	_, out, _ = s.ctl("table", "show", "--csv", "--version", "1")
-	is.Equal(out, goodTable) // read from the log again
+	is.Equal(out, goodTable) // an older version is read from the log
 	_, out, _ = s.ctl("table", "show")
 	is.True(strings.Contains(out, "author         luis"))
 	_, out, _ = s.ctl("table", "history")
@@ -218,7 +218,7 @@
 	is.Equal(code, exitFindings)
 }
 
-func TestOutcomesWithTheLogAway(t *testing.T) {
+func TestPublishReportsOutcomeWhenLogFails(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 2)
 	path := writeFile(t, goodTable)
@@ -236,9 +236,9 @@
 	is.Equal(code, exitDone)
 }
 
-// TestAnswerLostOnTheWayBack publishes through a node that gets the request and
-// dies before it answers.
-func TestAnswerLostOnTheWayBack(t *testing.T) {
+// TestPublishWithLostResponseReportsUnknownOutcome publishes through a node that receives the
+// request and fails before it responds.
+func TestPublishWithLostResponseReportsUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1)
 	live := strings.TrimPrefix(s.servers[0].URL, "http://")
@@ -252,14 +252,14 @@
 	defer dying.Close()
 	path, dead := writeFile(t, goodTable), strings.TrimPrefix(dying.URL, "http://")
 	code, _, errOut := runLine("--address", dead, "table", "publish", path, "--base", "0", "--id", "mine")
-	is.Equal(code, exitUnknown) // it was sent: nobody can say that it was not published
+	is.Equal(code, exitUnknown) // the request was sent and may have taken effect
 	is.True(strings.Contains(errOut, "--id mine finds out"))
 	code, out, _ := runLine("--address", live, "table", "publish", path, "--base", "0", "--id", "mine")
 	is.Equal(code, exitDone)
 	is.True(strings.Contains(out, "accepted as version 1"))
 	changed := writeFile(t, strings.Replace(goodTable, "60000", "70000", 1))
 	code, out, _ = runLine("--address", dead, "--address", live, "table", "publish", changed, "--base", "1")
-	is.Equal(code, exitDone) // the second node tells what became of it
+	is.Equal(code, exitDone) // the second node reports the outcome
 	is.True(strings.Contains(out, "accepted as version 2"))
 	is.Equal(len(s.log.Records("table")), 2)
 }
@@ -289,7 +289,7 @@
 	is.True(strings.Contains(errOut, "there is no program nothing"))
 	_, out, _ = s.ctl("program", "cancel", "p-quito-1")
 	is.True(strings.Contains(out, "cancelled"))
-	_, out, _ = s.ctl("explain", "p-quito-2", "1") // decided at the other node
+	_, out, _ = s.ctl("explain", "p-quito-2", "1") // the decision was made at the other node
 	is.True(strings.Contains(out, "longest cached prefix") && strings.Contains(out, "0.250 s"))
 	code, _, _ = s.ctl("explain", "p-quito-9", "1")
 	is.Equal(code, exitNotFound)
--- a/cmd/stepseamctl/nodes.go
+++ b/cmd/stepseamctl/nodes.go
@@ -8,7 +8,8 @@
 	"stepseam.example/stepseam/internal/nodestatus"
 )
 
-// nodesCommand shows what a node of a platform knows, from whom, and what it does for others.
+// nodesCommand shows a platform node's view of the store, the sources of its topics, and its
+// roles for other nodes.
 type nodesCommand struct{}
 
 func (c *nodesCommand) run(ctx context.Context, s *session) error {
@@ -21,15 +22,15 @@
 
 func writeNode(w io.Writer, status nodestatus.Status) {
 	fmt.Fprintf(w, "node %s in %s\n\n", status.Node, status.Zone)
-	cells(w, "MEMBERS", "CORE/1000", "PARTITIONS", "REPLICAS KEPT", "VERSION", "REPLICAS")
-	cells(w, status.Members, status.Millicores, len(status.Partitions), status.ReplicasKept, status.Version, status.Replicas)
+	writeRow(w, "MEMBERS", "CORE/1000", "PARTITIONS", "REPLICAS KEPT", "VERSION", "REPLICAS")
+	writeRow(w, status.Members, status.Millicores, len(status.Partitions), status.ReplicasKept, status.Version, status.Replicas)
 	fmt.Fprintf(w, "\nwhat it knows of the store\n\n")
-	cells(w, "TOPIC", "FROM", "TIER", "POSITION", "KEYS", "AGE MS")
+	writeRow(w, "TOPIC", "FROM", "TIER", "POSITION", "KEYS", "AGE MS")
 	for _, topic := range status.Topics {
 		from := topic.From
 		if topic.Reads {
 			from = "the store"
 		}
-		cells(w, topic.Topic, from, topic.Tier, topic.Position, topic.Keys, topic.AgeMs)
+		writeRow(w, topic.Topic, from, topic.Tier, topic.Position, topic.Keys, topic.AgeMs)
 	}
 }
--- a/cmd/stepseamctl/nodes_test.go
+++ b/cmd/stepseamctl/nodes_test.go
@@ -11,7 +11,7 @@
 	"stepseam.example/stepseam/internal/nodestatus"
 )
 
-func TestNodesShowWhatTheyKnowAndFromWhom(t *testing.T) {
+func TestNodesPrintsTopicsAndTheirSources(t *testing.T) {
 	is := is.New(t)
 	status := nodestatus.Status{
 		Node: "n1", Zone: "z1", Members: 984, Millicores: 192, Partitions: []int{3, 17}, ReplicasKept: 51, Version: 40, Replicas: 9990,
@@ -20,7 +20,7 @@
 			{Topic: "replicas", From: "10.0.0.3:8144", Tier: 2, Position: 123456, Keys: 9990, AgeMs: 733},
 		},
 	}
-	ctl := ctlOfStatus(t, "/v1/node", &status)
+	ctl := ctlForStatus(t, "/v1/node", &status)
 	shown := ctl("nodes")
 	for _, part := range []string{"node n1 in z1", "984", "the store", "10.0.0.3:8144", "733", "9990"} {
 		is.True(strings.Contains(shown, part))
--- a/cmd/stepseamctl/output.go
+++ b/cmd/stepseamctl/output.go
@@ -15,7 +15,7 @@
 	formatJSON  = "json"
 )
 
-// session is what a subcommand works with.
+// session holds the client and the streams of a subcommand.
 type session struct {
 	client *client
 	in     io.Reader
@@ -24,8 +24,8 @@
 	format string
 }
 
-// print writes document as JSON, or has asTable write it for people.
-func (s *session) print(document any, asTable func(w io.Writer)) error {
+// print writes document as JSON, or calls writeTable for the table format.
+func (s *session) print(document any, writeTable func(w io.Writer)) error {
 	if s.format == formatJSON {
 		encoder := json.NewEncoder(s.out)
 		encoder.SetIndent("", "  ")
@@ -35,15 +35,15 @@
 		return nil
 	}
 	writer := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	asTable(writer)
+	writeTable(writer)
 	if err := writer.Flush(); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
 	return nil
 }
 
-// cells writes one row of aligned columns.
-func cells(w io.Writer, values ...any) {
+// writeRow writes one tab-separated row, with a dash for each empty value.
+func writeRow(w io.Writer, values ...any) {
 	texts := make([]string, len(values))
 	for i, value := range values {
 		texts[i] = fmt.Sprint(value)
--- a/cmd/stepseamctl/program.go
+++ b/cmd/stepseamctl/program.go
@@ -15,7 +15,7 @@
 	"stepseam.example/stepseam/internal/operator"
 )
 
-// programCommand groups what is done with programs.
+// programCommand groups the subcommands for programs.
 type programCommand struct {
 	Show   *programShowCommand   `arg:"subcommand:show" help:"show one program"`
 	List   *programListCommand   `arg:"subcommand:list" help:"list the latest programs of the site"`
@@ -68,25 +68,25 @@
 }
 
 func writeProgram(w io.Writer, program api.Program) {
-	cells(w, "program", program.ID)
-	cells(w, "tenant", program.Tenant)
-	cells(w, "class", program.Class)
-	cells(w, "state", program.State)
-	cells(w, "created", program.Created.Format(time.RFC3339))
-	cells(w, "budget", fmt.Sprintf("%d tokens: %d spent, %d reserved", program.Budget, program.Spent, program.Reserved))
-	cells(w, "calls", program.Calls)
+	writeRow(w, "program", program.ID)
+	writeRow(w, "tenant", program.Tenant)
+	writeRow(w, "class", program.Class)
+	writeRow(w, "state", program.State)
+	writeRow(w, "created", program.Created.Format(time.RFC3339))
+	writeRow(w, "budget", fmt.Sprintf("%d tokens: %d spent, %d reserved", program.Budget, program.Spent, program.Reserved))
+	writeRow(w, "calls", program.Calls)
 	branches := make([]string, 0, len(program.Branches))
 	for _, branch := range slices.Sorted(maps.Keys(program.Branches)) {
 		branches = append(branches, fmt.Sprintf("%s to %d", branch, program.Branches[branch]))
 	}
-	cells(w, "branches", strings.Join(branches, ", "))
-	cells(w, "owner", fmt.Sprintf("%s (shard %d, epoch %d)", program.Owner, program.Shard, program.Epoch))
+	writeRow(w, "branches", strings.Join(branches, ", "))
+	writeRow(w, "owner", fmt.Sprintf("%s (shard %d, epoch %d)", program.Owner, program.Shard, program.Epoch))
 }
 
 func writePrograms(w io.Writer, list operator.ProgramList) {
-	cells(w, "PROGRAM", "TENANT", "CLASS", "STATE", "CREATED", "SPENT", "BUDGET", "CALLS", "OWNER")
+	writeRow(w, "PROGRAM", "TENANT", "CLASS", "STATE", "CREATED", "SPENT", "BUDGET", "CALLS", "OWNER")
 	for _, p := range list.Programs {
-		cells(w, p.ID, p.Tenant, p.Class, p.State, p.Created.Format(time.RFC3339), p.Spent, p.Budget, p.Calls, p.Owner)
+		writeRow(w, p.ID, p.Tenant, p.Class, p.State, p.Created.Format(time.RFC3339), p.Spent, p.Budget, p.Calls, p.Owner)
 	}
 	if list.Truncated {
 		fmt.Fprintln(w, "there are more; raise --limit or narrow the selection")
--- a/cmd/stepseamctl/status.go
+++ b/cmd/stepseamctl/status.go
@@ -9,7 +9,7 @@
 	"stepseam.example/stepseam/internal/operator"
 )
 
-// statusCommand shows the site.
+// statusCommand shows the state of the site.
 type statusCommand struct{}
 
 func (c *statusCommand) run(ctx context.Context, s *session) error {
@@ -23,14 +23,14 @@
 func writeStatus(w io.Writer, site operator.SiteStatus) {
 	fmt.Fprintf(w, "site as seen by %s: %d node(s), %d of %d shards owned, %d back end(s)\n\n",
 		site.Node, len(site.Nodes), site.ShardsOwned, site.ShardCount, len(site.Backends))
-	cells(w, "NODE", "ZONE", "MEMBERSHIP", "READY", "TABLE", "SHARDS", "REMARKS")
+	writeRow(w, "NODE", "ZONE", "MEMBERSHIP", "READY", "TABLE", "SHARDS", "REMARKS")
 	for _, node := range site.Nodes {
-		cells(w, node.Name, node.Zone, node.Membership, readyOf(node), node.TableInForce, node.Shards, remarksOf(node))
+		writeRow(w, node.Name, node.Zone, node.Membership, readyOf(node), node.TableInForce, node.Shards, remarksOf(node))
 	}
 	fmt.Fprintln(w)
-	cells(w, "BACK END", "ROLE", "SERVICE", "ZONE", "STATE", "RUNNING", "WAITING", "CACHE", "MODELS")
+	writeRow(w, "BACK END", "ROLE", "SERVICE", "ZONE", "STATE", "RUNNING", "WAITING", "CACHE", "MODELS")
 	for _, backend := range site.Backends {
-		cells(w, backend.Name, backend.Role, backend.Service, backend.Zone, backend.State,
+		writeRow(w, backend.Name, backend.Role, backend.Service, backend.Zone, backend.State,
 			backend.Running, backend.Waiting, cacheOf(backend), strings.Join(backend.Models, " "))
 	}
 }
@@ -51,7 +51,7 @@
 		remarks = append(remarks, "did not answer; figures are what membership last heard")
 	}
 	if node.LogFailure != "" {
-		remarks = append(remarks, "log cannot be followed: "+clip(node.LogFailure))
+		remarks = append(remarks, "log cannot be followed: "+truncate(node.LogFailure))
 	}
 	if node.TableKnown > node.TableInForce {
 		remarks = append(remarks, fmt.Sprintf("knows version %d", node.TableKnown))
@@ -59,14 +59,14 @@
 	return strings.Join(remarks, "; ")
 }
 
-// clip shortens an error for a table cell; --output json has it whole.
-func clip(text string) string {
-	const most = 60
-	letters := []rune(text)
-	if len(letters) <= most {
+// truncate shortens an error for a table cell. The JSON output has the full text.
+func truncate(text string) string {
+	const maxRunes = 60
+	runes := []rune(text)
+	if len(runes) <= maxRunes {
 		return text
 	}
-	return string(letters[:most]) + "…"
+	return string(runes[:maxRunes]) + "…"
 }
 
 func cacheOf(backend operator.BackendStatus) string {
--- a/cmd/stepseamctl/status_test.go
+++ b/cmd/stepseamctl/status_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// ctlOfStatus returns what runs stepseamctl against a node that answers path, and nothing
-// else, with the status, encoded at each request. It must succeed and returns its output.
-func ctlOfStatus(t *testing.T, path string, status any) func(more ...string) string {
+// ctlForStatus returns a function that runs stepseamctl against a server which returns status
+// as JSON for path. The function requires success and returns the output.
+func ctlForStatus(t *testing.T, path string, status any) func(more ...string) string {
 	t.Helper()
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/cmd/stepseamctl/table.go
+++ b/cmd/stepseamctl/table.go
@@ -1,6 +1,6 @@
 package main
 
-// tableCommand groups what is done with the table.
+// tableCommand groups the subcommands for the table.
 type tableCommand struct {
 	Check   *tableCheckCommand   `arg:"subcommand:check" help:"report every finding of a table file with row and column"`
 	Diff    *tableDiffCommand    `arg:"subcommand:diff" help:"show what a table file would change"`
--- a/cmd/stepseamctl/table_check.go
+++ b/cmd/stepseamctl/table_check.go
@@ -11,13 +11,13 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// tableCheckCommand checks a file; it needs no node.
+// tableCheckCommand checks a table file without a node.
 type tableCheckCommand struct {
 	File string `arg:"positional,required" help:"CSV file, or - for standard input"`
 }
 
-// checked is the JSON document of a check.
-type checked struct {
+// checkResult is the JSON output of table check.
+type checkResult struct {
 	File     string        `json:"file"`
 	Valid    bool          `json:"valid"`
 	Models   int           `json:"models"`
@@ -32,7 +32,7 @@
 		return err
 	}
 	parsed, err := table.Parse(content)
-	result := checked{File: c.File, Valid: err == nil, Findings: findingsOf(err)}
+	result := checkResult{File: c.File, Valid: err == nil, Findings: findingsOf(err)}
 	if err == nil {
 		result.Models, result.Adapters, result.Classes = len(parsed.Models), len(parsed.Adapters), len(parsed.Classes)
 	}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (c checked) write(w io.Writer) {
+func (c checkResult) write(w io.Writer) {
 	for _, finding := range c.Findings {
 		fmt.Fprintf(w, "%s: %s: %s\n", c.File, finding.Place, finding.Message)
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-// findingsOf returns the findings of an error of table.Parse.
+// findingsOf returns the findings in an error of table.Parse.
 func findingsOf(err error) []api.Finding {
 	var invalid *table.InvalidError
 	if !errors.As(err, &invalid) {
@@ -66,7 +66,7 @@
 	return operator.Findings(invalid)
 }
 
-// parseFile reads a table file; findings come as one failure.
+// parseFile reads and parses a table file. All findings are joined in one failure.
 func (s *session) parseFile(name string) (*table.Table, []byte, error) {
 	content, err := s.readFile(name)
 	if err != nil {
--- a/cmd/stepseamctl/table_diff.go
+++ b/cmd/stepseamctl/table_diff.go
@@ -9,16 +9,16 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// tableDiffCommand compares a file with a version or with another file.
+// tableDiffCommand compares a table file with a version or with another file.
 type tableDiffCommand struct {
 	File    string        `arg:"positional,required" help:"CSV file, or - for standard input"`
 	Against string        `arg:"--against" placeholder:"FILE" help:"an older CSV file; by default the version in force"`
 	Version table.Version `arg:"--version" help:"an accepted version instead of the one in force"`
 }
 
-// difference is the JSON document of a comparison.
-type difference struct {
-	// From names what the file was compared with.
+// diffResult is the JSON output of table diff.
+type diffResult struct {
+	// From is the file or version that the file was compared with.
 	From    string         `json:"from"`
 	To      string         `json:"to"`
 	Changes []table.Change `json:"changes"`
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	result := difference{To: c.File}
+	result := diffResult{To: c.File}
 	var older *table.Table
 	if c.Against != "" {
 		result.From = c.Against
@@ -44,7 +44,7 @@
 	return s.print(result, func(w io.Writer) { result.write(w) })
 }
 
-// fetchTable returns an accepted version and its name; 0 is the one in force.
+// fetchTable returns an accepted version and its name. Version 0 means the one in force.
 func (s *session) fetchTable(ctx context.Context, version table.Version) (*table.Table, string, error) {
 	var shown operator.Table
 	if err := s.client.get(ctx, versionPath(version), &shown); err != nil {
@@ -57,13 +57,13 @@
 	return parsed, fmt.Sprintf("version %d", shown.Version.Version), nil
 }
 
-func (d difference) write(w io.Writer) {
+func (d diffResult) write(w io.Writer) {
 	if len(d.Changes) == 0 {
 		fmt.Fprintf(w, "no difference between %s and %s\n", d.From, d.To)
 		return
 	}
-	cells(w, "CHANGE", "KIND", "NAME", "COLUMN", "OLD", "NEW")
+	writeRow(w, "CHANGE", "KIND", "NAME", "COLUMN", "OLD", "NEW")
 	for _, change := range d.Changes {
-		cells(w, change.Action, change.Kind, change.Name, change.Column, change.Old, change.New)
+		writeRow(w, change.Action, change.Kind, change.Name, change.Column, change.Old, change.New)
 	}
 }
--- a/cmd/stepseamctl/table_history.go
+++ b/cmd/stepseamctl/table_history.go
@@ -10,12 +10,12 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// tableHistoryCommand lists publications.
+// tableHistoryCommand lists the last publications.
 type tableHistoryCommand struct {
 	Limit int `arg:"--limit" default:"20" help:"how many of the last ones to show"`
 }
 
-// history is the JSON document of a list of publications, oldest first.
+// history is the JSON output of table history, oldest first.
 type history struct {
 	Versions []operator.Version `json:"versions"`
 }
@@ -29,9 +29,9 @@
 		shown.Versions = shown.Versions[len(shown.Versions)-c.Limit:]
 	}
 	return s.print(shown, func(w io.Writer) {
-		cells(w, "PUBLISHED", "BASE", "OUTCOME", "AUTHOR", "NOTE", "ID")
+		writeRow(w, "PUBLISHED", "BASE", "OUTCOME", "AUTHOR", "NOTE", "ID")
 		for _, version := range shown.Versions {
-			cells(w, version.Published.Format(time.RFC3339), version.Base, outcomeOf(version), version.Author, version.Note, version.ID)
+			writeRow(w, version.Published.Format(time.RFC3339), version.Base, outcomeOf(version), version.Author, version.Note, version.ID)
 		}
 	})
 }
--- a/cmd/stepseamctl/table_publish.go
+++ b/cmd/stepseamctl/table_publish.go
@@ -17,7 +17,7 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// tablePublishCommand publishes a file.
+// tablePublishCommand publishes a table file.
 type tablePublishCommand struct {
 	File        string        `arg:"positional,required" help:"CSV file, or - for standard input"`
 	Base        string        `arg:"--base,required" help:"version that the file was made from; 0 for the first, current for whatever is in force now"`
@@ -28,13 +28,13 @@
 	WaitTimeout time.Duration `arg:"--wait-timeout" default:"30s" help:"how long to wait at most"`
 }
 
-// published is the JSON document of a publication.
-type published struct {
+// publishResult is the JSON output of table publish.
+type publishResult struct {
 	operator.Version
-	// InForceOn counts the nodes that have the version or a newer one, Nodes all.
+	// InForceOn is the number of nodes with this version or a newer one, out of Nodes.
 	InForceOn int `json:"in_force_on,omitempty"`
 	Nodes     int `json:"nodes,omitempty"`
-	// WaitedSeconds is how long it took until all had it.
+	// WaitedSeconds is the time until all nodes had the version.
 	WaitedSeconds float64 `json:"waited_seconds,omitempty"`
 }
 
@@ -47,17 +47,17 @@
 	if err != nil {
 		return err
 	}
-	wanted := operator.Publication{
+	request := operator.Publication{
 		ID: cmp.Or(c.ID, uuid.NewString()), Repeated: c.ID != "", Base: base,
 		Author: cmp.Or(c.Author, "unnamed"), Note: c.Note, CSV: string(content),
 	}
-	result := published{}
-	err = s.client.ask(ctx, http.MethodPost, "/v1/table/versions", func(repeated bool) any {
-		wanted.Repeated = wanted.Repeated || repeated
-		return wanted
+	result := publishResult{}
+	err = s.client.send(ctx, http.MethodPost, "/v1/table/versions", func(repeated bool) any {
+		request.Repeated = request.Repeated || repeated
+		return request
 	}, &result.Version)
 	if err != nil {
-		return c.explain(err, wanted.ID)
+		return c.addPublicationID(err, request.ID)
 	}
 	var waitErr error
 	if c.Wait {
@@ -67,9 +67,9 @@
 	return cmp.Or(waitErr, printErr)
 }
 
-// explain adds the id to an outcome that is not known. A request without an
-// answer may have taken effect.
-func (c *tablePublishCommand) explain(err error, id string) error {
+// addPublicationID adds the publication's id to the advice of a failure whose outcome is
+// unknown. A request that was sent and got no response may have taken effect.
+func (c *tablePublishCommand) addPublicationID(err error, id string) error {
 	var known *failure
 	if !errors.As(err, &known) {
 		return err
@@ -105,11 +105,11 @@
 	return newest, nil
 }
 
-// waitInterval is the time between two looks at the nodes.
+// waitInterval is the time between two polls of the status.
 const waitInterval = 250 * time.Millisecond
 
-// await watches the version come into force on all nodes that are members.
-func (c *tablePublishCommand) await(ctx context.Context, s *session, result *published) error {
+// await polls the status until the version is in force on all members.
+func (c *tablePublishCommand) await(ctx context.Context, s *session, result *publishResult) error {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.WaitTimeout)
 	defer cancel()
@@ -147,7 +147,7 @@
 	return behind
 }
 
-func (p published) write(w io.Writer) {
+func (p publishResult) write(w io.Writer) {
 	fmt.Fprintf(w, "accepted as version %d on base %d (id %s)\n", p.Version.Version, p.Base, p.ID)
 	if p.Nodes > 0 {
 		fmt.Fprintf(w, "in force on %d of %d node(s) after %.2f s\n", p.InForceOn, p.Nodes, p.WaitedSeconds)
--- a/cmd/stepseamctl/table_show.go
+++ b/cmd/stepseamctl/table_show.go
@@ -10,7 +10,7 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// tableShowCommand shows one accepted version.
+// tableShowCommand shows an accepted version of the table.
 type tableShowCommand struct {
 	Version table.Version `arg:"--version" help:"the version to show; by default the one in force at the node"`
 	CSV     bool          `arg:"--csv" help:"only the CSV, as its author wrote it"`
@@ -33,13 +33,13 @@
 		return err
 	}
 	return s.print(shown, func(w io.Writer) {
-		cells(w, "version", shown.Version.Version)
-		cells(w, "base", shown.Base)
-		cells(w, "author", shown.Author)
-		cells(w, "note", shown.Note)
-		cells(w, "published", shown.Published.Format(time.RFC3339))
-		cells(w, "id", shown.ID)
-		cells(w, "in force here", shown.InForce)
+		writeRow(w, "version", shown.Version.Version)
+		writeRow(w, "base", shown.Base)
+		writeRow(w, "author", shown.Author)
+		writeRow(w, "note", shown.Note)
+		writeRow(w, "published", shown.Published.Format(time.RFC3339))
+		writeRow(w, "id", shown.ID)
+		writeRow(w, "in force here", shown.InForce)
 		fmt.Fprintf(w, "\n%s", shown.CSV)
 	})
 }
--- a/cmd/stepseamctl/tenants.go
+++ b/cmd/stepseamctl/tenants.go
@@ -8,7 +8,7 @@
 	"stepseam.example/stepseam/internal/limits"
 )
 
-// tenantsCommand shows what a node of a platform knows of tenants and their limits.
+// tenantsCommand shows the tenants and their limits as seen by a platform node.
 type tenantsCommand struct{}
 
 func (c *tenantsCommand) run(ctx context.Context, s *session) error {
@@ -20,19 +20,19 @@
 }
 
 func writeTenants(w io.Writer, status limits.TenantsStatus) {
-	fmt.Fprintf(w, "tenants as seen by %s: configuration %d, %s\n\n", status.Node, status.Version, ageOf(status))
-	cells(w, "TENANT", "RATE", "BURST", "ALLOCATOR", "PACE HERE", "REFUSED HERE", "LEFT")
+	fmt.Fprintf(w, "tenants as seen by %s: configuration %d, %s\n\n", status.Node, status.Version, configurationAge(status))
+	writeRow(w, "TENANT", "RATE", "BURST", "ALLOCATOR", "PACE HERE", "REFUSED HERE", "LEFT")
 	for _, tenant := range status.Tenants {
 		left := "-"
 		if tenant.Remaining != nil {
 			left = fmt.Sprintf("%.1f", *tenant.Remaining)
 		}
-		cells(w, tenant.Name, tenant.RatePerSecond, tenant.Burst, tenant.Allocator, fmt.Sprintf("%.1f", tenant.RequestRate), tenant.Refused, left)
+		writeRow(w, tenant.Name, tenant.RatePerSecond, tenant.Burst, tenant.Allocator, fmt.Sprintf("%.1f", tenant.RequestRate), tenant.Refused, left)
 	}
 }
 
-// ageOf tells how old the configuration may be.
-func ageOf(status limits.TenantsStatus) string {
+// configurationAge describes the age of the node's configuration.
+func configurationAge(status limits.TenantsStatus) string {
 	age := fmt.Sprintf("the newest %d ms ago", status.ConfigurationAgeMs)
 	if status.ConfigurationAgeMs < 0 {
 		age = "not known to be the newest"
--- a/cmd/stepseamctl/zones.go
+++ b/cmd/stepseamctl/zones.go
@@ -9,7 +9,7 @@
 	"stepseam.example/stepseam/internal/zonestatus"
 )
 
-// zonesCommand shows what a node of a platform knows of zones and cold replicas.
+// zonesCommand shows the zones and cold replicas as seen by a platform node.
 type zonesCommand struct{}
 
 func (c *zonesCommand) run(ctx context.Context, s *session) error {
@@ -22,18 +22,18 @@
 
 func writeZones(w io.Writer, status zonestatus.Status) {
 	fmt.Fprintf(w, "zones as seen by %s\n\n", status.Node)
-	cells(w, "ZONE", "REGION", "REPLICAS", "SLOTS", "EVACUATED MS", "LAST SEND MS AGO")
+	writeRow(w, "ZONE", "REGION", "REPLICAS", "SLOTS", "EVACUATED MS", "LAST SEND MS AGO")
 	for _, zone := range status.Zones {
-		cells(w, zone.Name, zone.Region, zone.Replicas, zone.Slots, orDash(zone.EvacuatedMs), orDash(zone.LastSendMs))
+		writeRow(w, zone.Name, zone.Region, zone.Replicas, zone.Slots, orDash(zone.EvacuatedMs), orDash(zone.LastSendMs))
 	}
 	fmt.Fprintf(w, "\ncold replicas\n\n")
-	cells(w, "REPLICA", "SERVICE", "ZONE", "LEFT MS", "SENDER", "EACH", "PERIOD MS", "SENT HERE")
+	writeRow(w, "REPLICA", "SERVICE", "ZONE", "LEFT MS", "SENDER", "EACH", "PERIOD MS", "SENT HERE")
 	for _, cold := range status.Cold {
-		cells(w, cold.Instance, cold.Service, cold.Zone, cold.LeftMs, cold.Sender, cold.Each, cold.PeriodMs, cold.Sent)
+		writeRow(w, cold.Instance, cold.Service, cold.Zone, cold.LeftMs, cold.Sender, cold.Each, cold.PeriodMs, cold.Sent)
 	}
 }
 
-// orDash shows a number that may be missing.
+// orDash formats an optional number, with a dash for nil.
 func orDash(number *int64) string {
 	if number == nil {
 		return "-"
--- a/cmd/stepseamctl/zones_test.go
+++ b/cmd/stepseamctl/zones_test.go
@@ -11,7 +11,7 @@
 	"stepseam.example/stepseam/internal/zonestatus"
 )
 
-func TestZonesAndColdReplicasAreShown(t *testing.T) {
+func TestZonesAndColdReplicasArePrinted(t *testing.T) {
 	is := is.New(t)
 	evacuated, sent := int64(4210), int64(4400)
 	status := zonestatus.Status{
@@ -19,7 +19,7 @@
 		Zones: []zonestatus.Zone{{Name: "z1", Region: "r1", Replicas: 5, Slots: 40, EvacuatedMs: &evacuated, LastSendMs: &sent}, {Name: "z2", Region: "r1", Replicas: 4, Slots: 32}},
 		Cold:  []coldstart.Status{{Instance: "i-7", Service: "engines", Zone: "z2", LeftMs: 1700, Sender: true, Each: 2, PeriodMs: 1000, Sent: 3}},
 	}
-	ctl := ctlOfStatus(t, "/v1/zones", &status)
+	ctl := ctlForStatus(t, "/v1/zones", &status)
 	shown := ctl("zones")
 	for _, part := range []string{"zones as seen by n1", "4210", "4400", "i-7", "1700"} {
 		is.True(strings.Contains(shown, part))
--- a/cmd/stepseamd/main.go
+++ b/cmd/stepseamd/main.go
@@ -1,11 +1,10 @@
 // Command stepseamd is a stepseam node.
 //
-// With the subcommand platform it serves routed requests on the users' platform,
-// with the settings file that the platform names. Without, it is a node of a site
-// of its own:
-// it reads its settings from a YAML file and flags, checks them in full and
-// reports all findings before anything starts, serves, and stops as planned on
-// SIGTERM or SIGINT or when an operator drains it.
+// With the subcommand platform it serves routed requests on the users' platform and reads
+// the settings file that the platform's environment names. Without a subcommand it is a
+// node of its own site. It reads its settings from a YAML file and from flags, reports all
+// findings before it starts, and stops as planned on SIGTERM or SIGINT, or when an operator
+// drains it.
 //
 // Exit codes: 0 after a planned stop, 1 if serving or stopping failed, 2 if the
 // settings have findings.
@@ -39,7 +38,7 @@
 	Platform *platformCommand `arg:"subcommand:platform" help:"serve routed requests on the users' platform"`
 }
 
-// platformCommand has no flags: the platform's settings file holds all.
+// platformCommand has no flags. All settings are in the platform's settings file.
 type platformCommand struct{}
 
 func main() {
@@ -89,7 +88,8 @@
 	return daemon.Run(ctx)
 }
 
-// newLogger writes to standard error. The settings' check has accepted level and format.
+// newLogger returns a logger to standard error. The level and the format were checked with
+// the settings.
 func newLogger(logging settings.Logging) *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(logging.Level)); err != nil {
