--- a/internal/operator/message.go
+++ b/internal/operator/message.go
@@ -11,7 +11,7 @@
 	"stepseam.example/stepseam/internal/wire/apiwire"
 )
 
-// The kinds of messages of this package.
+// The message kinds of this package.
 const (
 	kindStatusRequest = peer.KindRangeOperator + 1 + iota
 	kindStatusReply
@@ -23,14 +23,14 @@
 	kindDrainReply
 )
 
-// The smallest encoded sizes of list elements.
+// The minimum encoded sizes of list elements, which bound the length of decoded lists.
 const (
 	smallestText      = 4
 	smallestCandidate = 16
 	smallestProgram   = 64
 )
 
-// statusRequest asks a node for its NodeStatus.
+// statusRequest queries a node for its NodeStatus.
 type statusRequest struct{}
 
 func (*statusRequest) Kind() peer.Kind      { return kindStatusRequest }
@@ -80,7 +80,7 @@
 	return texts
 }
 
-// selection says which programs are wanted; empty fields take all.
+// selection is a filter for programs. Empty fields match all.
 type selection struct {
 	tenant string
 	class  string
@@ -94,7 +94,7 @@
 		(s.state == "" || s.state == p.State)
 }
 
-// listRequest asks a node for programs of its own shards.
+// listRequest queries a node for programs of the shards it owns.
 type listRequest struct{ selection selection }
 
 func (*listRequest) Kind() peer.Kind { return kindListRequest }
@@ -133,7 +133,7 @@
 	}
 }
 
-// explainRequest asks a node for its last decision on a call.
+// explainRequest queries a node for its last decision on a call.
 type explainRequest struct{ call identity.CallID }
 
 func (*explainRequest) Kind() peer.Kind { return kindExplainRequest }
@@ -194,7 +194,7 @@
 	m.explanation = x
 }
 
-// drainRequest asks a node to begin its planned stop.
+// drainRequest makes a node start its planned stop.
 type drainRequest struct{}
 
 func (*drainRequest) Kind() peer.Kind      { return kindDrainRequest }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -20,7 +20,7 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// Tables is what the operators' face needs of the table controller.
+// Tables is the table controller as used by Operator.
 type Tables interface {
 	State() tables.State
 	History() []table.Entry
@@ -28,14 +28,14 @@
 	Publish(ctx context.Context, publication tables.Publication) (table.Entry, error)
 }
 
-// Programs is what it needs of the programs of the whole site.
+// Programs gives access to all programs of the site.
 type Programs interface {
 	Get(ctx context.Context, program identity.ProgramID) (api.Program, error)
 	Cancel(ctx context.Context, program identity.ProgramID) (api.Program, error)
 }
 
-// Config holds what an Operator works with. Self, Board, Peers, Tables,
-// Programs and Registry must be set.
+// Config configures an Operator. Self, Board, Peers, Tables, Programs and Registry are
+// required.
 type Config struct {
 	Self       identity.Node
 	ShardCount int
@@ -45,33 +45,34 @@
 	Programs   Programs
 	// Registry collects the node's metrics.
 	Registry *prometheus.Registry
-	// Explain returns the last decision that this node made on a call.
+	// Explain returns the last decision of this node on a call.
 	Explain func(call identity.CallID) (serving.Explanation, bool)
-	// OwnPrograms returns all programs of the shards that this node owns.
+	// OwnPrograms returns the programs of all shards that this node owns.
 	OwnPrograms func() []api.Program
-	// OwnShards returns how many shards this node owns.
+	// OwnShards returns the number of shards that this node owns.
 	OwnShards func() int
-	// Drain begins this node's planned stop and returns at once.
+	// Drain starts this node's planned stop and returns without waiting for it. If it is
+	// nil, drain requests fail.
 	Drain func()
-	// TableBytes is the largest table file; 0 takes DefaultTableBytes.
+	// TableBytes is the maximum size of a table file; 0 means DefaultTableBytes.
 	TableBytes int64
 	Logger     *slog.Logger
 }
 
-// DefaultTableBytes is the largest table file unless settings say otherwise.
+// DefaultTableBytes is the default maximum size of a table file.
 const DefaultTableBytes = 4 << 20
 
-// bodyOverhead is what a publication's JSON may add to its table: every byte of
-// it escaped, and the other fields.
+// bodyGrowth and bodyOverhead bound the size of a publication's JSON: every byte of the table
+// may be escaped, and there are other fields.
 const (
 	bodyGrowth   = 2
 	bodyOverhead = 64 << 10
 )
 
-// Operator is the operators' face of one node. It is safe for concurrent use.
+// Operator serves the operators' API of one node. It is safe for concurrent use.
 type Operator struct{ config Config }
 
-// New returns the operators' face and adds its messages to registry.
+// New returns an Operator and registers its messages and handlers in registry.
 func New(config Config, registry *peer.Registry) *Operator {
 	if config.Logger == nil {
 		config.Logger = slog.New(slog.DiscardHandler)
@@ -101,7 +102,7 @@
 	mux.HandleFunc("GET /readyz", o.readiness)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(o.config.Registry, promhttp.HandlerOpts{}))
 	description := huma.DefaultConfig("stepseam operators' interface", "1")
-	description.CreateHooks = nil // no schema links inside the documents
+	description.CreateHooks = nil // adds no schema links to the documents
 	description.Transformers = []huma.Transformer{problem.Transform}
 	interfaces := humago.New(mux, description)
 	o.tableEndpoints(interfaces)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -21,7 +21,7 @@
 	"stepseam.example/stepseam/internal/table"
 )
 
-// outcomes is a table controller that answers every publication alike.
+// outcomes is a fake table controller that returns the same outcome for every publication.
 type outcomes struct{ err error }
 
 func (outcomes) State() tables.State    { return tables.State{} }
@@ -35,7 +35,7 @@
 	return table.Entry{ID: p.ID, Base: p.Base, Version: p.Base + 1, Status: table.Accepted}, o.err
 }
 
-// noPrograms is a site whose shards have no owner.
+// noPrograms is a fake of a site whose shards have no owner.
 type noPrograms struct{}
 
 func (noPrograms) Get(context.Context, identity.ProgramID) (api.Program, error) {
@@ -46,24 +46,24 @@
 	return n.Get(ctx, id)
 }
 
-func serve(t *testing.T, publishes error) *httptest.Server {
-	face := operator.New(operator.Config{
-		Self: identity.Node{Name: "n1"}, Board: blackboard.NewBoard(), Tables: outcomes{err: publishes}, Programs: noPrograms{},
+func serve(t *testing.T, publishErr error) *httptest.Server {
+	operators := operator.New(operator.Config{
+		Self: identity.Node{Name: "n1"}, Board: blackboard.NewBoard(), Tables: outcomes{err: publishErr}, Programs: noPrograms{},
 		Registry: prometheus.NewRegistry(), TableBytes: 1024,
 	}, peer.NewRegistry())
-	server := httptest.NewServer(face.Handler())
+	server := httptest.NewServer(operators.Handler())
 	t.Cleanup(server.Close)
 	return server
 }
 
 func request(t *testing.T, method, url, body string) (*http.Response, api.Problem) {
 	t.Helper()
-	made, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
+	outgoing, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
-	made.Header.Set("Content-Type", "application/json")
-	response, err := http.DefaultClient.Do(made)
+	outgoing.Header.Set("Content-Type", "application/json")
+	response, err := http.DefaultClient.Do(outgoing)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 
 const publication = `{"id":"x","base":4,"author":"marta","csv":"kind,name"}`
 
-func TestEachOutcomeOfAPublicationHasItsCode(t *testing.T) {
+func TestPublicationOutcomesMapToCodes(t *testing.T) {
 	_, invalid := table.Parse([]byte("kind,name\nwheel,x\n"))
 	for code, c := range map[api.Code]struct {
 		err    error
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestRequestsThatAreRefused(t *testing.T) {
+func TestRejectedRequests(t *testing.T) {
 	server := serve(t, nil)
 	for name, c := range map[string]struct {
 		method, path, body string
--- a/internal/operator/programs.go
+++ b/internal/operator/programs.go
@@ -16,51 +16,51 @@
 	"stepseam.example/stepseam/internal/scheduling"
 )
 
-// refusal makes an answer of this package's own codes.
-func refusal(status int, code api.Code, format string, arguments ...any) error {
-	made := api.NewProblem(code, format, arguments...)
-	made.Status = status
-	if made.Title == "" {
-		made.Title = http.StatusText(status)
+// problemError returns a problem with a status and one of this package's codes.
+func problemError(status int, code api.Code, format string, arguments ...any) error {
+	document := api.NewProblem(code, format, arguments...)
+	document.Status = status
+	if document.Title == "" {
+		document.Title = http.StatusText(status)
 	}
-	return problem.Answer(made)
+	return problem.Answer(document)
 }
 
-// newest orders programs by their creation, the latest first.
-func newest(a, b api.Program) int {
+// newestFirst orders programs by creation time, the latest first.
+func newestFirst(a, b api.Program) int {
 	return cmp.Or(b.Created.Compare(a.Created), cmp.Compare(a.ID, b.ID))
 }
 
-func (o *Operator) ownPrograms(wanted selection) *listReply {
-	programs := lo.Filter(o.config.OwnPrograms(), func(p api.Program, _ int) bool { return wanted.matches(p) })
-	slices.SortFunc(programs, newest)
+func (o *Operator) ownPrograms(filter selection) *listReply {
+	programs := lo.Filter(o.config.OwnPrograms(), func(p api.Program, _ int) bool { return filter.matches(p) })
+	slices.SortFunc(programs, newestFirst)
 	reply := &listReply{programs: programs}
-	if wanted.limit > 0 && len(programs) > wanted.limit {
-		reply.programs, reply.truncated = programs[:wanted.limit], true
+	if filter.limit > 0 && len(programs) > filter.limit {
+		reply.programs, reply.truncated = programs[:filter.limit], true
 	}
 	return reply
 }
 
-func (o *Operator) list(ctx context.Context, wanted selection) ProgramList {
+func (o *Operator) list(ctx context.Context, filter selection) ProgramList {
 	list := ProgramList{Programs: []api.Program{}}
-	for _, answer := range o.askAll(ctx, &listRequest{selection: wanted}) {
-		reply, reached := answer.message.(*listReply)
+	for _, received := range o.queryAll(ctx, &listRequest{selection: filter}) {
+		reply, reached := received.message.(*listReply)
 		if !reached {
-			list.Unreached = append(list.Unreached, string(answer.member.Node.Name))
+			list.Unreached = append(list.Unreached, string(received.member.Node.Name))
 			continue
 		}
 		list.Programs = append(list.Programs, reply.programs...)
 		list.Truncated = list.Truncated || reply.truncated
 	}
-	slices.SortFunc(list.Programs, newest)
-	if len(list.Programs) > wanted.limit {
-		list.Programs, list.Truncated = list.Programs[:wanted.limit], true
+	slices.SortFunc(list.Programs, newestFirst)
+	if len(list.Programs) > filter.limit {
+		list.Programs, list.Truncated = list.Programs[:filter.limit], true
 	}
 	return list
 }
 
-// actions names the scheduler's actions.
-var actions = map[scheduling.Action]string{scheduling.Run: "run", scheduling.Hold: "hold", scheduling.Refuse: "refuse"}
+// actionNames are the scheduler's actions.
+var actionNames = map[scheduling.Action]string{scheduling.Run: "run", scheduling.Hold: "hold", scheduling.Refuse: "refuse"}
 
 func (o *Operator) ownExplanation(call identity.CallID) *Explanation {
 	found, known := o.config.Explain(call)
@@ -69,7 +69,7 @@
 	}
 	return &Explanation{
 		Program: string(call.Program), Branch: string(call.Branch), Sequence: uint64(call.Sequence),
-		Node: string(o.config.Self.Name), At: found.At, Attempt: found.Attempt, Action: actions[found.Decision.Action],
+		Node: string(o.config.Self.Name), At: found.At, Attempt: found.Attempt, Action: actionNames[found.Decision.Action],
 		Backend: found.Decision.Backend, Reason: found.Decision.Reason,
 		RetryAfterSeconds: found.Decision.RetryAfter.Seconds(),
 		Candidates: lo.Map(found.Decision.Candidates, func(c scheduling.Candidate, _ int) Candidate {
@@ -78,12 +78,12 @@
 	}
 }
 
-// explain asks all nodes, since a call may have been decided on by a former
-// owner, and returns the latest decision.
+// explain returns the latest decision on a call. It queries all nodes, since a former owner
+// may have made the decision.
 func (o *Operator) explain(ctx context.Context, call identity.CallID) (Explanation, error) {
 	var latest *Explanation
-	for _, answer := range o.askAll(ctx, &explainRequest{call: call}) {
-		reply, reached := answer.message.(*explainReply)
+	for _, received := range o.queryAll(ctx, &explainRequest{call: call}) {
+		reply, reached := received.message.(*explainReply)
 		if !reached || reply.explanation == nil {
 			continue
 		}
@@ -92,7 +92,7 @@
 		}
 	}
 	if latest == nil {
-		return Explanation{}, refusal(http.StatusNotFound, CodeNoExplanation,
+		return Explanation{}, problemError(http.StatusNotFound, CodeNoExplanation,
 			"no node remembers a decision on %s: it was never made, is too long ago, or its node was replaced", call)
 	}
 	return *latest, nil
@@ -115,16 +115,15 @@
 	Sequence uint64 `query:"sequence" required:"true" minimum:"1"`
 }
 
-// programTimeout bounds a question about one program, the search for its owner
-// included.
+// programTimeout bounds a request for one program, including the search for its owner.
 const programTimeout = 10 * time.Second
 
 func (o *Operator) programEndpoints(interfaces huma.API) {
 	huma.Register(interfaces, huma.Operation{
 		OperationID: "list-programs", Method: http.MethodGet, Path: "/v1/programs", Summary: "Programs of the site, the latest first",
 	}, func(ctx context.Context, input *listInput) (*documentOf[ProgramList], error) {
-		wanted := selection{tenant: input.Tenant, class: input.Class, state: api.ProgramState(input.State), limit: input.Limit}
-		return &documentOf[ProgramList]{Body: o.list(ctx, wanted)}, nil
+		filter := selection{tenant: input.Tenant, class: input.Class, state: api.ProgramState(input.State), limit: input.Limit}
+		return &documentOf[ProgramList]{Body: o.list(ctx, filter)}, nil
 	})
 	o.oneProgram(interfaces, "show-program", http.MethodGet, "/v1/programs/{id}", "One program", o.config.Programs.Get)
 	o.oneProgram(interfaces, "cancel-program", http.MethodPost, "/v1/programs/{id}/cancel", "Cancel a program", o.config.Programs.Cancel)
--- a/internal/operator/site.go
+++ b/internal/operator/site.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// askTimeout bounds one question to another node.
-	askTimeout = 2 * time.Second
-	// askConcurrency is the number of nodes that are asked at once.
-	askConcurrency = 32
+	// queryTimeout is the timeout of one query to another node.
+	queryTimeout = 2 * time.Second
+	// queryConcurrency is the maximum number of concurrent queries.
+	queryConcurrency = 32
 )
 
 // register adds this package's messages and handlers to the node's registry.
@@ -40,38 +40,38 @@
 	}
 }
 
-// handle answers another node's questions about this one.
+// handle handles another node's request about this node.
 func (o *Operator) handle(_ context.Context, request peer.Message, _ func(peer.Message) error) (peer.Message, error) {
-	switch asked := request.(type) {
+	switch request := request.(type) {
 	case *statusRequest:
 		return &statusReply{status: o.ownStatus()}, nil
 	case *listRequest:
-		return o.ownPrograms(asked.selection), nil
+		return o.ownPrograms(request.selection), nil
 	case *explainRequest:
-		return &explainReply{explanation: o.ownExplanation(asked.call)}, nil
+		return &explainReply{explanation: o.ownExplanation(request.call)}, nil
 	case *drainRequest:
 		return &drainReply{}, o.drainSelf()
 	}
 	return nil, fmt.Errorf("operator: unexpected message of kind %d", request.Kind())
 }
 
-// ask puts request to this node or another one.
-func (o *Operator) ask(ctx context.Context, member membership.Member, request peer.Message) (peer.Message, error) {
+// query sends request to a member. Requests to this node are handled locally.
+func (o *Operator) query(ctx context.Context, member membership.Member, request peer.Message) (peer.Message, error) {
 	if member.Node.Name == o.config.Self.Name {
 		return o.handle(ctx, request, nil)
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	answer, err := o.config.Peers.Call(ctx, member.Node.PeerAddress, request, nil)
+	reply, err := o.config.Peers.Call(ctx, member.Node.PeerAddress, request, nil)
 	if err != nil {
 		return nil, fmt.Errorf("operator: ask %s: %w", member.Node.Name, err)
 	}
-	return answer, nil
+	return reply, nil
 }
 
-// membersToAsk returns the nodes of the site; this node is among them even
-// before membership has begun.
-func (o *Operator) membersToAsk() []membership.Member {
+// siteMembers returns the members of the site. It includes this node even before membership
+// has started.
+func (o *Operator) siteMembers() []membership.Member {
 	members := slices.Clone(o.config.Board.Members.Load().Members)
 	own := func(m membership.Member) bool { return m.Node.Name == o.config.Self.Name }
 	if !slices.ContainsFunc(members, own) {
@@ -80,31 +80,31 @@
 	return members
 }
 
-// answerOf is what one node answered; message is nil if it was not reached.
-type answerOf struct {
+// nodeReply is the reply of one member. message is nil if it did not respond.
+type nodeReply struct {
 	member  membership.Member
 	message peer.Message
 }
 
-// askAll puts request to all nodes and returns their answers in the order of
+// queryAll sends request to all members and returns their replies in the order of
 // the members.
-func (o *Operator) askAll(ctx context.Context, request peer.Message) []answerOf {
-	members := o.membersToAsk()
-	answers := make([]answerOf, len(members))
+func (o *Operator) queryAll(ctx context.Context, request peer.Message) []nodeReply {
+	members := o.siteMembers()
+	replies := make([]nodeReply, len(members))
 	var group errgroup.Group
-	group.SetLimit(askConcurrency)
+	group.SetLimit(queryConcurrency)
 	for i, member := range members {
 		group.Go(func() error {
-			message, err := o.ask(ctx, member, request)
+			message, err := o.query(ctx, member, request)
 			if err != nil {
 				o.config.Logger.Debug("node not reached", "node", member.Node.Name, "error", err)
 			}
-			answers[i] = answerOf{member: member, message: message}
+			replies[i] = nodeReply{member: member, message: message}
 			return nil
 		})
 	}
-	_ = group.Wait() // no member's failure fails the others
-	return answers
+	_ = group.Wait() // the functions return no errors
+	return replies
 }
 
 func (o *Operator) ownStatus() NodeStatus {
@@ -117,21 +117,21 @@
 	}
 }
 
-// siteStatus asks every node for its status.
+// siteStatus queries every member for its status.
 func (o *Operator) siteStatus(ctx context.Context) SiteStatus {
 	site := SiteStatus{Node: string(o.config.Self.Name), AsOf: time.Now(), ShardCount: o.config.ShardCount}
-	for _, answer := range o.askAll(ctx, &statusRequest{}) {
+	for _, reply := range o.queryAll(ctx, &statusRequest{}) {
 		status := NodeStatus{
-			Name: string(answer.member.Node.Name), Zone: string(answer.member.Node.Zone),
-			Region: string(answer.member.Node.Region), Incarnation: uint64(answer.member.Node.Incarnation),
-			TableInForce: table.Version(answer.member.TableVersion), Shards: int(answer.member.Load),
+			Name: string(reply.member.Node.Name), Zone: string(reply.member.Node.Zone),
+			Region: string(reply.member.Node.Region), Incarnation: uint64(reply.member.Node.Incarnation),
+			TableInForce: table.Version(reply.member.TableVersion), Shards: int(reply.member.Load),
 		}
-		if reply, reached := answer.message.(*statusReply); reached {
-			status = reply.status
+		if received, reached := reply.message.(*statusReply); reached {
+			status = received.status
 			status.Reached = true
 			site.ShardsOwned += status.Shards
 		}
-		status.Membership = memberships[answer.member.Status]
+		status.Membership = membershipNames[reply.member.Status]
 		site.Nodes = append(site.Nodes, status)
 	}
 	backends := o.config.Board.Backends.Copy()
@@ -176,16 +176,16 @@
 	return nil
 }
 
-// drain begins the planned stop of the node called name.
+// drain starts the planned stop of the named node.
 func (o *Operator) drain(ctx context.Context, name string) error {
-	members := o.membersToAsk()
+	members := o.siteMembers()
 	member, found := lo.Find(members, func(m membership.Member) bool { return string(m.Node.Name) == name })
 	if !found {
 		known := lo.Map(members, func(m membership.Member, _ int) string { return string(m.Node.Name) })
-		return refusal(http.StatusNotFound, CodeUnknownNode, "there is no node %s; the members are %v", name, known)
+		return problemError(http.StatusNotFound, CodeUnknownNode, "there is no node %s; the members are %v", name, known)
 	}
-	if _, err := o.ask(ctx, member, &drainRequest{}); err != nil {
-		return refusal(http.StatusBadGateway, api.CodeInternal, "%s did not confirm, look at its status: %s", name, err)
+	if _, err := o.query(ctx, member, &drainRequest{}); err != nil {
+		return problemError(http.StatusBadGateway, api.CodeInternal, "%s did not confirm, look at its status: %s", name, err)
 	}
 	return nil
 }
--- a/internal/operator/contract.go
+++ b/internal/operator/types.go
@@ -1,8 +1,8 @@
-// Package operator is a node's face for operators: the HTTP endpoints behind
-// stepseamctl, metrics, and the health and readiness checks. What other nodes
-// know is asked over the peer protocol, so any node answers for the site.
+// Package operator serves a node's API for operators: the HTTP endpoints of stepseamctl,
+// metrics, and the health and readiness checks. A node queries the others over the peer
+// protocol, so any node serves the whole site.
 //
-// Its types are the JSON documents of that interface.
+// The exported types are the JSON documents of the API.
 package operator
 
 import (
@@ -14,8 +14,8 @@
 
 // Version is one publication of the table.
 type Version struct {
-	// Version is the accepted version; of a publication that lost, the version
-	// that won on its base.
+	// Version is the accepted version. For a publication that lost a conflict, it is the
+	// version that was accepted on the same base.
 	Version   table.Version `json:"version"`
 	Base      table.Version `json:"base"`
 	ID        string        `json:"id"`
@@ -23,24 +23,24 @@
 	Note      string        `json:"note"`
 	Published time.Time     `json:"published"`
 	Status    table.Status  `json:"status"`
-	// Reason says why a table was refused.
+	// Reason is why the table was rejected.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Table is one accepted version with its text.
+// Table is an accepted version with its content.
 type Table struct {
 	Version
-	// InForce is the version in force at the node that answers.
+	// InForce is the version in force at the responding node.
 	InForce table.Version `json:"in_force"`
-	// Known is the newest accepted version that the node knows of.
+	// Known is the newest accepted version that the node has seen.
 	Known table.Version `json:"known"`
 	CSV   string        `json:"csv"`
 }
 
-// Publication asks to publish a table.
+// Publication is a request to publish a table.
 type Publication struct {
-	// ID is unique to the publication. A client that repeats one, after an answer
-	// was lost, sends the same id and sets Repeated.
+	// ID is unique to the publication. A client that retries after a lost response sends
+	// the same id and sets Repeated.
 	ID       string        `json:"id" minLength:"1" maxLength:"128"`
 	Repeated bool          `json:"repeated,omitempty"`
 	Base     table.Version `json:"base" doc:"version that the table was made from; 0 for the first"`
@@ -49,41 +49,41 @@
 	CSV      string        `json:"csv" minLength:"1"`
 }
 
-// CodeTableUnknown is the code of a publication whose outcome is not known yet.
+// CodeTableUnknown is the code for a publication whose outcome is unknown.
 const CodeTableUnknown api.Code = "table_outcome_unknown"
 
-// CodeUnknownVersion is the code of a table version that is not remembered.
+// CodeUnknownVersion is the code for a table version that is not retained.
 const CodeUnknownVersion api.Code = "unknown_version"
 
-// CodeUnknownNode is the code of a node that is not a member.
+// CodeUnknownNode is the code for a node that is not a member.
 const CodeUnknownNode api.Code = "unknown_node"
 
-// CodeNoExplanation is the code of a call that no node remembers deciding on.
+// CodeNoExplanation is the code for a call without a recorded decision on any node.
 const CodeNoExplanation api.Code = "no_explanation"
 
-// NodeStatus is one node as it describes itself.
+// NodeStatus is the status of one node.
 type NodeStatus struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
 	Region      string `json:"region"`
 	Incarnation uint64 `json:"incarnation"`
-	// Membership is alive, suspect or leaving, as the answering node sees it.
+	// Membership is alive, suspect or leaving, as seen by the responding node.
 	Membership string `json:"membership"`
-	// Reached tells that the node answered; else the rest is what membership
-	// last heard.
+	// Reached is set if the node responded. Otherwise the other fields are the last state
+	// known from membership.
 	Reached bool `json:"reached"`
 	Ready   bool `json:"ready"`
-	// NotReady lists why the node is not ready.
+	// NotReady lists the reasons why the node is not ready.
 	NotReady     []string      `json:"not_ready,omitempty"`
 	Draining     bool          `json:"draining"`
 	TableInForce table.Version `json:"table_in_force"`
 	TableKnown   table.Version `json:"table_known"`
-	// LogFailure is why the node cannot follow the table stream; empty if it can.
+	// LogFailure is the error of reading the table stream, or empty.
 	LogFailure string `json:"log_failure,omitempty"`
 	Shards     int    `json:"shards"`
 }
 
-// BackendStatus is one back end as the answering node sees it.
+// BackendStatus is the status of one back end as seen by the responding node.
 type BackendStatus struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
@@ -98,33 +98,33 @@
 	CacheCapacityTokens int      `json:"cache_capacity_tokens"`
 	Models              []string `json:"models,omitempty"`
 	Adapters            []string `json:"adapters,omitempty"`
-	// ReportAgeSeconds is the age of the load report; below 0 there is none.
+	// ReportAgeSeconds is the age of the load report, or negative if there is none.
 	ReportAgeSeconds float64 `json:"report_age_seconds"`
 }
 
-// SiteStatus is the site as the answering node sees it.
+// SiteStatus is the status of the site as seen by the responding node.
 type SiteStatus struct {
-	// Node is the node that answers.
+	// Node is the responding node.
 	Node     string          `json:"node"`
 	AsOf     time.Time       `json:"as_of"`
 	Nodes    []NodeStatus    `json:"nodes"`
 	Backends []BackendStatus `json:"backends"`
-	// ShardCount is the site's number of shards, ShardsOwned how many the reached
-	// nodes serve.
+	// ShardCount is the number of shards of the site, and ShardsOwned the number owned by
+	// the nodes that responded.
 	ShardCount  int `json:"shard_count"`
 	ShardsOwned int `json:"shards_owned"`
 }
 
-// ProgramList is a selection of the programs of the site.
+// ProgramList is a list of programs of the site.
 type ProgramList struct {
 	Programs []api.Program `json:"programs"`
-	// Truncated tells that there are more than the limit.
+	// Truncated is set if there are more programs than the limit.
 	Truncated bool `json:"truncated"`
-	// Unreached names nodes whose programs are missing.
+	// Unreached lists the nodes that did not respond; their programs are missing.
 	Unreached []string `json:"unreached,omitempty"`
 }
 
-// Explanation is why a call went where it went.
+// Explanation is the last scheduling decision on a call.
 type Explanation struct {
 	Program  string    `json:"program"`
 	Branch   string    `json:"branch"`
@@ -140,25 +140,25 @@
 	Candidates        []Candidate `json:"candidates"`
 }
 
-// Candidate is one back end that was weighed.
+// Candidate is one back end that the decision considered.
 type Candidate struct {
 	Backend string `json:"backend"`
-	// CostSeconds is the expected time to completion.
+	// CostSeconds is the estimated time to completion.
 	CostSeconds float64 `json:"cost_seconds"`
 	Note        string  `json:"note,omitempty"`
 }
 
-// DrainRequest names the node to stop; empty is the one that is asked.
+// DrainRequest names the node to stop. An empty name means the node that gets the request.
 type DrainRequest struct {
 	Node string `json:"node,omitempty" maxLength:"64"`
 }
 
-// DrainStarted confirms that a node begins its planned stop.
+// DrainStarted confirms that a node starts its planned stop.
 type DrainStarted struct {
 	Node string `json:"node"`
 }
 
-// Readiness is the answer of /readyz.
+// Readiness is the response of /readyz.
 type Readiness struct {
 	Ready   bool     `json:"ready"`
 	Reasons []string `json:"reasons,omitempty"`
--- a/internal/operator/versions.go
+++ b/internal/operator/versions.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// showTable returns a version; 0 is the one in force here.
+// showTable returns an accepted version. Version 0 means the one in force on this node.
 func (o *Operator) showTable(ctx context.Context, wanted table.Version) (Table, error) {
 	state := o.config.Tables.State()
 	if wanted == 0 {
@@ -34,9 +34,9 @@
 	record, err := o.config.Tables.Version(ctx, wanted)
 	switch {
 	case errors.Is(err, tables.ErrVersionNotRetained):
-		return Table{}, refusal(http.StatusNotFound, CodeUnknownVersion, "version %d is not among the versions remembered; the newest is %d", wanted, state.Known)
+		return Table{}, problemError(http.StatusNotFound, CodeUnknownVersion, "version %d is not among the versions remembered; the newest is %d", wanted, state.Known)
 	case err != nil:
-		return Table{}, refusal(http.StatusServiceUnavailable, api.CodeLogUnavailable, "version %d stands in the log only, which cannot be read: %s", wanted, err)
+		return Table{}, problemError(http.StatusServiceUnavailable, api.CodeLogUnavailable, "version %d stands in the log only, which cannot be read: %s", wanted, err)
 	}
 	return Table{
 		Version: Version{
@@ -47,59 +47,59 @@
 	}, nil
 }
 
-// publish hands a table to the controller and words the outcome.
-func (o *Operator) publish(ctx context.Context, asked Publication) (Version, error) {
-	if int64(len(asked.CSV)) > o.config.TableBytes {
-		return Version{}, problem.Answer(api.NewProblem(api.CodeTooLarge, "the table is %d bytes, %d are allowed", len(asked.CSV), o.config.TableBytes))
+// publish passes a table to the controller and converts errors to problems.
+func (o *Operator) publish(ctx context.Context, publication Publication) (Version, error) {
+	if int64(len(publication.CSV)) > o.config.TableBytes {
+		return Version{}, problem.Answer(api.NewProblem(api.CodeTooLarge, "the table is %d bytes, %d are allowed", len(publication.CSV), o.config.TableBytes))
 	}
 	entry, err := o.config.Tables.Publish(ctx, tables.Publication{
-		ID: asked.ID, Repeated: asked.Repeated, Base: asked.Base, Author: asked.Author, Note: asked.Note, CSV: []byte(asked.CSV),
+		ID: publication.ID, Repeated: publication.Repeated, Base: publication.Base, Author: publication.Author, Note: publication.Note, CSV: []byte(publication.CSV),
 	})
 	if err != nil {
-		return Version{}, publishProblem(asked, err)
+		return Version{}, publishProblem(publication, err)
 	}
 	return versionOf(entry), nil
 }
 
-// unknownRetry is when a publisher with an unknown outcome should ask again.
-const unknownRetry = 2 * time.Second
+// outcomeRetryAfter is the RetryAfter of publications that failed or whose outcome is unknown.
+const outcomeRetryAfter = 2 * time.Second
 
-func publishProblem(asked Publication, err error) error {
+func publishProblem(publication Publication, err error) error {
 	var invalid *table.InvalidError
-	var lost *tables.ConflictError
+	var conflict *tables.ConflictError
 	var base *tables.BaseError
 	var unknown *tables.OutcomeUnknownError
 	switch {
 	case errors.As(err, &invalid):
-		made := api.NewProblem(api.CodeInvalid, "the table has %d finding(s)", len(invalid.Findings))
-		made.Findings = Findings(invalid)
-		return problem.Answer(made)
-	case errors.As(err, &lost):
+		document := api.NewProblem(api.CodeInvalid, "the table has %d finding(s)", len(invalid.Findings))
+		document.Findings = Findings(invalid)
+		return problem.Answer(document)
+	case errors.As(err, &conflict):
 		return problem.Answer(api.NewProblem(api.CodeTableConflict,
 			"version %d by %s was accepted on base %d first; take your change over into it and publish on base %d",
-			lost.Winner.Version, nameOf(lost.Winner.Author), lost.Base, lost.Winner.Version))
+			conflict.Winner.Version, authorName(conflict.Winner.Author), conflict.Base, conflict.Winner.Version))
 	case errors.As(err, &base):
 		return problem.Answer(api.NewProblem(api.CodeTableConflict,
 			"base %d was never accepted; the newest version is %d", base.Base, base.Current))
 	case errors.Is(err, tables.ErrIDReused):
 		return problem.Answer(api.NewProblem(api.CodeConflict, "%s", err))
 	case errors.As(err, &unknown):
-		made := api.NewProblem(CodeTableUnknown,
-			"it is not known whether publication %s takes effect; publish it again with the same id, or look for the id in the history", asked.ID)
-		made.Status, made.Title = http.StatusServiceUnavailable, "The outcome of the publication is unknown"
-		return problem.Answer(made.WithRetryAfter(unknownRetry))
+		document := api.NewProblem(CodeTableUnknown,
+			"it is not known whether publication %s takes effect; publish it again with the same id, or look for the id in the history", publication.ID)
+		document.Status, document.Title = http.StatusServiceUnavailable, "The outcome of the publication is unknown"
+		return problem.Answer(document.WithRetryAfter(outcomeRetryAfter))
 	}
-	return problem.Answer(api.NewProblem(api.CodeLogUnavailable, "nothing was published: %s", err).WithRetryAfter(unknownRetry))
+	return problem.Answer(api.NewProblem(api.CodeLogUnavailable, "nothing was published: %s", err).WithRetryAfter(outcomeRetryAfter))
 }
 
-// Findings returns the findings of a refused table as the interface shows them.
+// Findings converts the findings of an invalid table to their API form.
 func Findings(invalid *table.InvalidError) []api.Finding {
 	return lo.Map(invalid.Findings, func(f table.Finding, _ int) api.Finding {
 		return api.Finding{Place: f.Place(), Message: f.Message}
 	})
 }
 
-func nameOf(author string) string {
+func authorName(author string) string {
 	if author == "" {
 		return "an author no longer remembered"
 	}
@@ -112,7 +112,7 @@
 
 type publishInput struct{ Body Publication }
 
-// historyDocument lists publications, oldest first.
+// historyDocument is a list of publications, oldest first.
 type historyDocument struct {
 	Versions []Version `json:"versions"`
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,18 +12,18 @@
 	"stepseam.example/stepseam/internal/suggest"
 )
 
-// check returns what is wrong with whole settings. Fields that could not be
-// read have their finding already and are left out.
+// check validates complete settings and returns the findings. It skips fields that could
+// not be read, since these have a finding already.
 func check(settings Settings, reader *reader) []Finding {
 	var findings []Finding
 	add := func(field, message string) {
-		if !reader.faulty[field] {
+		if !reader.invalid[field] {
 			findings = append(findings, Finding{Place: reader.place(field), Field: field, Message: message})
 		}
 	}
 	checkFields(settings, add)
 	checkAddresses(settings, add)
-	checkRelations(settings, add)
+	checkConsistency(settings, add)
 	return findings
 }
 
@@ -36,36 +36,35 @@
 		}
 		return ""
 	}, netip.AddrPort{})
-	var faults validator.ValidationErrors
-	if !errors.As(checker.Struct(settings), &faults) {
+	var invalid validator.ValidationErrors
+	if !errors.As(checker.Struct(settings), &invalid) {
 		return
 	}
-	for _, fault := range faults {
-		_, field, _ := strings.Cut(fault.Namespace(), ".")
-		add(field, describe(fault))
+	for _, failure := range invalid {
+		_, field, _ := strings.Cut(failure.Namespace(), ".")
+		add(field, describe(failure))
 	}
 }
 
-func describe(fault validator.FieldError) string {
-	switch fault.Tag() {
+func describe(failure validator.FieldError) string {
+	switch failure.Tag() {
 	case "required":
 		return "missing"
 	case "min":
-		return fmt.Sprintf("is %v, at least %s is needed", fault.Value(), fault.Param())
+		return fmt.Sprintf("is %v, at least %s is needed", failure.Value(), failure.Param())
 	case "max":
-		return fmt.Sprintf("is %v, at most %s is allowed", fault.Value(), fault.Param())
+		return fmt.Sprintf("is %v, at most %s is allowed", failure.Value(), failure.Param())
 	case "oneof":
-		return fmt.Sprintf("is %q, want one of: %s", fault.Value(), strings.ReplaceAll(fault.Param(), " ", ", "))
+		return fmt.Sprintf("is %q, want one of: %s", failure.Value(), strings.ReplaceAll(failure.Param(), " ", ", "))
 	case "hostname_rfc1123":
-		return fmt.Sprintf("is %q, want letters, digits, dots and dashes", fault.Value())
+		return fmt.Sprintf("is %q, want letters, digits, dots and dashes", failure.Value())
 	}
-	return fmt.Sprintf("is %v, which breaks the rule %s", fault.Value(), fault.Tag())
+	return fmt.Sprintf("is %v, which breaks the rule %s", failure.Value(), failure.Tag())
 }
 
-// checkAddresses finds addresses that other machines could not dial and
-// addresses that clash.
+// checkAddresses reports addresses that other machines can't dial, and duplicates.
 func checkAddresses(settings Settings, add func(field, message string)) {
-	own := []struct {
+	listeners := []struct {
 		field     string
 		transport string
 		address   netip.AddrPort
@@ -76,22 +75,22 @@
 		{"addresses.probe", "UDP", settings.Addresses.Probe},
 	}
 	seen := map[string]string{}
-	for _, one := range own {
-		if !one.address.IsValid() {
+	for _, listener := range listeners {
+		if !listener.address.IsValid() {
 			continue
 		}
-		if one.address.Addr().IsUnspecified() {
-			add(one.field, "is "+one.address.String()+", want the IP number that others dial")
+		if listener.address.Addr().IsUnspecified() {
+			add(listener.field, "is "+listener.address.String()+", want the IP number that others dial")
 		}
-		if one.address.Port() == 0 {
-			add(one.field, "has port 0, want a fixed port")
+		if listener.address.Port() == 0 {
+			add(listener.field, "has port 0, want a fixed port")
 			continue
 		}
-		key := one.transport + one.address.String()
+		key := listener.transport + listener.address.String()
 		if other, taken := seen[key]; taken {
-			add(one.field, "is the same as "+other)
+			add(listener.field, "is the same as "+other)
 		}
-		seen[key] = one.field
+		seen[key] = listener.field
 	}
 	for i, seed := range settings.Seeds {
 		if seed.IsValid() && (seed.Addr().IsUnspecified() || seed.Port() == 0) {
@@ -100,8 +99,8 @@
 	}
 }
 
-// checkRelations finds fields that do not fit together.
-func checkRelations(settings Settings, add func(field, message string)) {
+// checkConsistency finds fields that do not fit together.
+func checkConsistency(settings Settings, add func(field, message string)) {
 	const renewalsPerLease = 3
 	if settings.Shards.LeaseRenewal*renewalsPerLease > settings.Shards.LeaseDuration {
 		add("shards.lease_renewal", fmt.Sprintf("is %s, at most a third of shards.lease_duration (%s) is allowed",
--- a/internal/settings/findings.go
+++ b/internal/settings/findings.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Finding is one fault of the settings with its place.
+// Finding is one error in the settings, with its location.
 type Finding struct {
 	// Place is "file:line" of a file, or "flag --name".
 	Place string
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("%s: %s: %s", f.Place, f.Field, f.Message)
 }
 
-// FindingsError reports all findings together.
+// FindingsError is the error that carries all findings of the settings.
 type FindingsError struct{ Findings []Finding }
 
 // Error returns one line per finding.
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -6,8 +6,8 @@
 	"github.com/samber/lo"
 )
 
-// Flags are the command line of stepseamd, for go-arg. A flag that is given
-// goes before the file's value.
+// Flags are the command-line flags of stepseamd, for go-arg. A flag overrides the value in
+// the settings file.
 type Flags struct {
 	File  string `arg:"--settings,env:STEPSEAM_SETTINGS" placeholder:"FILE" help:"YAML settings file"`
 	Check bool   `arg:"--check" help:"only check the settings, print the findings and exit"`
@@ -31,12 +31,12 @@
 	Set       []string `arg:"--set,separate" placeholder:"FIELD=VALUE" help:"any other field by its path, such as shards.count=64; may be repeated"`
 }
 
-// Description is the first paragraph of the help text.
+// Description returns the first paragraph of the help text.
 func (Flags) Description() string {
 	return "stepseamd is one node of a stepseam site: it takes callers' requests, owns shards of programs and keeps journal replicas for other nodes."
 }
 
-// override is one value from the command line.
+// override is the value of one flag for one field of the settings.
 type override struct {
 	flag  string
 	field string
@@ -73,7 +73,7 @@
 	return given, findings
 }
 
-// seedList writes seeds as a YAML list in one line.
+// seedList formats seeds as a YAML flow sequence.
 func seedList(seeds []string) string {
 	if len(seeds) == 0 {
 		return ""
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,8 +11,8 @@
 	"github.com/samber/lo"
 )
 
-// Load reads the file that flags name, if any, lays the flags over it and
-// checks the whole. Faults come back together as a *FindingsError.
+// Load reads the settings file, if flags name one, applies the flags and checks the result.
+// It returns all findings together as a *FindingsError.
 func Load(flags Flags) (Settings, error) {
 	if flags.File == "" {
 		return Parse("", nil, flags)
@@ -24,7 +24,7 @@
 	return Parse(flags.File, content, flags)
 }
 
-// Parse is Load with the file's name and content at hand.
+// Parse is like Load, with the content of the file. name is used in findings.
 func Parse(name string, content []byte, flags Flags) (Settings, error) {
 	result := Default()
 	reader := newReader(name)
@@ -43,10 +43,10 @@
 	return result, nil
 }
 
-// document reads a whole file into the struct that result points to. Its error is
-// a *FindingsError; all other faults are kept in the reader.
+// document reads a file into the struct that result points to. It returns a *FindingsError if
+// the content is not YAML, and adds all other findings to the reader.
 func (r *reader) document(content []byte, result any) error {
-	file, err := parser.ParseBytes(content, 0, parser.AllowDuplicateMapKey()) // the reader reports repeated keys itself
+	file, err := parser.ParseBytes(content, 0, parser.AllowDuplicateMapKey()) // the reader reports duplicate keys with their field
 	if err != nil {
 		return &FindingsError{Findings: []Finding{syntaxFinding(r.file, err)}}
 	}
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -10,21 +10,23 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// reader sets fields from YAML nodes and remembers where each one was set. It
-// goes on after a fault, so that one run finds all of them.
+// reader sets fields from YAML nodes and records where each one was set. It continues after
+// a finding, so that one run reports all of them.
 type reader struct {
-	file     string
-	places   map[string]string
-	faulty   map[string]bool
+	file string
+	// places maps the path of a field to the location where it was set.
+	places map[string]string
+	// invalid has the paths of the fields that could not be read.
+	invalid  map[string]bool
 	findings []Finding
 }
 
 func newReader(file string) *reader {
-	return &reader{file: file, places: map[string]string{}, faulty: map[string]bool{}}
+	return &reader{file: file, places: map[string]string{}, invalid: map[string]bool{}}
 }
 
 func (r *reader) add(node ast.Node, field, message string) {
-	r.faulty[field] = true
+	r.invalid[field] = true
 	r.findings = append(r.findings, Finding{Place: r.placeOf(node), Field: field, Message: message})
 }
 
@@ -35,8 +37,8 @@
 	return fmt.Sprintf("%s:%d", r.file, node.GetToken().Position.Line)
 }
 
-// place returns where field was set: its own place, else that of the nearest
-// section that was given, else the file as a whole.
+// place returns the location where field was set, else that of its nearest enclosing section
+// in the file, else the file or "flags".
 func (r *reader) place(field string) string {
 	for path := field; path != ""; {
 		if place, found := r.places[path]; found {
@@ -83,18 +85,18 @@
 
 func (r *reader) set(node ast.Node, field string, target reflect.Value) {
 	if node.Type() == ast.NullType {
-		return // a key without a value keeps its default
+		return // a key without a value keeps the default
 	}
 	if isSection(target) {
 		r.section(node, field, target)
 		return
 	}
-	fresh := reflect.New(target.Type())
-	if err := yaml.NodeToValue(node, fresh.Interface(), yaml.Strict()); err != nil {
+	decoded := reflect.New(target.Type())
+	if err := yaml.NodeToValue(node, decoded.Interface(), yaml.Strict()); err != nil {
 		r.add(node, field, fmt.Sprintf("want %s, have %q", typeName(target.Type()), strings.TrimSpace(node.String())))
 		return
 	}
-	target.Set(fresh.Elem())
+	target.Set(decoded.Elem())
 }
 
 // override sets the field of one flag.
@@ -113,9 +115,9 @@
 		target = next
 	}
 	r.places[o.field] = place
-	delete(r.faulty, o.field)
+	delete(r.invalid, o.field)
 	if err := setText(target, o.value); err != nil {
-		r.faulty[o.field] = true
+		r.invalid[o.field] = true
 		message := fmt.Sprintf("want %s, have %q", typeName(target.Type()), o.value)
 		r.findings = append(r.findings, Finding{Place: place, Field: o.field, Message: message})
 	}
@@ -136,11 +138,11 @@
 	if len(file.Docs) != 1 || file.Docs[0].Body == nil {
 		return fmt.Errorf("settings: no value")
 	}
-	fresh := reflect.New(target.Type())
-	if err := yaml.NodeToValue(file.Docs[0].Body, fresh.Interface(), yaml.Strict()); err != nil {
+	decoded := reflect.New(target.Type())
+	if err := yaml.NodeToValue(file.Docs[0].Body, decoded.Interface(), yaml.Strict()); err != nil {
 		return fmt.Errorf("settings: value: %w", err)
 	}
-	target.Set(fresh.Elem())
+	target.Set(decoded.Elem())
 	return nil
 }
 
@@ -154,8 +156,8 @@
 	return nil, false
 }
 
-// isSection tells a group of fields from a single value: only this package's
-// own structs are groups.
+// isSection reports whether target is a section of fields rather than a single value. Only
+// the structs of this package are sections.
 func isSection(target reflect.Value) bool {
 	return target.Kind() == reflect.Struct && target.Type().PkgPath() == reflect.TypeFor[Settings]().PkgPath()
 }
--- a/internal/settings/routed.go
+++ b/internal/settings/routed.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// Routed are the settings of a node that serves routed requests on a platform's
-// own store.
+// Routed are the settings of a node that serves routed requests on a platform.
 type Routed struct {
 	Node      Node            `yaml:"node"`
 	Addresses RoutedAddresses `yaml:"addresses"`
-	// Seeds are other nodes' addresses for peers, by which a starting node joins.
-	// Some may be stale.
+	// Seeds are peer addresses of other nodes through which a starting node joins. Some
+	// may be stale.
 	Seeds []netip.AddrPort `yaml:"seeds"`
-	// Zones tells the region of each zone of the site. Data whose homes are regions goes
-	// to no zone that is not listed.
+	// Zones maps each zone of the site to its region. Requests with allowed regions are
+	// not sent to zones that are not listed.
 	Zones            map[string]string `yaml:"zones"`
 	Store            Store             `yaml:"store"`
 	Machine          Machine           `yaml:"machine"`
@@ -26,124 +25,127 @@
 	Logging          Logging           `yaml:"logging"`
 }
 
-// RoutedAddresses are where the node listens.
+// RoutedAddresses are the addresses on which the node listens.
 type RoutedAddresses struct {
-	// Clients takes clients' requests.
+	// Clients is the address for clients' requests.
 	Clients netip.AddrPort `yaml:"clients" validate:"required"`
-	// Readiness answers whether new connections are welcome.
+	// Readiness is the address of the readiness check.
 	Readiness netip.AddrPort `yaml:"readiness" validate:"required"`
-	// Peers takes what other nodes say, over TCP, and datagrams over UDP at the same
-	// number. Unset, the node works alone.
+	// Peers is the address for other nodes, over TCP and UDP on the same port. If it is
+	// unset, the node runs without peers.
 	Peers netip.AddrPort `yaml:"peers"`
-	// Loads takes datagrams of other nodes on what they have under way. All nodes of
-	// a site use the same port. Unset, nodes don't tell each other.
+	// Loads is the UDP address for load reports of other nodes. All nodes of a site use
+	// the same port. If it is unset, nodes exchange no load reports.
 	Loads netip.AddrPort `yaml:"loads"`
-	// Aggregators takes datagrams by which nodes tell and ask the keepers of replicas. All
-	// nodes of a site use the same port. Unset, a node chooses by its own knowledge and
-	// by what is told at Loads.
+	// Aggregators is the UDP address for reports to and queries of the replicas' aggregators.
+	// All nodes of a site use the same port. If it is unset, the node selects replicas by
+	// its own state and the reports received at Loads.
 	Aggregators netip.AddrPort `yaml:"keepers"`
-	// Metrics serves counters and histograms; unset serves none.
+	// Metrics is the address of the metrics endpoint. If it is unset, there is none.
 	Metrics netip.AddrPort `yaml:"metrics"`
 }
 
-// Store says where the durable log is and what it takes.
+// Store configures the durable log store and its limits.
 type Store struct {
 	Address netip.AddrPort `yaml:"address" validate:"required"`
-	// Partitions is the number of partitions of a topic; all nodes have the same.
+	// Partitions is the number of partitions of a topic. It must be the same on all nodes.
 	Partitions int `yaml:"partitions" validate:"min=1,max=65536"`
-	// RecordBytes and CallBytes bound one record and one append.
+	// RecordBytes and CallBytes are the maximum sizes of one record and one append.
 	RecordBytes int `yaml:"record_bytes" validate:"min=1024"`
 	CallBytes   int `yaml:"call_bytes" validate:"min=1024"`
-	// RetainSeconds is how long the store keeps records.
+	// RetainSeconds is how long the store retains records.
 	RetainSeconds float64 `yaml:"retain_seconds" validate:"min=0"`
-	// IndexTextBytes bounds the texts of kept turns that a take-over of a partition reads
-	// beside the index; 0 leaves all texts to their own topic.
+	// IndexTextBytes bounds the texts of persisted turns that are stored with the index and
+	// that a takeover of a partition reads. 0 stores all texts in their own topic.
 	IndexTextBytes int `yaml:"index_text_bytes" validate:"min=0"`
-	// ReadsPerSecond is how many reading calls of all nodes the store takes; 0 where that
-	// is not known.
+	// ReadsPerSecond is the store's rate limit for reads of all nodes together; 0 means
+	// unknown.
 	ReadsPerSecond float64 `yaml:"reads_per_second" validate:"min=0"`
 }
 
-// Retention returns how long the store keeps records.
+// Retention returns RetainSeconds as a duration.
 func (s Store) Retention() time.Duration {
 	return time.Duration(s.RetainSeconds * float64(time.Second))
 }
 
-// Machine says what the process may use.
+// Machine describes the resources of the process.
 type Machine struct {
-	// MemoryMebibytes is the memory above which the process is killed.
+	// MemoryMebibytes is the memory limit, above which the process is killed.
 	MemoryMebibytes int `yaml:"memory_mebibytes" validate:"min=32"`
-	// Descriptors bounds open files and sockets.
+	// Descriptors is the limit of open files and sockets.
 	Descriptors int `yaml:"descriptors" validate:"min=64"`
-	// ProcessorFraction of a core is the process's, and a core is Cores times as fast as
-	// usual. Nodes that have more do more for the others.
+	// ProcessorFraction is the fraction of a core that the process may use, and Cores the
+	// speed of that core relative to a reference core. Nodes with a larger product take on
+	// more work for other nodes.
 	ProcessorFraction float64 `yaml:"processor_share" validate:"min=0"`
 	Cores             float64 `yaml:"cores" validate:"min=0"`
-	// LinkMegabits is what the machine's link carries in a second.
+	// LinkMegabits is the bandwidth of the machine's network link, in megabits per second.
 	LinkMegabits float64 `yaml:"link_megabits" validate:"min=0.1"`
 }
 
-// Millicores returns the processor in thousandths of a core.
+// Millicores returns the CPU capacity in thousandths of a reference core.
 func (m Machine) Millicores() uint32 { return uint32(m.ProcessorFraction * m.Cores * 1000) }
 
-// LinkBytesPerSecond returns what the link carries.
+// LinkBytesPerSecond returns the bandwidth of the link.
 func (m Machine) LinkBytesPerSecond() float64 { return m.LinkMegabits * 1e6 / 8 }
 
-// Stop says how a planned stop goes.
+// Stop configures a planned stop.
 type Stop struct {
-	// Grace is the time from the request to stop until the process is killed.
+	// Grace is the time between the stop signal and the kill.
 	Grace time.Duration `yaml:"grace" validate:"min=1s,max=1h"`
 }
 
-// Watch says how configuration and replicas are followed in the store.
+// Watch configures how nodes watch the configuration and the replicas in the store.
 type Watch struct {
-	// ReplicasInterval is the time between two reads of the replicas' entries.
+	// ReplicasInterval is the interval between reads of the replicas' entries.
 	ReplicasInterval time.Duration `yaml:"replicas_pause" validate:"min=50ms,max=1m"`
-	// Wait is how long a read waits for something new.
+	// Wait is the long-poll timeout of a read.
 	Wait time.Duration `yaml:"wait" validate:"min=100ms,max=1m"`
-	// DirectEntries is up to how many entries, nodes times replicas, all nodes read the
-	// store themselves. Beyond that a few read it, ReadEntries together, and the others
-	// hear from them. A large number has all nodes read whatever the site's size.
+	// DirectEntries is the number of entries (nodes times replicas) up to which all nodes
+	// read the store themselves. Above it only some nodes do, which read ReadEntries entries
+	// in total, and the others pull from them. A large value makes all nodes read the store
+	// on sites of any size.
 	DirectEntries int `yaml:"direct_entries" validate:"min=0"`
 	ReadEntries   int `yaml:"read_entries" validate:"min=1"`
 }
 
-// ReplicaSelection says how the replica for a request is chosen.
+// ReplicaSelection configures how the replica for a request is selected.
 type ReplicaSelection struct {
-	// FullScanLimit is up to how many replicas of a service all are looked at; 0 always looks
-	// at all. Beyond it a few are gathered by what they are likely to hold, and by chance.
+	// FullScanLimit is the number of replicas of a service up to which all are examined; 0
+	// means no limit. Above it only a sample is examined: replicas that are likely to have
+	// the prompt cached, and random ones.
 	FullScanLimit int `yaml:"scan_up_to" validate:"min=0"`
 }
 
-// Keys says what holds for clients' keys.
+// Keys configures clients' API keys.
 type Keys struct {
-	// Revocation is how long after a configuration that takes a key away was
-	// acknowledged a request with that key may still be sent and run. 0 sets no bound.
+	// Revocation is how long requests with a key may still run after the store has
+	// acknowledged a configuration that revokes the key. 0 means no limit.
 	Revocation time.Duration `yaml:"revocation" validate:"max=1h"`
 }
 
-// TenantLimits says how tenants are kept within the limits of the configuration.
+// TenantLimits configures the enforcement of tenants' limits.
 type TenantLimits struct {
-	// Window is the span in which a tenant's requests are counted.
+	// Window is the period over which a tenant's requests are counted.
 	Window time.Duration `yaml:"window" validate:"min=1s,max=1h"`
-	// Overage is the part of a limit, and Slack the number of requests, by which a
-	// tenant may be served beyond it in a window.
+	// Overage is the fraction of a limit, and Slack the number of requests, by which a
+	// tenant may exceed the limit in a window.
 	Overage float64 `yaml:"overage" validate:"min=0,max=1"`
 	Slack   float64 `yaml:"slack" validate:"min=0"`
-	// Strategy is how nodes share a limit: allocator has one node a tenant hand out what may
-	// run, shares gives every node an equal part.
+	// Strategy is how nodes divide a limit. With allocator, one node per tenant grants
+	// tokens to the others; with shares, each node gets an equal fraction.
 	Strategy string `yaml:"way" validate:"oneof=allocator shares"`
 }
 
-// leasePercent of the bound on revocation is how old the configuration may be; the rest
-// is for clocks that don't run alike.
+// leasePercent is the maximum age of the configuration as a percentage of Revocation. The
+// rest allows for clock drift between machines.
 const leasePercent = 95
 
-// Lease is how old the configuration may be for requests with keys; 0 sets no bound.
+// Lease returns the maximum age of the configuration for requests with keys; 0 means no limit.
 func (k Keys) Lease() time.Duration { return k.Revocation * leasePercent / 100 }
 
-// DefaultRouted returns settings with every default. Node, addresses and the
-// store's address have none.
+// DefaultRouted returns the default settings. Node, the addresses and the store's address have
+// no defaults.
 func DefaultRouted() Routed {
 	return Routed{
 		Store:   Store{Partitions: 12, RecordBytes: 256 << 10, CallBytes: 2 << 20, RetainSeconds: 300, IndexTextBytes: 64 << 10},
@@ -159,8 +161,8 @@
 	}
 }
 
-// ParseRouted reads and checks the settings of a routed node. All faults come
-// back together as a *FindingsError.
+// ParseRouted reads and checks the settings of a routed node. It returns all findings
+// together as a *FindingsError.
 func ParseRouted(name string, content []byte) (Routed, error) {
 	result := DefaultRouted()
 	reader := newReader(name)
@@ -168,7 +170,7 @@
 		return Routed{}, err
 	}
 	add := func(field, message string) {
-		if !reader.faulty[field] {
+		if !reader.invalid[field] {
 			reader.findings = append(reader.findings, Finding{Place: reader.place(field), Field: field, Message: message})
 		}
 	}
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -16,7 +16,7 @@
 stop: {grace: 4.8s}
 `
 
-func TestRoutedSettingsAreReadOverDefaults(t *testing.T) {
+func TestRoutedSettingsOverrideDefaults(t *testing.T) {
 	is := is.New(t)
 	read, err := ParseRouted("f", []byte(routedFile))
 	is.NoErr(err)
@@ -25,7 +25,7 @@
 	is.Equal(read.Watch, DefaultRouted().Watch)
 }
 
-func TestZonesAreReadWithTheirRegions(t *testing.T) {
+func TestZonesAreDecodedWithTheirRegions(t *testing.T) {
 	is := is.New(t)
 	read, err := ParseRouted("f", []byte(routedFile+`zones: {"z1":"r1","z2":"r2"}`))
 	is.NoErr(err)
@@ -37,7 +37,7 @@
 	is.True(err != nil && strings.Contains(err.Error(), "zones"))
 }
 
-func TestAllFindingsOfRoutedSettingsComeTogether(t *testing.T) {
+func TestAllFindingsOfRoutedSettingsAreReported(t *testing.T) {
 	is := is.New(t)
 	_, err := ParseRouted("f", []byte(`
 node: {name: n1, zone: z, region: r}
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestKeysAndLimitsAreReadAndChecked(t *testing.T) {
+func TestKeysAndLimitsAreDecodedAndChecked(t *testing.T) {
 	is := is.New(t)
 	read, err := ParseRouted("f", []byte(routedFile+"keys: {revocation: 5000ms}\nlimits: {window: 4s, overage: 0.2, slack: 7, way: shares}\n"))
 	is.NoErr(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings holds the settings of a stepseamd process: their fields with
-// defaults, how they are read from a YAML file and from flags, and their check.
+// Package settings defines the settings of a stepseamd process, reads them from a YAML file
+// and from flags, and validates them.
 //
-// Everything is checked before anything starts, and all findings are reported
-// together, each with file, line and field (or the flag that set it). Unknown
-// keys are findings.
+// All settings are validated before the process starts anything. All findings are reported
+// together, each with its file, line and field, or the flag that set it. Unknown keys are
+// findings.
 package settings
 
 import (
@@ -13,13 +13,13 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Settings are all settings of one stepseamd process. They do not change while
-// the process runs; what changes at run time stands in the table.
+// Settings are the settings of one stepseamd process. They do not change while the process
+// runs; what may change at run time is in the table.
 type Settings struct {
 	Node      Node      `yaml:"node"`
 	Addresses Addresses `yaml:"addresses"`
-	// Seeds are probe addresses of other nodes that a starting node asks first.
-	// The machine list adds to them; the site's first node needs none.
+	// Seeds are probe addresses of other nodes through which a starting node joins, in
+	// addition to the machine list. The site's first node needs none.
 	Seeds    []netip.AddrPort `yaml:"seeds" validate:"dive,required"`
 	Platform Platform         `yaml:"platform"`
 	Shards   Shards           `yaml:"shards"`
@@ -31,111 +31,108 @@
 	Logging  Logging          `yaml:"logging"`
 }
 
-// Node says who and where this node is.
+// Node is the identity and the location of this node.
 type Node struct {
-	// Name is unique within the site and stable over restarts.
+	// Name is unique within the site and does not change over restarts.
 	Name   identity.NodeName `yaml:"name" validate:"required,max=64,hostname_rfc1123"`
 	Zone   identity.Zone     `yaml:"zone" validate:"required,max=64"`
 	Region identity.Region   `yaml:"region" validate:"required,max=64"`
 }
 
-// Addresses are where this node listens. Other nodes dial the same addresses,
-// so each is an IP number that they can reach, never 0.0.0.0.
+// Addresses are the addresses on which this node listens. Other nodes dial the same
+// addresses, so each must be reachable and none may be 0.0.0.0.
 type Addresses struct {
-	// Callers takes callers' HTTP requests.
+	// Callers is the address for callers' HTTP requests.
 	Callers netip.AddrPort `yaml:"callers" validate:"required"`
-	// Operators takes operators' HTTP requests, metrics and health checks.
+	// Operators is the address for operators' HTTP requests, metrics and health checks.
 	Operators netip.AddrPort `yaml:"operators" validate:"required"`
-	// Peer takes the internal protocol over TCP.
+	// Peer is the TCP address of the protocol between nodes.
 	Peer netip.AddrPort `yaml:"peer" validate:"required"`
-	// Probe takes membership datagrams over UDP.
+	// Probe is the UDP address of the membership protocol.
 	Probe netip.AddrPort `yaml:"probe" validate:"required"`
 }
 
-// Platform says where the platform's services answer HTTP.
+// Platform has the HTTP addresses of the platform's services.
 type Platform struct {
 	LogService  netip.AddrPort `yaml:"log_service" validate:"required"`
 	MachineList netip.AddrPort `yaml:"machine_list" validate:"required"`
 	WeightStore netip.AddrPort `yaml:"weight_store" validate:"required"`
-	// Tools is the tool service; unset where the site has none. Callers use it,
-	// nodes do not yet.
+	// Tools is the tool service; unset if the site has none. Only callers use it.
 	Tools netip.AddrPort `yaml:"tools"`
-	// MachineListInterval is the time between two reads of the machine list.
+	// MachineListInterval is the interval between reads of the machine list.
 	MachineListInterval time.Duration `yaml:"machine_list_interval" validate:"min=100ms,max=5m"`
 }
 
-// Shards says how programs are spread over owners.
+// Shards configures the distribution of programs over owners.
 type Shards struct {
-	// Count is fixed for the site: all nodes have the same, and it never changes
-	// while programs live.
+	// Count is the number of shards. It must be the same on all nodes and must not change
+	// while there are programs.
 	Count int `yaml:"count" validate:"min=1,max=65536"`
 	// LeaseDuration is how long an owner may serve after its last renewal.
 	LeaseDuration time.Duration `yaml:"lease_duration" validate:"min=500ms,max=5m"`
-	// LeaseRenewal is the time between two renewals; at most a third of
-	// LeaseDuration, so that one lost renewal costs nothing.
+	// LeaseRenewal is the interval between renewals. It must be at most a third of
+	// LeaseDuration, so that the lease survives a lost renewal.
 	LeaseRenewal time.Duration `yaml:"lease_renewal" validate:"min=50ms,max=1m"`
 }
 
-// Journal says how records go to the log, and bounds a shard's tail in memory.
+// Journal configures the writing of records to the log and the tail of a shard in memory.
 type Journal struct {
-	// ShardTailBytes is the size of one shard's tail that makes it fold into a
-	// snapshot.
+	// ShardTailBytes is the size of a shard's tail at which it is replaced by a snapshot.
 	ShardTailBytes int64 `yaml:"shard_tail_bytes" validate:"min=4096"`
-	// FlushInterval is the time between two background appends to the log.
+	// FlushInterval is the interval between background appends to the log.
 	FlushInterval time.Duration `yaml:"flush_interval" validate:"min=1ms,max=1m"`
-	// DurableTimeout bounds how long an unrepeatable call waits for the log
-	// before it is refused as not run.
+	// DurableTimeout is how long an unrepeatable call waits for the log before it is
+	// rejected as not run.
 	DurableTimeout time.Duration `yaml:"durable_timeout" validate:"min=100ms,max=5m"`
 }
 
-// Table says how this node follows the table's stream.
+// Table configures how this node watches the table's stream and publishes to it.
 type Table struct {
-	// PollWait is how long one read of the stream waits for a record.
+	// PollWait is the long-poll timeout of a read of the stream.
 	PollWait time.Duration `yaml:"poll_wait" validate:"min=100ms,max=1m"`
-	// PeerInterval is the time between two looks for peers with newer versions.
+	// PeerInterval is the interval between checks for peers with newer versions.
 	PeerInterval time.Duration `yaml:"peer_interval" validate:"min=50ms,max=1m"`
-	// PublishTimeout bounds how long a publish waits for its outcome.
+	// PublishTimeout is how long a publication waits for its outcome.
 	PublishTimeout time.Duration `yaml:"publish_timeout" validate:"min=1s,max=5m"`
 }
 
-// Backends says how engines and applications are watched.
+// Backends configures the polling of engines and applications.
 type Backends struct {
-	// PollInterval is the time between two load reports of one back end.
+	// PollInterval is the interval between load reports of one back end.
 	PollInterval time.Duration `yaml:"poll_interval" validate:"min=50ms,max=1m"`
-	// PollTimeout bounds one load report.
+	// PollTimeout is the timeout of a request for a load report.
 	PollTimeout time.Duration `yaml:"poll_timeout" validate:"min=50ms,max=1m"`
-	// ConnectTimeout bounds the making of a connection to a back end.
+	// ConnectTimeout is the dial timeout for a back end.
 	ConnectTimeout time.Duration `yaml:"connect_timeout" validate:"min=50ms,max=1m"`
-	// AuditInterval is the time between two searches for orphaned cache memory.
+	// AuditInterval is the interval between audits for orphaned cache memory.
 	AuditInterval time.Duration `yaml:"audit_interval" validate:"min=1s,max=1h"`
 }
 
-// Limits bound what callers can make a node hold.
+// Limits bound the memory and the time that callers' requests can take on a node.
 type Limits struct {
-	// BodyBytes is the largest request body.
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64 `yaml:"body_bytes" validate:"min=1024,max=268435456"`
 	// BodyTimeout is how long a request body may take to arrive.
 	BodyTimeout time.Duration `yaml:"body_timeout" validate:"min=100ms,max=10m"`
-	// SequenceGapWait is how long a call waits for an earlier one to arrive.
+	// SequenceGapWait is how long a call waits for missing earlier calls of its branch.
 	SequenceGapWait time.Duration `yaml:"sequence_gap_wait" validate:"min=0s,max=5m"`
-	// TableBytes is the largest table file.
+	// TableBytes is the maximum size of a table file.
 	TableBytes int64 `yaml:"table_bytes" validate:"min=1024,max=67108864"`
 }
 
-// Drain says how a planned stop goes.
+// Drain configures a planned stop.
 type Drain struct {
-	// Timeout is when a planned stop gives up on requests that still run.
+	// Timeout is how long a planned stop waits for running requests.
 	Timeout time.Duration `yaml:"timeout" validate:"min=1s,max=1h"`
 }
 
-// Logging says what goes to standard error.
+// Logging configures the log output to standard error.
 type Logging struct {
 	Level  string `yaml:"level" validate:"oneof=debug info warn error"`
 	Format string `yaml:"format" validate:"oneof=text json"`
 }
 
-// Default returns settings with every default. Node, addresses and platform
-// have none.
+// Default returns the default settings. Node, addresses and platform have no defaults.
 func Default() Settings {
 	const mebibyte = 1 << 20
 	return Settings{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/testseed"
 )
 
-// TestMain sets rapid's seed unless the command line does.
+// TestMain fixes rapid's seed unless a flag sets it.
 func TestMain(m *testing.M) {
 	testseed.MainWith(m, map[string]string{"rapid.seed": "1"})
 }
@@ -50,7 +50,7 @@
 	return lines
 }
 
-func TestFileOverDefaults(t *testing.T) {
+func TestFileOverridesDefaults(t *testing.T) {
 	is := is.New(t)
 	result, err := settings.Parse("node.yaml", []byte(whole), settings.Flags{})
 	is.NoErr(err)
@@ -61,7 +61,7 @@
 	is.Equal(len(result.Seeds), 1)
 }
 
-func TestFlagsGoBeforeTheFile(t *testing.T) {
+func TestFlagsOverrideTheFile(t *testing.T) {
 	is := is.New(t)
 	result, err := settings.Parse("node.yaml", []byte(whole), settings.Flags{
 		Zone: "cumbaya", Seeds: []string{"127.0.0.13:7000", "127.0.0.14:7000"}, Set: []string{"drain.timeout=9s"},
@@ -72,7 +72,7 @@
 	is.Equal(result.Drain.Timeout, 9*time.Second)
 }
 
-func TestFlagsAlone(t *testing.T) {
+func TestFlagsWithoutAFile(t *testing.T) {
 	is := is.New(t)
 	result, err := settings.Parse("", nil, settings.Flags{
 		Name: "n1", Zone: "a", Region: "r", Callers: "127.0.0.1:1", Operators: "127.0.0.1:2", Peer: "127.0.0.1:3",
@@ -82,7 +82,7 @@
 	is.Equal(result.Shards.Count, settings.Default().Shards.Count)
 }
 
-func TestAllFindingsTogetherWithPlaces(t *testing.T) {
+func TestAllFindingsAreReportedWithPlaces(t *testing.T) {
 	is := is.New(t)
 	text := strings.NewReplacer(
 		"zone: quito-centro", "zoen: quito-centro",
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestEveryTextGivesSettingsOrFindings feeds damaged files; any other error, or
-// none with settings that do not pass their own check, is a fault.
+// TestEveryTextGivesSettingsOrFindings parses corrupted files and checks that the result is
+// valid settings or a *FindingsError.
 func TestEveryTextGivesSettingsOrFindings(t *testing.T) {
 	lines := strings.SplitAfter(whole, "\n")
 	pieces := append(lines, "  ", "- ", "[", "{", "}", ": ", "\"", "'", "&a ", "*a", "|\n", "!!int ", "\x00", "\xff", "\t", "---\n", "null\n", "1e999\n", "# ")
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestBrokenFilesAreFindings(t *testing.T) {
+func TestMalformedFilesAreReportedAsFindings(t *testing.T) {
 	for name, text := range map[string]string{
 		"not YAML":       "node: [",
 		"a list":         "- node\n",
