--- a/cmd/stepseam-lab/replay.go
+++ b/cmd/stepseam-lab/replay.go
@@ -16,7 +16,7 @@
 	Check bool     `arg:"--check" help:"only check the files"`
 }
 
-var errReplay = errors.New("not every trace is valid and came out as stated")
+var errReplay = errors.New("some traces are invalid or differ from their stated outcomes")
 
 func (c *replayCommand) run(ctx context.Context) error {
 	var failed error
--- a/internal/operator/site.go
+++ b/internal/operator/site.go
@@ -97,7 +97,7 @@
 		group.Go(func() error {
 			message, err := o.query(ctx, member, request)
 			if err != nil {
-				o.config.Logger.Debug("node not reached", "node", member.Node.Name, "error", err)
+				o.config.Logger.Debug("node did not respond", "node", member.Node.Name, "error", err)
 			}
 			replies[i] = nodeReply{member: member, message: message}
 			return nil
@@ -171,7 +171,7 @@
 	if o.config.Drain == nil {
 		return fmt.Errorf("operator: %s cannot be drained from outside", o.config.Self.Name)
 	}
-	o.config.Logger.Info("planned stop asked for by an operator", "node", o.config.Self.Name)
+	o.config.Logger.Info("planned stop requested by an operator", "node", o.config.Self.Name)
 	o.config.Drain()
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -112,10 +112,10 @@
 		result, err := settings.Parse("node.yaml", []byte(text), settings.Flags{})
 		var report *settings.FindingsError
 		if err != nil && (!errors.As(err, &report) || len(report.Findings) == 0) {
-			t.Fatalf("no findings: %v", err)
+			t.Fatalf("want a FindingsError with findings, have %v", err)
 		}
 		if err == nil && result.Node.Name == "" {
-			t.Fatal("settings without a node's name")
+			t.Fatal("invalid settings were accepted: the node has no name")
 		}
 	})
 }
@@ -134,7 +134,7 @@
 			_, err := settings.Parse("node.yaml", []byte(text), settings.Flags{})
 			for _, line := range findingsOf(t, err) {
 				if !strings.HasPrefix(line, "node.yaml") {
-					t.Errorf("finding without the file: %s", line)
+					t.Errorf("finding does not name the file: %s", line)
 				}
 				t.Log(line)
 			}
