--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,5 +1,4 @@
-// Package examples_test holds the examples and the operators' reference against
-// the code, so that neither goes stale.
+// Package examples_test checks that the examples and the operators' reference match the code.
 package examples_test
 
 import (
@@ -39,7 +38,7 @@
 	return string(content)
 }
 
-func TestReferenceNamesEveryColumn(t *testing.T) {
+func TestReferenceDocumentsEveryColumn(t *testing.T) {
 	page := reference(t)
 	for _, column := range table.Columns() {
 		standard := "`" + column.Default + "`"
@@ -57,7 +56,7 @@
 	}
 }
 
-func TestReferenceNamesEverySetting(t *testing.T) {
+func TestReferenceDocumentsEverySetting(t *testing.T) {
 	page := reference(t)
 	settingsOf("", reflect.ValueOf(settings.Default()), func(field string, value reflect.Value) {
 		start := fmt.Sprintf("| `%s` | ", field)
@@ -70,7 +69,7 @@
 	})
 }
 
-// settingsOf visits every single setting with its path.
+// settingsOf calls visit for each setting with its path.
 func settingsOf(path string, group reflect.Value, visit func(field string, value reflect.Value)) {
 	for i := range group.NumField() {
 		field, value := group.Type().Field(i), group.Field(i)
--- a/internal/backend/application_client.go
+++ b/internal/backend/application_client.go
@@ -16,8 +16,8 @@
 	_ LoadReporter = (*ApplicationClient)(nil)
 )
 
-// emptyInput stands for no input, so that every operation is sent with a body:
-// net/http may send a request without one a second time.
+// emptyInput is the body of an operation without input. Every operation has a body, since
+// net/http may retry a request without one.
 const emptyInput = "null"
 
 // Invoke implements Application. A request is written at most once.
@@ -34,7 +34,7 @@
 	answer, err := a.client.exchange(ctx, outgoing{
 		method: http.MethodPost, path: PathOperations + url.PathEscape(request.Operation),
 		header: header, body: body, contentType: contentTypeJSON,
-		wholeTimeout: a.client.options.InvokeTimeout,
+		totalTimeout: a.client.options.InvokeTimeout,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("invoke %s for %s: %w", request.Operation, request.Stream, err)
@@ -42,8 +42,8 @@
 	return answer, nil
 }
 
-// Load implements LoadReporter. A replica that lacks the path gives no reports
-// but lives.
+// Load implements LoadReporter. It returns ErrNoReport if the replica does not serve load
+// reports.
 func (a *ApplicationClient) Load(ctx context.Context) (LoadReport, error) {
 	var report LoadReport
 	err := a.client.exchangeJSON(ctx, outgoing{method: http.MethodGet, path: PathLoad}, nil, &report)
@@ -57,7 +57,7 @@
 	return report, nil
 }
 
-// headerValue returns key as it is where a header can carry it, else escaped.
+// headerValue returns key unchanged if it is a valid header value, else escaped.
 func headerValue(key string) string {
 	for _, letter := range []byte(key) {
 		if letter <= ' ' || letter > '~' {
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-// errIdle is the cause of a request that ended because nothing came for too long.
+// errIdle is the cause of a request that was cancelled by the idle or header timeout.
 var errIdle = errors.New("backend: no bytes for too long")
 
-// errTooLarge is the cause of an answer that was given up for its size.
+// errTooLarge is the error of a response that exceeds its size limit.
 var errTooLarge = errors.New("backend: answer too large")
 
 func (o Options) transport() *http.Transport {
@@ -34,8 +34,8 @@
 	}
 }
 
-// client sends requests to one back end and maps all failures to the package's
-// errors. It is safe for concurrent use.
+// client sends requests to one back end and maps all failures to the errors of this package.
+// It is safe for concurrent use.
 type client struct {
 	base    string
 	options Options
@@ -56,14 +56,14 @@
 	header       http.Header
 	body         []byte
 	contentType  string
-	// header must come within headerTimeout; the whole request within
-	// wholeTimeout unless that is 0.
+	// headerTimeout is the timeout until the response's header, and totalTimeout, unless
+	// it is 0, that of the complete response.
 	headerTimeout time.Duration
-	wholeTimeout  time.Duration
+	totalTimeout  time.Duration
 }
 
-// incoming is an answer under way. Its reader fails once nothing came for
-// IdleTimeout; close ends the request.
+// incoming is a response whose body is being read. Reads fail after IdleTimeout without data;
+// close ends the request.
 type incoming struct {
 	response *http.Response
 	ctx      context.Context
@@ -72,11 +72,11 @@
 	timeout  time.Duration
 }
 
-// send sends a request and returns its answer once the header is there. An
-// answer that is a refusal comes back as an error.
+// send sends a request and returns the response when its header has arrived. A response with
+// a status of 300 or above is returned as an error.
 //
-// ErrNotDelivered is returned only if no connection was ever handed to the
-// request: then no byte of it was written. All other failures are ErrBroken.
+// ErrNotDelivered is returned only if the request never got a connection, so that no byte of
+// it was written. Other failures, except error documents, are ErrOutcomeUnknown.
 func (c *client) send(ctx context.Context, out outgoing) (*incoming, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var connected atomic.Bool
@@ -94,13 +94,13 @@
 	if out.contentType != "" {
 		request.Header.Set("Content-Type", out.contentType)
 	}
-	// Without GetBody, net/http cannot send a request with a body a second time.
+	// Without GetBody, net/http can't retry a request with a body.
 	request.GetBody = nil
 	idle := time.AfterFunc(out.headerTimeout, func() { cancel(errIdle) })
 	response, err := c.http.Do(request)
 	if err != nil {
 		idle.Stop()
-		err = because(ctx, err)
+		err = withCause(ctx, err)
 		cancel(nil)
 		if !connected.Load() {
 			return nil, fmt.Errorf("%w: %w", ErrNotDelivered, err)
@@ -111,27 +111,27 @@
 	idle.Stop()
 	if response.StatusCode >= http.StatusMultipleChoices {
 		defer in.close()
-		return nil, c.refusal(in)
+		return nil, c.readError(in)
 	}
 	return in, nil
 }
 
-// because prefers the cause that ended a request over what net/http says of it.
-func because(ctx context.Context, err error) error {
+// withCause wraps err with the cause of ctx, if there is one.
+func withCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(err, cause) {
 		return fmt.Errorf("%w: %w", cause, err)
 	}
 	return err
 }
 
-// Read implements io.Reader over the answer's body with the idle timeout. Time
-// between two reads, which is the reader's own, does not count.
+// Read implements io.Reader over the response's body with the idle timeout. The time between
+// reads does not count.
 func (in *incoming) Read(buffer []byte) (int, error) {
 	in.idle.Reset(in.timeout)
 	count, err := in.response.Body.Read(buffer)
 	in.idle.Stop()
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = because(in.ctx, err)
+		err = withCause(in.ctx, err)
 	}
 	return count, err
 }
@@ -142,19 +142,19 @@
 	in.cancel(nil)
 }
 
-// statusError is an HTTP status that came without a problem document.
+// statusError is the HTTP status of a response without a problem document.
 type statusError int
 
-// Error tells the status.
+// Error implements error.
 func (s statusError) Error() string {
 	return fmt.Sprintf("status %d without a problem document", int(s))
 }
 
-// maxErrorBytes bounds the body of a refusal.
+// maxErrorBytes is the maximum size of an error document.
 const maxErrorBytes = 64 << 10
 
-// refusal reads the error document of an answer.
-func (c *client) refusal(in *incoming) error {
+// readError returns the error of an error response.
+func (c *client) readError(in *incoming) error {
 	status := in.response.StatusCode
 	body, err := readAll(in, maxErrorBytes)
 	if err != nil {
@@ -180,11 +180,11 @@
 	return body, nil
 }
 
-// exchange sends a request and reads its whole answer.
+// exchange sends a request and reads the complete response.
 func (c *client) exchange(ctx context.Context, out outgoing) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, out.wholeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, out.totalTimeout)
 	defer cancel()
-	out.headerTimeout = out.wholeTimeout
+	out.headerTimeout = out.totalTimeout
 	in, err := c.send(ctx, out)
 	if err != nil {
 		return nil, err
@@ -197,8 +197,7 @@
 	return body, nil
 }
 
-// exchangeJSON sends input as JSON and reads the answer into output; either may
-// be nil.
+// exchangeJSON sends input as JSON and decodes the response into output. Either may be nil.
 func (c *client) exchangeJSON(ctx context.Context, out outgoing, input, output any) error {
 	if input != nil {
 		body, err := json.Marshal(input)
@@ -207,7 +206,7 @@
 		}
 		out.body, out.contentType = body, contentTypeJSON
 	}
-	out.wholeTimeout = max(out.wholeTimeout, c.options.CallTimeout)
+	out.totalTimeout = max(out.totalTimeout, c.options.CallTimeout)
 	body, err := c.exchange(ctx, out)
 	if err != nil || output == nil {
 		return err
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -78,9 +78,8 @@
 	}
 }
 
-// inBubble runs test with clients of a server that answers by handler, in
-// virtual time.
-func inBubble(t *testing.T, handler http.HandlerFunc, change func(*backend.Options), test func(t *testing.T, directory backend.Directory, address netip.AddrPort)) {
+// withVirtualTime runs test with clients of a server for handler, in virtual time.
+func withVirtualTime(t *testing.T, handler http.HandlerFunc, configure func(*backend.Options), test func(t *testing.T, directory backend.Directory, address netip.AddrPort)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		address := netip.MustParseAddrPort("127.0.0.1:80")
@@ -90,7 +89,7 @@
 		go func() { _ = server.Serve(listener) }()
 		options := backend.DefaultOptions()
 		options.Dial = network.Dial
-		change(&options)
+		configure(&options)
 		directory := backend.NewDirectory(options)
 		test(t, directory, address)
 		directory.Close()
@@ -98,8 +97,8 @@
 	})
 }
 
-// serve answers by handler over loopback; its clients wait long, so that a busy
-// machine changes nothing.
+// serve starts a server for handler on loopback. Its clients have long timeouts, so that the
+// tests don't depend on the machine's load.
 func serve(t *testing.T, handler http.HandlerFunc) (backend.Directory, netip.AddrPort) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -111,7 +110,7 @@
 	return directory, netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-func TestARefusedConnectionWasNotDelivered(t *testing.T) {
+func TestRefusedConnectionIsNotDelivered(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +128,7 @@
 	}
 }
 
-func TestAnEndedContextWasNotDelivered(t *testing.T) {
+func TestCancelledContextIsNotDelivered(t *testing.T) {
 	var arrived atomic.Int32
 	directory, address := serve(t, func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
 	ctx, cancel := context.WithCancel(t.Context())
@@ -143,7 +142,7 @@
 	}
 }
 
-func TestRefusalsGoByTheirCode(t *testing.T) {
+func TestErrorDocumentsMapToErrorsByCode(t *testing.T) {
 	sentinels := []error{
 		backend.ErrRefused, backend.ErrDraining, backend.ErrStreamCancelled, backend.ErrStreamUnknown, backend.ErrStaleFence,
 	}
@@ -171,9 +170,9 @@
 	}
 }
 
-// Whatever happens after the request was sent, and is no refusal by its code,
-// leaves the outcome open.
-func TestAllElseIsBroken(t *testing.T) {
+// TestOtherFailuresHaveUnknownOutcome checks that every failure after the request was sent,
+// except known error codes, has an unknown outcome.
+func TestOtherFailuresHaveUnknownOutcome(t *testing.T) {
 	answers := map[string]http.HandlerFunc{
 		"connection closed": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"silence":           func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -201,14 +200,14 @@
 		},
 	}
 	for name, handler := range answers {
-		reading := func(w http.ResponseWriter, r *http.Request) {
+		readBody := func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			handler(w, r)
 		}
 		limit := func(options *backend.Options) { options.MaxBodyBytes, options.MaxEventBytes = 1024, 1024 }
 		for _, call := range calls() {
 			t.Run(name+"/"+call.name, func(t *testing.T) {
-				inBubble(t, reading, limit, func(t *testing.T, directory backend.Directory, address netip.AddrPort) {
+				withVirtualTime(t, readBody, limit, func(t *testing.T, directory backend.Directory, address netip.AddrPort) {
 					err := call.run(t.Context(), directory, address)
 					if !errors.Is(err, backend.ErrOutcomeUnknown) || backend.NotRun(err) {
 						t.Errorf("got %v", err)
@@ -219,7 +218,7 @@
 	}
 }
 
-func TestStreamsThatAreNotWholeAreBroken(t *testing.T) {
+func TestIncompleteStreamsHaveUnknownOutcome(t *testing.T) {
 	const token = "id: 0\ndata: {\"choices\":[{\"delta\":{\"content\":\"ba \"}}]}\n\n"
 	const last = "data: {\"choices\":[{\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":1}}\n\n"
 	streams := map[string]string{
@@ -252,9 +251,10 @@
 	})
 }
 
-// A slow reader is not a silent engine: time spent in onToken does not count.
-func TestASlowReaderIsNotCutOff(t *testing.T) {
-	inBubble(t, func(w http.ResponseWriter, _ *http.Request) {
+// TestSlowReaderDoesNotTimeOut checks that time spent in onToken does not count for the idle
+// timeout.
+func TestSlowReaderDoesNotTimeOut(t *testing.T) {
+	withVirtualTime(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "data: {\"choices\":[{\"delta\":{\"content\":\"ba \"}}]}\n\n")
 		_ = http.NewResponseController(w).Flush()
 		_, _ = io.WriteString(w, "data: {\"choices\":[{\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":1}}\n\ndata: [DONE]\n\n")
@@ -269,16 +269,16 @@
 	})
 }
 
-// A back end that nobody can connect to costs no more than the time it may take,
-// and was not delivered to.
-func TestADialInVainWasNotDelivered(t *testing.T) {
-	nobody := func(ctx context.Context, _, _ string) (net.Conn, error) {
+// TestDialTimeoutIsNotDelivered checks that a dial that never completes times out and is
+// reported as not delivered.
+func TestDialTimeoutIsNotDelivered(t *testing.T) {
+	dialUntilCancelled := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	for _, call := range calls() {
 		t.Run(call.name, func(t *testing.T) {
-			inBubble(t, nil, func(options *backend.Options) { options.Dial = nobody }, func(t *testing.T, directory backend.Directory, address netip.AddrPort) {
+			withVirtualTime(t, nil, func(options *backend.Options) { options.Dial = dialUntilCancelled }, func(t *testing.T, directory backend.Directory, address netip.AddrPort) {
 				if err := call.run(t.Context(), directory, address); !errors.Is(err, backend.ErrNotDelivered) {
 					t.Errorf("got %v", err)
 				}
@@ -287,9 +287,8 @@
 	}
 }
 
-// net/http repeats requests by itself on a reused connection that breaks, and
-// takes an Idempotency-Key as leave to repeat a POST. An operation must still
-// reach the replica at most once.
+// TestAnOperationIsSentAtMostOnce guards against retries by net/http, which repeats requests
+// on a reused connection that breaks, and also POST requests with an Idempotency-Key.
 func TestAnOperationIsSentAtMostOnce(t *testing.T) {
 	for _, body := range []string{"", "{}"} {
 		t.Run("body "+body, func(t *testing.T) {
--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -6,13 +6,14 @@
 	"sync"
 )
 
-// HTTPDirectory makes HTTP clients. Clients of engines share connections, those
-// of applications share none.
+// HTTPDirectory returns HTTP clients. Clients of engines share a connection pool; those of
+// applications open a connection for each operation. It is safe for concurrent use.
 type HTTPDirectory struct {
 	options      Options
 	engines      *http.Transport
 	applications *http.Transport
 
+	// mutex guards the clients.
 	mutex              sync.Mutex
 	engineClients      map[netip.AddrPort]*EngineClient
 	applicationClients map[netip.AddrPort]*ApplicationClient
@@ -20,9 +21,9 @@
 
 var _ Directory = (*HTTPDirectory)(nil)
 
-// maxRememberedClients bounds the clients that a directory keeps; a client holds
-// no connection itself, so forgetting one costs nothing.
-const maxRememberedClients = 4096
+// maxCachedClients is the maximum number of cached clients of each kind. Clients have no
+// connections of their own, so the cache may be cleared at any time.
+const maxCachedClients = 4096
 
 // NewDirectory returns a directory of HTTP clients.
 func NewDirectory(options Options) *HTTPDirectory {
@@ -39,7 +40,7 @@
 func (d *HTTPDirectory) Engine(address netip.AddrPort) Engine {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return remember(d.engineClients, maxRememberedClients, address, func() *EngineClient {
+	return cachedClient(d.engineClients, maxCachedClients, address, func() *EngineClient {
 		return &EngineClient{client: newClient(address, d.options, d.engines)}
 	})
 }
@@ -48,12 +49,12 @@
 func (d *HTTPDirectory) Application(address netip.AddrPort) Application {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return remember(d.applicationClients, maxRememberedClients, address, func() *ApplicationClient {
+	return cachedClient(d.applicationClients, maxCachedClients, address, func() *ApplicationClient {
 		return &ApplicationClient{client: newClient(address, d.options, d.applications)}
 	})
 }
 
-func remember[C any](clients map[netip.AddrPort]*C, limit int, address netip.AddrPort, create func() *C) *C {
+func cachedClient[C any](clients map[netip.AddrPort]*C, limit int, address netip.AddrPort, create func() *C) *C {
 	if known, found := clients[address]; found {
 		return known
 	}
@@ -65,7 +66,7 @@
 	return created
 }
 
-// Close closes the connections that are idle.
+// Close closes idle connections.
 func (d *HTTPDirectory) Close() {
 	d.engines.CloseIdleConnections()
 	d.applications.CloseIdleConnections()
--- a/internal/backend/engine_client.go
+++ b/internal/backend/engine_client.go
@@ -39,8 +39,8 @@
 	return result, nil
 }
 
-// Resume implements Engine. It reads the stream from its start, so that the
-// result has the whole text, and hands on only what the caller lacks.
+// Resume implements Engine. It reads the stream from its start, so that the result has the
+// complete text, and passes only the tokens from index from to onToken.
 func (e *EngineClient) Resume(ctx context.Context, stream identity.StreamID, from int, onToken func(Token) error) (GenerateResult, error) {
 	result, err := e.stream(ctx, outgoing{method: http.MethodGet, path: StreamPath(stream)}, from, onToken)
 	if err != nil {
@@ -56,25 +56,25 @@
 		return GenerateResult{}, err
 	}
 	defer in.close()
-	assembly := answerAssembly{from: from, onToken: onToken}
+	assembler := streamAssembler{from: from, onToken: onToken}
 	events := newEventReader(in, e.client.options.MaxEventBytes)
 	for {
 		event, err := events.next()
 		if err != nil {
-			return GenerateResult{}, fmt.Errorf("%w after %d tokens: %w", ErrOutcomeUnknown, assembly.next, err)
+			return GenerateResult{}, fmt.Errorf("%w after %d tokens: %w", ErrOutcomeUnknown, assembler.next, err)
 		}
-		ended, err := assembly.take(event)
+		ended, err := assembler.handleEvent(event)
 		if err != nil {
 			return GenerateResult{}, err
 		}
 		if ended {
-			return assembly.result()
+			return assembler.result()
 		}
 	}
 }
 
-// answerAssembly puts the events of one stream together.
-type answerAssembly struct {
+// streamAssembler assembles the result from the events of one stream.
+type streamAssembler struct {
 	from, next int
 	onToken    func(Token) error
 	text       strings.Builder
@@ -82,8 +82,8 @@
 	usage      *Usage
 }
 
-// take takes one event in; ended tells that it was the stream's last.
-func (a *answerAssembly) take(event serverEvent) (ended bool, err error) {
+// handleEvent handles one event and reports whether it is the last one of the stream.
+func (a *streamAssembler) handleEvent(event serverEvent) (ended bool, err error) {
 	if event.name == EventError {
 		var document ErrorDocument
 		if err := json.Unmarshal(event.data, &document); err != nil {
@@ -119,7 +119,7 @@
 	return false, nil
 }
 
-func (a *answerAssembly) token(text string) error {
+func (a *streamAssembler) token(text string) error {
 	index := a.next
 	a.next++
 	a.text.WriteString(text)
@@ -129,9 +129,9 @@
 	return a.onToken(Token{Index: index, Text: text})
 }
 
-// result returns the whole answer. A stream that ends without having told why
-// it finished, or with another number of tokens than it says, is not whole.
-func (a *answerAssembly) result() (GenerateResult, error) {
+// result returns the complete result. It fails if the stream ended without a finish reason
+// or usage, or with a different number of tokens than its usage states.
+func (a *streamAssembler) result() (GenerateResult, error) {
 	if a.reason == "" || a.usage == nil {
 		return GenerateResult{}, fmt.Errorf("%w: the stream ended without its usage", ErrOutcomeUnknown)
 	}
@@ -186,7 +186,7 @@
 func (e *EngineClient) Export(ctx context.Context, program identity.ProgramID, branch identity.BranchID) ([]byte, error) {
 	state, err := e.client.exchange(ctx, outgoing{
 		method: http.MethodGet, path: PathState + prefixQuery(program, branch),
-		wholeTimeout: e.client.options.TransferTimeout,
+		totalTimeout: e.client.options.TransferTimeout,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("export %s/%s: %w", program, branch, err)
@@ -198,7 +198,7 @@
 func (e *EngineClient) Import(ctx context.Context, program identity.ProgramID, branch identity.BranchID, state []byte) error {
 	_, err := e.client.exchange(ctx, outgoing{
 		method: http.MethodPut, path: PathState + prefixQuery(program, branch), body: state, contentType: contentTypeState,
-		wholeTimeout: e.client.options.TransferTimeout,
+		totalTimeout: e.client.options.TransferTimeout,
 	})
 	if err != nil {
 		return fmt.Errorf("import %s/%s: %w", program, branch, err)
@@ -208,11 +208,11 @@
 
 // Order implements Engine.
 func (e *EngineClient) Order(ctx context.Context, order Order) error {
-	out := outgoing{method: http.MethodPost, path: PathOrders, wholeTimeout: e.client.options.OrderTimeout}
+	out := outgoing{method: http.MethodPost, path: PathOrders, totalTimeout: e.client.options.OrderTimeout}
 	return e.call(ctx, "order "+string(order.Kind)+" "+order.Subject, out, order, nil)
 }
 
-// call is exchangeJSON with the action in front of errors.
+// call is exchangeJSON with errors prefixed by action.
 func (e *EngineClient) call(ctx context.Context, action string, out outgoing, input, output any) error {
 	if err := e.client.exchangeJSON(ctx, out, input, output); err != nil {
 		return fmt.Errorf("%s: %w", action, err)
@@ -220,7 +220,7 @@
 	return nil
 }
 
-// NotRun tells whether err makes it certain that a request did not run.
+// NotRun reports whether the request that failed with err is known not to have run.
 func NotRun(err error) bool {
 	return errors.Is(err, ErrNotDelivered) || errors.Is(err, ErrRefused)
 }
--- a/internal/backend/events.go
+++ b/internal/backend/events.go
@@ -13,14 +13,13 @@
 	data     []byte
 }
 
-// eventReader reads server-sent events, each of limited size. Comments are
-// skipped.
+// eventReader reads server-sent events of limited size and skips comments.
 type eventReader struct {
 	lines *bufio.Scanner
 	limit int
 }
 
-// initialEventBytes is the first size of the line buffer.
+// initialEventBytes is the initial size of the line buffer.
 const initialEventBytes = 4 << 10
 
 func newEventReader(reader io.Reader, limit int) *eventReader {
@@ -29,9 +28,8 @@
 	return &eventReader{lines: lines, limit: limit}
 }
 
-// next returns the next event; its data is valid until the following call. At
-// the end of the input it returns io.ErrUnexpectedEOF, since a whole stream says
-// itself where it ends.
+// next returns the next event, whose data is valid until the following call. At the end of
+// the input it returns io.ErrUnexpectedEOF, since a complete stream ends with an event.
 func (r *eventReader) next() (serverEvent, error) {
 	var event serverEvent
 	hasData := false
--- a/internal/backend/options.go
+++ b/internal/backend/options.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// Options bound what the HTTP clients wait for, read and keep open.
+// Options are the timeouts and limits of the HTTP clients.
 type Options struct {
-	// DialTimeout bounds connecting; a dial that fails was never delivered.
+	// DialTimeout is the timeout of a dial. A request whose dial fails was not delivered.
 	DialTimeout time.Duration
-	// HeaderTimeout bounds the wait for an answer's first byte.
+	// HeaderTimeout is the timeout until a stream's response header.
 	HeaderTimeout time.Duration
-	// IdleTimeout bounds the silence inside a stream. Engines send comments
-	// while a stream waits, so a silent engine is a frozen or unreachable one.
+	// IdleTimeout is the timeout of a read from a response. Engines send comments while a
+	// stream waits, so an engine that sends nothing is paused or unreachable.
 	IdleTimeout time.Duration
-	// CallTimeout bounds a small request as a whole.
+	// CallTimeout is the timeout of a small request.
 	CallTimeout time.Duration
-	// TransferTimeout bounds an export or import, OrderTimeout a fenced order,
-	// InvokeTimeout an application's operation.
+	// TransferTimeout is the timeout of an export or import, OrderTimeout that of a fenced
+	// order, and InvokeTimeout that of an application's operation.
 	TransferTimeout time.Duration
 	OrderTimeout    time.Duration
 	InvokeTimeout   time.Duration
-	// MaxBodyBytes bounds a whole answer, MaxEventBytes one event of a stream.
+	// MaxBodyBytes is the maximum size of a response, and MaxEventBytes that of one event
+	// of a stream.
 	MaxBodyBytes  int64
 	MaxEventBytes int
-	// MaxConnections bounds the connections to one engine, MaxIdleConnections
-	// those that are kept open unused, for IdleConnectionTimeout.
+	// MaxConnections is the maximum number of connections to one engine. At most
+	// MaxIdleConnections of them stay open while idle, for up to IdleConnectionTimeout.
 	MaxConnections        int
 	MaxIdleConnections    int
 	IdleConnectionTimeout time.Duration
-	// Dial makes connections; nil takes TCP. In-memory networks set it.
+	// Dial opens connections; nil uses TCP. In-memory networks set it.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// DefaultOptions returns the bounds for a site whose zones are milliseconds apart.
+// DefaultOptions returns options for a site with round trips of milliseconds between zones.
 func DefaultOptions() Options {
 	return Options{
 		DialTimeout:           2 * time.Second,
@@ -53,8 +54,8 @@
 	}
 }
 
-// engineTransport reuses connections. Requests to engines are safe to repeat:
-// the stream id joins a stream that runs already.
+// engineTransport reuses connections. Requests to engines may be retried, since a repeated
+// stream id joins the running stream.
 func (o Options) engineTransport() *http.Transport {
 	transport := o.transport()
 	transport.MaxConnsPerHost = o.MaxConnections
@@ -63,9 +64,9 @@
 	return transport
 }
 
-// applicationTransport opens a connection per operation. On a reused one, which
-// the replica may just have closed, a request that never arrived could not be
-// told from one whose answer was lost, and net/http may send it a second time.
+// applicationTransport opens a connection per operation. The replica may close a reused
+// connection at any time; then a request that never arrived could not be distinguished from
+// one whose response was lost, and net/http may retry it.
 func (o Options) applicationTransport() *http.Transport {
 	transport := o.transport()
 	transport.DisableKeepAlives = true
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -12,19 +12,20 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// The paths of an engine's HTTP interface. Generation has the shape that OpenAI
-// clients use; the rest is what the platform's engines offer beside it.
+// The paths of the HTTP interfaces of back ends. Generation is compatible with OpenAI clients;
+// the other paths are specific to the platform.
 const (
 	PathChatCompletions = "/v1/chat/completions"
-	// PathStreams takes GET to resume and DELETE to cancel, with an escaped
-	// stream id behind it.
+	// PathStreams is followed by an escaped stream id. GET resumes the stream, DELETE
+	// cancels it.
 	PathStreams     = "/v1/streams/"
 	PathPrefixes    = "/v1/prefixes"
 	PathState       = "/v1/prefixes/state"
 	PathLoad        = "/v1/load"
 	PathCacheEvents = "/v1/cache-events"
 	PathOrders      = "/v1/orders"
-	// PathOperations takes POST with an operation's name behind it, at an application.
+	// PathOperations is followed by an operation's name. POST runs the operation at an
+	// application.
 	PathOperations = "/v1/operations/"
 )
 
@@ -35,7 +36,7 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// The content types of answers.
+// The content types of requests and responses.
 const (
 	contentTypeJSON        = "application/json"
 	contentTypeProblem     = "application/problem+json"
@@ -43,11 +44,10 @@
 	contentTypeState       = "application/octet-stream"
 )
 
-// ErrorCode is the stable name of a back end's refusal.
+// ErrorCode is the stable, machine-readable identifier of a back end's error.
 type ErrorCode string
 
-// The codes that back ends answer with. Any other code, or none, says nothing
-// certain: the request may have run.
+// The error codes of back ends. Any other code, or none, leaves the outcome unknown.
 const (
 	CodeRefused         ErrorCode = "refused"
 	CodeDraining        ErrorCode = "draining"
@@ -56,8 +56,8 @@
 	CodeStaleFence      ErrorCode = "stale_fence"
 )
 
-// ErrorDocument is a back end's answer to a request that it did not carry out,
-// in the form of RFC 9457.
+// ErrorDocument is the RFC 9457 problem document of a request that a back end did not carry
+// out.
 type ErrorDocument struct {
 	Title  string    `json:"title"`
 	Status int       `json:"status"`
@@ -65,17 +65,17 @@
 	Code   ErrorCode `json:"code"`
 }
 
-// Error returns code and detail.
+// Error implements error.
 func (d *ErrorDocument) Error() string { return string(d.Code) + ": " + d.Detail }
 
-// GetStatus returns the HTTP status, as huma wants it.
+// GetStatus implements huma.StatusError.
 func (d *ErrorDocument) GetStatus() int { return d.Status }
 
-// ContentType makes huma answer with a problem document.
+// ContentType implements huma.ContentTypeFilter, so that huma responds with a problem document.
 func (d *ErrorDocument) ContentType(string) string { return contentTypeProblem }
 
-// errorKinds pairs sentinels with their codes; the first match counts, so the
-// narrower ones stand first.
+// errorKinds maps errors to codes and statuses. The first match counts, so more specific
+// errors come first.
 var errorKinds = []struct {
 	err    error
 	code   ErrorCode
@@ -88,8 +88,8 @@
 	{ErrRefused, CodeRefused, http.StatusUnprocessableEntity},
 }
 
-// NewErrorDocument returns the document of err, and false where err is none that
-// a back end can answer with: then it has to break the connection.
+// NewErrorDocument returns the document of err. It returns false if err has no code; then the
+// back end must close the connection instead.
 func NewErrorDocument(err error) (*ErrorDocument, bool) {
 	for _, kind := range errorKinds {
 		if errors.Is(err, kind.err) {
@@ -101,8 +101,8 @@
 	return nil, false
 }
 
-// WriteError answers a request with the document of err; where err is none that
-// can be answered with, it breaks the connection, as a handler may.
+// WriteError writes the document of err as the response. If err has no code, it aborts the
+// connection with http.ErrAbortHandler.
 func WriteError(w http.ResponseWriter, err error) {
 	document, answerable := NewErrorDocument(err)
 	if !answerable {
@@ -113,7 +113,7 @@
 	_ = json.NewEncoder(w).Encode(document)
 }
 
-// sentinel returns the error that a document stands for.
+// sentinel returns the error of this package for the document's code.
 func (d *ErrorDocument) sentinel() error {
 	if d.Code == CodeDraining {
 		return fmt.Errorf("%w: %w: %s", ErrRefused, ErrDraining, d.Detail)
@@ -126,8 +126,8 @@
 	return fmt.Errorf("%w: status %d, code %q: %s", ErrOutcomeUnknown, d.Status, d.Code, d.Detail)
 }
 
-// FormatStreamID writes a stream id as one line: five fields between slashes,
-// each escaped. In a URL it has to be escaped once more.
+// FormatStreamID formats a stream id as five escaped fields separated by slashes. In a URL the
+// result must be escaped again.
 func FormatStreamID(id identity.StreamID) string {
 	return strings.Join([]string{
 		url.PathEscape(string(id.Call.Program)),
@@ -138,10 +138,10 @@
 	}, "/")
 }
 
-// streamFields is how many fields FormatStreamID writes.
+// streamFields is the number of fields in a formatted stream id.
 const streamFields = 5
 
-// ParseStreamID reads what FormatStreamID wrote.
+// ParseStreamID parses the result of FormatStreamID.
 func ParseStreamID(text string) (identity.StreamID, error) {
 	fields := strings.Split(text, "/")
 	if len(fields) != streamFields {
@@ -178,7 +178,7 @@
 	Stream    bool      `json:"stream"`
 }
 
-// ChatResponse is a whole completion, or one chunk of a streamed one.
+// ChatResponse is a complete completion or one chunk of a streamed one.
 type ChatResponse struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -188,13 +188,13 @@
 	Usage   *ChatUsage   `json:"usage,omitempty"`
 }
 
-// The objects that a ChatResponse can be.
+// The values of ChatResponse.Object.
 const (
 	ObjectCompletion = "chat.completion"
 	ObjectChunk      = "chat.completion.chunk"
 )
 
-// ChatChoice holds Message in a whole completion, Delta in a chunk.
+// ChatChoice has a Message in a complete completion and a Delta in a chunk.
 type ChatChoice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -208,7 +208,7 @@
 	Content string `json:"content"`
 }
 
-// ChatUsage counts tokens in the shape that OpenAI clients know.
+// ChatUsage counts tokens in the format of the OpenAI API.
 type ChatUsage struct {
 	PromptTokens        int                 `json:"prompt_tokens"`
 	CompletionTokens    int                 `json:"completion_tokens"`
@@ -216,12 +216,12 @@
 	PromptTokensDetails PromptTokensDetails `json:"prompt_tokens_details"`
 }
 
-// PromptTokensDetails tells how much of the prompt was in the cache.
+// PromptTokensDetails has the number of prompt tokens found in the cache.
 type PromptTokensDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// NewChatUsage returns usage in the chat shape.
+// NewChatUsage converts usage to the format of the OpenAI API.
 func NewChatUsage(usage Usage) *ChatUsage {
 	return &ChatUsage{
 		PromptTokens: usage.PromptTokens, CompletionTokens: usage.CompletionTokens,
@@ -236,10 +236,10 @@
 	}
 }
 
-// The marks of the event stream.
+// The markers of the event stream.
 const (
-	// StreamEnd is the data of the last event of a whole stream.
+	// StreamEnd is the data of the last event of a complete stream.
 	StreamEnd = "[DONE]"
-	// EventError names an event whose data is an ErrorDocument.
+	// EventError is the name of an event whose data is an ErrorDocument.
 	EventError = "error"
 )
--- a/internal/backend/protocol_test.go
+++ b/internal/backend/protocol_test.go
@@ -11,8 +11,9 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Every stream id, whatever its letters, comes back from a header and from a URL.
-func TestStreamIDsSurviveHeadersAndPaths(t *testing.T) {
+// TestStreamIDsRoundTripThroughPaths checks that any stream id, also one with special
+// characters, can be parsed from the URL path that it was formatted into.
+func TestStreamIDsRoundTripThroughPaths(t *testing.T) {
 	var parsed string
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+backend.PathStreams+"{id}", func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/backend/tokens.go
+++ b/internal/backend/tokens.go
@@ -1,25 +1,24 @@
 package backend
 
-// The tokens that a text is reckoned as. Engines of today take about four bytes
-// a token; a message costs a few tokens for its role and its ends.
+// The parameters of token estimates: bytes of text per token, and tokens that a message adds
+// for its role and delimiters.
 const (
 	BytesPerToken           = 4
 	MessageOverheadInTokens = 4
 )
 
-// CountTextTokens returns the tokens that text is reckoned as.
+// CountTextTokens returns the estimated number of tokens of text.
 func CountTextTokens(text string) int {
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
-// CountMessageTokens returns the tokens that message is reckoned as.
+// CountMessageTokens returns the estimated number of tokens of message.
 func CountMessageTokens(message Message) int {
 	return CountTextTokens(message.Role) + CountTextTokens(message.Content) + MessageOverheadInTokens
 }
 
-// CountTokens returns the tokens that a prompt is reckoned as. Budgets reserve by
-// it and the stand-in engines count by it, so that both agree; a real engine's
-// Usage settles the difference.
+// CountTokens returns the estimated number of tokens of a prompt. Budgets reserve this number,
+// and engine emulators report it. For other engines, Usage corrects the reservation.
 func CountTokens(messages []Message) int {
 	total := 0
 	for _, message := range messages {
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills what a configuration leaves out.
+// Package defaults sets default values for unset configuration fields.
 package defaults
 
-// Set gives *value the fallback where it is the zero value of its type.
+// Set sets *value to fallback if it is the zero value of its type.
 func Set[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
--- a/internal/siteservices/client.go
+++ b/internal/siteservices/client.go
@@ -21,25 +21,25 @@
 	DefaultRequestTimeout = 10 * time.Second
 	idleConnectionTimeout = 90 * time.Second
 	maxIdleConnections    = 16
-	// errorTextLimit bounds how much of an error answer is quoted.
+	// errorTextLimit is the maximum length of an error response quoted in errors.
 	errorTextLimit = 512
 )
 
-// ClientOptions sets how a client reaches one service.
+// ClientOptions configure the client of one service.
 type ClientOptions struct {
-	// Address is where the service listens.
+	// Address is the address of the service.
 	Address netip.AddrPort
-	// Caller is the name of this node, for the service's records.
+	// Caller is the name of this node. It is sent in CallerHeader.
 	Caller string
-	// DialTimeout bounds making a connection; 0 takes DefaultDialTimeout.
+	// DialTimeout is the timeout of a dial; 0 means DefaultDialTimeout.
 	DialTimeout time.Duration
-	// RequestTimeout bounds one request beyond its long poll, if the caller's
-	// context sets no earlier end; 0 takes DefaultRequestTimeout.
+	// RequestTimeout is the timeout of one request, in addition to its long poll; 0 means
+	// DefaultRequestTimeout.
 	RequestTimeout time.Duration
 }
 
-// client sends requests to one service and tells apart, for each failure,
-// whether the request can have had an effect.
+// client sends requests to one service. Its errors distinguish requests that had no effect
+// from those whose outcome is unknown.
 type client struct {
 	options ClientOptions
 	http    *http.Client
@@ -60,50 +60,50 @@
 		IdleConnTimeout:     idleConnectionTimeout,
 		DisableCompression:  true,
 	}
-	return &client{options: options, http: &http.Client{Transport: transport, CheckRedirect: refuseRedirect}}
+	return &client{options: options, http: &http.Client{Transport: transport, CheckRedirect: noRedirects}}
 }
 
-func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func noRedirects(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// close drops idle connections.
+// close closes idle connections.
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// exchange is one request and the place its answer goes.
+// exchange is one request and the destination of its response.
 type exchange struct {
 	method string
-	// path is escaped already.
+	// path is escaped.
 	path   string
 	query  url.Values
 	body   any
 	answer any
-	// wait is the long poll that is part of the request.
+	// wait is the duration of the request's long poll.
 	wait time.Duration
 }
 
-// do carries out one exchange. Errors wrap ErrUnavailable where the request
-// certainly had no effect and ErrAnswerLost otherwise.
+// do sends the request and decodes the response. Errors wrap ErrUnavailable if the request
+// had no effect, else ErrOutcomeUnknown.
 func (c *client) do(ctx context.Context, e exchange) error {
-	place := e.method + " " + e.path
+	operation := e.method + " " + e.path
 	ctx, cancel := context.WithTimeout(ctx, e.wait+c.options.RequestTimeout)
 	defer cancel()
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	request, err := c.request(httptrace.WithClientTrace(ctx, trace), e)
 	if err != nil {
-		return fmt.Errorf("site services: %s: %w: %w", place, ErrUnavailable, err)
+		return fmt.Errorf("site services: %s: %w: %w", operation, ErrUnavailable, err)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
 		if !connected.Load() {
-			return fmt.Errorf("site services: %s: %w: %w", place, ErrUnavailable, err)
+			return fmt.Errorf("site services: %s: %w: %w", operation, ErrUnavailable, err)
 		}
-		return fmt.Errorf("site services: %s: %w: %w", place, ErrOutcomeUnknown, err)
+		return fmt.Errorf("site services: %s: %w: %w", operation, ErrOutcomeUnknown, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return refusal(place, response)
+		return responseError(operation, response)
 	}
-	return decode(place, response.Body, e.answer)
+	return decode(operation, response.Body, e.answer)
 }
 
 func (c *client) request(ctx context.Context, e exchange) (*http.Request, error) {
@@ -131,29 +131,30 @@
 	return request, nil
 }
 
-// refusal turns an answer other than 200 into an error. Only the service's own
-// word counts as proof that nothing happened.
-func refusal(place string, response *http.Response) error {
+// responseError returns the error of a response other than 200. Only EffectHeader proves that
+// the request had no effect, since a proxy may have sent the response.
+func responseError(operation string, response *http.Response) error {
 	kind := ErrOutcomeUnknown
 	if response.Header.Get(EffectHeader) == EffectNone {
 		kind = ErrUnavailable
 	}
 	text, _ := io.ReadAll(io.LimitReader(response.Body, errorTextLimit))
-	return fmt.Errorf("site services: %s: %w: status %d: %s", place, kind, response.StatusCode, bytes.TrimSpace(text))
+	return fmt.Errorf("site services: %s: %w: status %d: %s", operation, kind, response.StatusCode, bytes.TrimSpace(text))
 }
 
-// decode reads a bounded answer. An answer that can't be read is a lost one.
-func decode(place string, body io.Reader, answer any) error {
+// decode decodes a response of limited size. The outcome of a request with an invalid response
+// is unknown.
+func decode(operation string, body io.Reader, answer any) error {
 	limited := &io.LimitedReader{R: body, N: MaxBodyBytes + 1}
 	encoded, err := io.ReadAll(limited)
 	if err != nil {
-		return fmt.Errorf("site services: %s: %w: read answer: %w", place, ErrOutcomeUnknown, err)
+		return fmt.Errorf("site services: %s: %w: read answer: %w", operation, ErrOutcomeUnknown, err)
 	}
 	if len(encoded) > MaxBodyBytes {
-		return fmt.Errorf("site services: %s: %w: answer is over the limit of %d bytes", place, ErrOutcomeUnknown, MaxBodyBytes)
+		return fmt.Errorf("site services: %s: %w: answer is over the limit of %d bytes", operation, ErrOutcomeUnknown, MaxBodyBytes)
 	}
 	if err := json.Unmarshal(encoded, answer); err != nil {
-		return fmt.Errorf("site services: %s: %w: decode answer: %w", place, ErrOutcomeUnknown, err)
+		return fmt.Errorf("site services: %s: %w: decode answer: %w", operation, ErrOutcomeUnknown, err)
 	}
 	return nil
 }
--- a/internal/siteservices/client_test.go
+++ b/internal/siteservices/client_test.go
@@ -41,7 +41,7 @@
 	check.Equal(result, siteservices.ReadResult{Records: [][]byte{{255}}, From: 1, End: 2})
 }
 
-func TestLogClientTellsTheFaultsApart(t *testing.T) {
+func TestLogClientDistinguishesFaults(t *testing.T) {
 	service := logservice.New(1)
 	client := siteservices.NewLogClient(serve(t, logservice.NewServer(service)))
 	defer client.Close()
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestClientErrorsOfForeignAnswers(t *testing.T) {
+func TestClientErrorsOfInvalidResponses(t *testing.T) {
 	cases := map[string]struct {
 		handler http.HandlerFunc
 		want    error
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestClientDialFailureHadNoEffect(t *testing.T) {
+func TestClientDialFailureIsUnavailable(t *testing.T) {
 	check := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	check.NoErr(err)
@@ -124,7 +124,7 @@
 	check.True(errors.Is(err, siteservices.ErrUnavailable))
 }
 
-func TestClientGivesUpOnASilentService(t *testing.T) {
+func TestClientTimesOutWithoutAResponse(t *testing.T) {
 	check := is.New(t)
 	release := make(chan struct{})
 	options := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
@@ -136,7 +136,7 @@
 	check.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-func TestClientRefusesAnOversizedRequest(t *testing.T) {
+func TestClientRejectsAnOversizedRequest(t *testing.T) {
 	check := is.New(t)
 	service := logservice.New(1)
 	client := siteservices.NewLogClient(serve(t, logservice.NewServer(service)))
--- a/internal/siteservices/clients.go
+++ b/internal/siteservices/clients.go
@@ -34,7 +34,7 @@
 	return answer.Offset, err
 }
 
-// Read implements Log. A wait over MaxWait is cut to it.
+// Read implements Log. It limits wait to MaxWait.
 func (l *LogClient) Read(
 	ctx context.Context, stream string, from Offset, limit int, wait time.Duration,
 ) (ReadResult, error) {
--- a/internal/siteservices/platform.go
+++ b/internal/siteservices/platform.go
@@ -1,7 +1,6 @@
-// Package siteservices holds the clients of what the platform gives: the log
-// service, the machine list, the weight store and the tool services. The
-// interfaces here are what the rest of stepseam sees; the HTTP clients beside
-// them and the stand-ins of internal/emulator implement them.
+// Package siteservices defines the interfaces of the platform's log service, machine list and
+// weight store, and implements HTTP clients for them. The emulators in internal/emulator
+// implement the same interfaces.
 package siteservices
 
 import (
@@ -13,43 +12,42 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// ErrUnavailable tells that the service did not take the request: it had no
-// effect, for certain.
+// ErrUnavailable means that the service did not accept the request, which had no effect.
 var ErrUnavailable = errors.New("site services: service unavailable")
 
-// ErrOutcomeUnknown tells that the request may or may not have had its effect. The
-// caller must read back before it tries again.
+// ErrOutcomeUnknown means that the request may have had its effect. The caller must read the
+// state back before it retries.
 var ErrOutcomeUnknown = errors.New("site services: answer lost, the effect is unknown")
 
-// Offset is a position in a log stream, counted from 0 without gaps.
+// Offset is the position of a record in a log stream. Offsets start at 0 and have no gaps.
 type Offset uint64
 
-// ReadResult is one answer of Log.Read.
+// ReadResult is the result of Log.Read.
 type ReadResult struct {
-	// Records are the stream's records from the asked offset on, at most limit.
+	// Records are up to limit records of the stream, starting at the requested offset.
 	Records [][]byte
 	// From is the offset of the first record returned.
 	From Offset
-	// End is the offset that the stream's next appended record will get.
+	// End is the offset of the next record to be appended to the stream.
 	End Offset
 }
 
-// Next returns the offset to read on from.
+// Next returns the offset of the next read.
 func (r ReadResult) Next() Offset { return r.From + Offset(len(r.Records)) }
 
-// Log is the platform's append-only log service. It promises a total order
-// inside each stream and durability of what it acknowledged, and nothing more:
-// no compare-and-set, and an acknowledgement can get lost.
+// Log is the platform's append-only log service. It guarantees a total order within each
+// stream and the durability of acknowledged records. There is no compare-and-set, and an
+// acknowledgement may be lost.
 type Log interface {
-	// Append adds records to stream, adjacent and in order, and returns the
-	// offset of the first. Errors wrap ErrUnavailable or ErrAnswerLost.
+	// Append appends records to stream, contiguous and in order, and returns the offset of
+	// the first one. Errors wrap ErrUnavailable or ErrOutcomeUnknown.
 	Append(ctx context.Context, stream string, records [][]byte) (Offset, error)
-	// Read returns records from offset from on. With none there, it waits up to
-	// wait for one (long poll) and then returns an empty result.
+	// Read returns records starting at offset from. If there are none, it waits up to wait
+	// for one (long poll), and then returns an empty result.
 	Read(ctx context.Context, stream string, from Offset, limit int, wait time.Duration) (ReadResult, error)
 }
 
-// MachineRole tells what runs on a listed machine.
+// MachineRole is the role of a listed machine.
 type MachineRole string
 
 // The roles of listed machines.
@@ -59,7 +57,7 @@
 	RoleApplication MachineRole = "application"
 )
 
-// MachineState is live or leaving; a machine that is gone is not listed.
+// MachineState is the state of a listed machine. Machines that have left are not listed.
 type MachineState string
 
 // The states of listed machines.
@@ -68,7 +66,7 @@
 	MachineLeaving MachineState = "leaving"
 )
 
-// Machine is one row of the machine list. The list lags behind the truth.
+// Machine is one entry of the machine list. The list may be stale.
 type Machine struct {
 	Name    string          `json:"name"`
 	Role    MachineRole     `json:"role"`
@@ -87,9 +85,9 @@
 	Machines(ctx context.Context) ([]Machine, error)
 }
 
-// WeightStore serves model weights to engines at a limited rate. Stepseam asks
-// it only how long a load would have to wait, before it orders one.
+// WeightStore serves model weights to engines at a limited rate. Nodes only query how long a
+// load would wait before they order one.
 type WeightStore interface {
-	// Wait returns how long a fetch that starts now waits for its turn.
+	// Wait returns how long a fetch that starts now would be queued.
 	Wait(ctx context.Context, model, version string) (time.Duration, error)
 }
--- a/internal/suggest/suggest.go
+++ b/internal/suggest/suggest.go
@@ -1,7 +1,7 @@
-// Package suggest finds the name that a misspelt one was probably meant to be.
+// Package suggest finds the known name that is closest to a misspelt one.
 package suggest
 
-// maximumDistance is the largest number of edits that still counts as a slip.
+// maximumDistance is the maximum edit distance of a suggestion.
 const maximumDistance = 3
 
 // Nearest returns the known name closest to name, or "" if none is close.
@@ -16,7 +16,7 @@
 	return best
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance of a and b in bytes.
 func editDistance(a, b string) int {
 	previous := make([]int, len(b)+1)
 	for j := range previous {
