--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -51,7 +51,7 @@
 		kinds := strings.Trim(strings.ReplaceAll(fmt.Sprint(column.Kinds), " ", ", "), "[]")
 		row := fmt.Sprintf("| `%s` | %s | %s | %s | %s |", column.Name, kinds, standard, column.Values, column.Meaning)
 		if !strings.Contains(page, row) {
-			t.Errorf("docs/OPERATIONS.md lacks: %s", row)
+			t.Errorf("docs/OPERATIONS.md has no row: %s", row)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 			start += fmt.Sprintf("%v |", value.Interface())
 		}
 		if !strings.Contains(page, start) {
-			t.Errorf("docs/OPERATIONS.md lacks a row that starts: %s", start)
+			t.Errorf("docs/OPERATIONS.md has no row that starts with: %s", start)
 		}
 	})
 }
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -149,7 +149,7 @@
 	for _, sentinel := range sentinels {
 		document, known := backend.NewErrorDocument(fmt.Errorf("place: %w", sentinel))
 		if !known {
-			t.Fatalf("%v has no document", sentinel)
+			t.Fatalf("%v has no error document", sentinel)
 		}
 		directory, address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/problem+json; charset=utf-8")
@@ -175,12 +175,12 @@
 func TestOtherFailuresHaveUnknownOutcome(t *testing.T) {
 	answers := map[string]http.HandlerFunc{
 		"connection closed": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"silence":           func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"silence after the header": func(w http.ResponseWriter, r *http.Request) {
+		"no response":       func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"no data after the header": func(w http.ResponseWriter, r *http.Request) {
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		},
-		"status without document": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) },
+		"status without a document": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) },
 		"unknown code": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/problem+json")
 			w.WriteHeader(http.StatusBadRequest)
@@ -189,10 +189,10 @@
 		"redirect": func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 		},
-		"answer too large": func(w http.ResponseWriter, _ *http.Request) {
+		"response too large": func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, `"`+strings.Repeat("x", 4096)+`"`)
 		},
-		"cut off in the body": func(w http.ResponseWriter, _ *http.Request) {
+		"truncated body": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "[")
 			_ = http.NewResponseController(w).Flush()
@@ -222,12 +222,12 @@
 	const token = "id: 0\ndata: {\"choices\":[{\"delta\":{\"content\":\"ba \"}}]}\n\n"
 	const last = "data: {\"choices\":[{\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":1}}\n\n"
 	streams := map[string]string{
-		"no end":            token,
-		"no usage":          token + "data: [DONE]\n\n",
-		"a token missing":   last + "data: [DONE]\n\n",
-		"a token twice":     token + token + last + "data: [DONE]\n\n",
-		"no JSON":           "data: {\n\n",
-		"end without event": token + last + "data: [DONE]",
+		"no end":                       token,
+		"no usage":                     token + "data: [DONE]\n\n",
+		"missing token":                last + "data: [DONE]\n\n",
+		"duplicate token":              token + token + last + "data: [DONE]\n\n",
+		"invalid JSON":                 "data: {\n\n",
+		"end without a complete event": token + last + "data: [DONE]",
 	}
 	for name, text := range streams {
 		t.Run(name, func(t *testing.T) {
--- a/internal/backend/protocol_test.go
+++ b/internal/backend/protocol_test.go
@@ -32,7 +32,7 @@
 		mux.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, backend.StreamPath(id), nil))
 		back, err := backend.ParseStreamID(parsed)
 		if err != nil || back != id {
-			t.Fatalf("%+v became %+v through %q: %v", id, back, parsed, err)
+			t.Fatalf("%+v was parsed as %+v from %q: %v", id, back, parsed, err)
 		}
 	})
 }
--- a/internal/siteservices/client_test.go
+++ b/internal/siteservices/client_test.go
@@ -70,11 +70,11 @@
 		handler http.HandlerFunc
 		want    error
 	}{
-		"503 that is not the service's own word": {
+		"503 without the effect header": {
 			func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 			siteservices.ErrOutcomeUnknown,
 		},
-		"503 with the service's word": {
+		"503 with the effect header": {
 			func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set(siteservices.EffectHeader, siteservices.EffectNone)
 				w.WriteHeader(http.StatusServiceUnavailable)
@@ -85,18 +85,18 @@
 			func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			siteservices.ErrOutcomeUnknown,
 		},
-		"answer cut short": {
+		"truncated response": {
 			func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Content-Length", "100")
 				_, _ = w.Write([]byte(`{"offset":1`))
 			},
 			siteservices.ErrOutcomeUnknown,
 		},
-		"answer is no JSON": {
+		"response is not JSON": {
 			func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) },
 			siteservices.ErrOutcomeUnknown,
 		},
-		"answer too large": {
+		"response too large": {
 			func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write([]byte(strings.Repeat(" ", siteservices.MaxBodyBytes+1)))
 			},
