--- a/internal/journal/scenario_test.go
+++ b/internal/journal/scenario_test.go
@@ -45,7 +45,7 @@
 
 func (b *noReadBackLog) Append(ctx context.Context, stream string, records [][]byte) (siteservices.Offset, error) {
 	offset, err := b.Log.Append(ctx, stream, records)
-	if !errors.Is(err, siteservices.ErrAnswerLost) {
+	if !errors.Is(err, siteservices.ErrOutcomeUnknown) {
 		return offset, err
 	}
 	b.mutex.Lock()
--- a/internal/journal/stream.go
+++ b/internal/journal/stream.go
@@ -209,7 +209,7 @@
 	if errors.Is(err, context.Canceled) {
 		return
 	}
-	if errors.Is(err, siteservices.ErrAnswerLost) && !errors.Is(err, context.DeadlineExceeded) {
+	if errors.Is(err, siteservices.ErrOutcomeUnknown) && !errors.Is(err, context.DeadlineExceeded) {
 		return // a single unknown outcome does not mean that the log is unavailable
 	}
 	down := err != nil
--- a/internal/routednode/nodestatus.go
+++ b/internal/routednode/nodestatus.go
@@ -12,7 +12,7 @@
 	cfg := n.settings.Load()
 	status := nodestatus.Status{
 		Node: string(cfg.Node.Name), Zone: string(cfg.Node.Zone), Members: len(n.coordinator.Addresses()) + 1,
-		Millicores: cfg.Machine.Thousandths(), Partitions: n.coordinator.Coordinated(), Replicas: n.views.fleet.Size(),
+		Millicores: cfg.Machine.Millicores(), Partitions: n.coordinator.Coordinated(), Replicas: n.views.fleet.Size(),
 	}
 	if n.aggregator != nil {
 		status.ReplicasKept = n.aggregator.Aggregates().Len()
--- a/internal/routednode/peers.go
+++ b/internal/routednode/peers.go
@@ -75,7 +75,7 @@
 		Self: self, Config: membership.DefaultConfig(), Seeds: cfg.Seeds, Conn: packets,
 		RandomSeed: rand.Uint64(), OnView: made.handleView, Logger: logger,
 	})
-	made.runner.SetInfo(0, cfg.Machine.Thousandths())
+	made.runner.SetInfo(0, cfg.Machine.Millicores())
 	return made, nil
 }
 
--- a/internal/routednode/providers.go
+++ b/internal/routednode/providers.go
@@ -82,7 +82,7 @@
 		Store: do.MustInvoke[logstore.Store](injector),
 		Topic: adapter.LedgerTopic, TextTopic: adapter.TextTopic, Partitions: cfg.Store.Partitions,
 		Producer:    string(coordinator.IncarnationOf(do.MustInvoke[identity.Node](injector).Reference())),
-		RecordBytes: cfg.Store.RecordBytes, CallBytes: cfg.Store.CallBytes, Retain: cfg.Store.Retain(), IndexTextBytes: cfg.Store.IndexTextBytes,
+		RecordBytes: cfg.Store.RecordBytes, CallBytes: cfg.Store.CallBytes, Retain: cfg.Store.Retention(), IndexTextBytes: cfg.Store.IndexTextBytes,
 		Availability: do.MustInvoke[*guardedstore.Store](injector),
 		CacheBytes:   cfg.Machine.MemoryMebibytes * mebibyte / cacheDivisor,
 		Logger:       do.MustInvoke[*slog.Logger](injector), Registerer: do.MustInvoke[*prometheus.Registry](injector),
@@ -116,7 +116,7 @@
 	}
 	config.Peers = others.transport
 	config.Announce = func(changes uint64, everybody bool) {
-		others.runner.BroadcastInfo(changes, cfg.Machine.Thousandths(), everybody)
+		others.runner.BroadcastInfo(changes, cfg.Machine.Millicores(), everybody)
 	}
 	made := coordinator.New(config)
 	made.Register(others.registry)
@@ -127,7 +127,7 @@
 func provideLimits(injector do.Injector) (*limits.Service, error) {
 	cfg := do.MustInvoke[settings.Routed](injector)
 	config := limits.Config{
-		Self: cfg.Node.Name, Strategy: limits.Strategy(cfg.Limits.Way),
+		Self: cfg.Node.Name, Strategy: limits.Strategy(cfg.Limits.Strategy),
 		Policy: quota.Policy{Window: cfg.Limits.Window, Overage: cfg.Limits.Overage, Slack: cfg.Limits.Slack},
 		Now:    do.MustInvoke[clock](injector), Logger: do.MustInvoke[*slog.Logger](injector),
 		Registerer: do.MustInvoke[*prometheus.Registry](injector),
@@ -156,7 +156,7 @@
 		Keepers: aggregatorService, Now: do.MustInvoke[clock](injector),
 		Names:      do.MustInvoke[Adapter](injector).Names,
 		Zone:       string(do.MustInvoke[settings.Routed](injector).Node.Zone),
-		ScanUpTo:   do.MustInvoke[settings.Routed](injector).Choice.ScanUpTo,
+		ScanUpTo:   do.MustInvoke[settings.Routed](injector).ReplicaSelection.FullScanLimit,
 		NodeNumber: xxhash.Sum64String(string(do.MustInvoke[settings.Routed](injector).Node.Name)),
 		Replicas:   do.MustInvoke[*exchange.Client](injector), Fleet: do.MustInvoke[*fleet.Directory](injector),
 		Regions:     do.MustInvoke[settings.Routed](injector).Zones,
@@ -267,7 +267,7 @@
 	made := distribution.New(distribution.Config{
 		Self: cfg.Node.Name, Own: cfg.Addresses.Peers, Seeds: cfg.Seeds, Peers: built.peers.transport,
 		LinkBytesPerSecond: cfg.Machine.LinkBytesPerSecond(),
-		Policy:             distribution.Policy{DirectEntries: cfg.Follow.DirectEntries, ReadEntries: cfg.Follow.ReadEntries},
+		Policy:             distribution.Policy{DirectEntries: cfg.Watch.DirectEntries, ReadEntries: cfg.Watch.ReadEntries},
 		Subscriptions:      []distribution.Subscription{configurationTopic: built.views.operatorSubscription(), replicasTopic: built.views.replicaSubscription()},
 		Logger:             built.logger, Registerer: built.registry,
 	})
--- a/internal/routednode/watchers.go
+++ b/internal/routednode/watchers.go
@@ -89,16 +89,16 @@
 
 func (f *topicWatchers) replicaWait() time.Duration {
 	if f.servesPeers() {
-		return min(f.cfg.Follow.Wait, readerInterval)
+		return min(f.cfg.Watch.Wait, readerInterval)
 	}
-	return f.cfg.Follow.Wait
+	return f.cfg.Watch.Wait
 }
 
 func (f *topicWatchers) replicaPause() time.Duration {
 	if f.servesPeers() {
-		return min(f.cfg.Follow.ReplicasPause, readerInterval)
+		return min(f.cfg.Watch.ReplicasInterval, readerInterval)
 	}
-	return f.cfg.Follow.ReplicasPause
+	return f.cfg.Watch.ReplicasInterval
 }
 
 // maxPause returns the maximum pause after failed reads of a partition. It keeps the retries
--- a/internal/settings/routed_test.go
+++ b/internal/settings/routed_test.go
@@ -16,16 +16,16 @@
 stop: {grace: 4.8s}
 `
 
-func TestRoutedSettingsAreReadOverDefaults(t *testing.T) {
+func TestRoutedSettingsOverrideDefaults(t *testing.T) {
 	is := is.New(t)
 	read, err := ParseRouted("f", []byte(routedFile))
 	is.NoErr(err)
 	is.Equal(read.Store.Partitions, 6)
 	is.Equal(read.Stop.Grace, 4800*time.Millisecond)
-	is.Equal(read.Follow, DefaultRouted().Follow)
+	is.Equal(read.Watch, DefaultRouted().Watch)
 }
 
-func TestZonesAreReadWithTheirRegions(t *testing.T) {
+func TestZonesAreDecodedWithTheirRegions(t *testing.T) {
 	is := is.New(t)
 	read, err := ParseRouted("f", []byte(routedFile+`zones: {"z1":"r1","z2":"r2"}`))
 	is.NoErr(err)
@@ -37,7 +37,7 @@
 	is.True(err != nil && strings.Contains(err.Error(), "zones"))
 }
 
-func TestAllFindingsOfRoutedSettingsComeTogether(t *testing.T) {
+func TestAllFindingsOfRoutedSettingsAreReported(t *testing.T) {
 	is := is.New(t)
 	_, err := ParseRouted("f", []byte(`
 node: {name: n1, zone: z, region: r}
@@ -60,12 +60,12 @@
 	}
 }
 
-func TestKeysAndLimitsAreReadAndChecked(t *testing.T) {
+func TestKeysAndLimitsAreDecodedAndChecked(t *testing.T) {
 	is := is.New(t)
 	read, err := ParseRouted("f", []byte(routedFile+"keys: {revocation: 5000ms}\nlimits: {window: 4s, overage: 0.2, slack: 7, way: shares}\n"))
 	is.NoErr(err)
 	is.Equal(read.Keys.Lease(), 4750*time.Millisecond)
-	is.Equal(read.Limits, TenantLimits{Window: 4 * time.Second, Overage: 0.2, Slack: 7, Way: "shares"})
+	is.Equal(read.Limits, TenantLimits{Window: 4 * time.Second, Overage: 0.2, Slack: 7, Strategy: "shares"})
 	read, err = ParseRouted("f", []byte(routedFile))
 	is.NoErr(err)
 	is.Equal(read.Keys.Lease(), time.Duration(0))
