--- a/internal/emulator/application/application.go
+++ b/internal/emulator/application/application.go
@@ -1,11 +1,10 @@
-// Package application is the stand-in of an application replica, such as a
-// portal: an in-process core that implements backend.Application, and an HTTP
-// face for it (NewServer).
+// Package application emulates an application replica, such as a portal: an in-process
+// core that implements backend.Application, and an HTTP server for it (NewServer).
 //
-// Operations are read-only or unrepeatable. The replica counts every execution
-// by its key; that ledger is the truth about double execution and can be shared
-// by the replicas of one application. Faults are injected by SetFaults. All time
-// goes through package time, so it runs in a synctest bubble.
+// Operations are read-only or unrepeatable. The replica counts every execution by
+// idempotency key in a ledger, which tests read to detect double execution and which the
+// replicas of one application can share. SetFaults injects faults. All time goes through
+// package time, so it runs in a synctest bubble.
 package application
 
 import (
@@ -22,7 +21,7 @@
 	"stepseam.example/stepseam/internal/backend"
 )
 
-// Effect tells whether running an operation twice matters.
+// Effect states whether executing an operation twice matters.
 type Effect string
 
 // The effects of operations.
@@ -31,36 +30,36 @@
 	Unrepeatable Effect = "unrepeatable"
 )
 
-// Operation is what a replica can do under one name.
+// Operation describes one operation of a replica.
 type Operation struct {
 	Effect Effect `yaml:"effect" validate:"oneof=read_only unrepeatable"`
-	// The time it takes lies between the two, the effect stands in the middle.
+	// The duration is drawn between the two; the effect takes place halfway.
 	ShortestLatency time.Duration `yaml:"shortest_latency" validate:"min=0"`
 	LongestLatency  time.Duration `yaml:"longest_latency" validate:"gtefield=ShortestLatency"`
 }
 
-// Faults are what is wrong with a replica. The zero value is a sound replica.
+// Faults are the injected faults of a replica. The zero value is a healthy replica.
 type Faults struct {
-	// Down: requests do not arrive, answers under way break.
+	// Down: requests do not arrive, and requests in flight lose their connection.
 	Down bool `json:"down,omitempty"`
-	// Refuse: requests are refused before they run.
+	// Refuse: requests are rejected before they run.
 	Refuse bool `json:"refuse,omitempty"`
-	// HangBefore and HangAfter: requests never end, before or after their effect,
-	// until the fault goes.
+	// HangBefore and HangAfter: requests block, before or after their effect, until the
+	// fault is cleared.
 	HangBefore bool `json:"hang_before,omitempty"`
 	HangAfter  bool `json:"hang_after,omitempty"`
-	// LoseAnswers is the share of requests whose effect happens and whose answer
-	// is lost; LoseNext loses the next answers for certain.
+	// LoseAnswers is the fraction of requests whose effect takes place and whose response
+	// is lost; LoseNext is the number of next responses that are lost.
 	LoseAnswers float64 `json:"lose_answers,omitempty" minimum:"0" maximum:"1"`
 	LoseNext    int     `json:"lose_next,omitempty" minimum:"0"`
-	// Slow multiplies the latency; 0 and 1 leave it.
+	// Slow multiplies the latency; 0 and 1 have no effect.
 	Slow float64 `json:"slow,omitempty" minimum:"0" maximum:"10000"`
 }
 
-// Answer is the JSON answer of an operation.
+// Answer is the JSON response of an operation.
 type Answer struct {
 	Operation string `json:"operation"`
-	// Execution counts the executions of this key or, without one, of this operation.
+	// Execution counts the executions of this key or, without a key, of this operation.
 	Execution int    `json:"execution"`
 	Replica   string `json:"replica"`
 	Receipt   string `json:"receipt"`
@@ -68,7 +67,7 @@
 	Input json.RawMessage `json:"input,omitempty"`
 }
 
-// Application is one stand-in replica. It is safe for concurrent use.
+// Application emulates one replica. It is safe for concurrent use.
 type Application struct {
 	parameters Parameters
 	ledger     *Ledger
@@ -77,17 +76,18 @@
 	random   *rand.Rand
 	faults   Faults
 	draining bool
-	// running counts the operations under way.
+	// running counts the operations in flight.
 	running int
-	// changed is closed when the faults change, broken when connections break.
+	// changed is closed and replaced when the faults change, broken when connections
+	// break.
 	changed chan struct{}
 	broken  chan struct{}
-	// life is closed by Close.
-	life   chan struct{}
+	// done is closed by Close.
+	done   chan struct{}
 	closed bool
 }
 
-// New returns a replica that counts in ledger; nil makes a ledger of its own.
+// New returns a replica that counts its executions in ledger; nil makes a new ledger.
 func New(parameters Parameters, ledger *Ledger) (*Application, error) {
 	if err := parameters.Validate(); err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 		random:     rand.New(rand.NewPCG(parameters.Seed, xxhash.Sum64String(parameters.Name))),
 		changed:    make(chan struct{}),
 		broken:     make(chan struct{}),
-		life:       make(chan struct{}),
+		done:       make(chan struct{}),
 	}, nil
 }
 
@@ -111,7 +111,7 @@
 // Ledger returns the record of executions.
 func (a *Application) Ledger() *Ledger { return a.ledger }
 
-// Close breaks all connections and refuses all further work.
+// Close breaks all connections and rejects all further requests.
 func (a *Application) Close() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -119,34 +119,35 @@
 		return
 	}
 	a.closed = true
-	close(a.life)
+	close(a.done)
 	a.breakConnections()
 	a.noteChange()
 }
 
-// SetDraining makes the replica refuse new work and finish what runs.
+// SetDraining sets whether the replica rejects new requests while it finishes those in
+// flight.
 func (a *Application) SetDraining(draining bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.draining = draining
 }
 
-// Draining tells whether the replica refuses new work.
+// Draining reports whether the replica rejects new requests.
 func (a *Application) Draining() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.draining
 }
 
-// Faults returns what is wrong at the moment.
+// Faults returns the current faults.
 func (a *Application) Faults() Faults {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.faults
 }
 
-// SetFaults replaces the faults. What hung goes on when its fault goes, also if
-// its caller gave up meanwhile.
+// SetFaults replaces the faults. A blocked request continues when its fault is cleared,
+// even if its caller has given up.
 func (a *Application) SetFaults(faults Faults) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -167,8 +168,8 @@
 	a.broken = make(chan struct{})
 }
 
-// Invoke implements backend.Application. The operation runs to its end also if
-// ctx ends first, as it would at a real replica.
+// Invoke implements backend.Application. The operation runs to its end even if ctx ends
+// first, as it would at a real replica.
 func (a *Application) Invoke(ctx context.Context, request backend.InvokeRequest) ([]byte, error) {
 	operation, broken, err := a.accept(ctx, request)
 	if err != nil {
@@ -244,7 +245,7 @@
 	return backend.LoadReport{Running: a.running, Draining: a.draining, AsOf: time.Now()}, nil
 }
 
-// run carries the operation out: half the latency, the effect, the other half.
+// run executes the operation: half the latency, the effect, the other half.
 func (a *Application) run(request backend.InvokeRequest, operation Operation) ([]byte, error) {
 	latency := a.latency(operation)
 	if !a.sleep(latency/2) || !a.awaitFault(func(faults Faults) bool { return faults.HangBefore }) {
@@ -264,7 +265,8 @@
 	return answer, nil
 }
 
-// receipt is a number that names the action, the same for a repeat of its key.
+// receipt returns a number that identifies the action; a repeat with the same key gets
+// the same number.
 func receipt(request backend.InvokeRequest) string {
 	hash := xxhash.New()
 	_, _ = fmt.Fprintf(hash, "%q %q", request.Operation, request.IdempotencyKey)
@@ -285,20 +287,20 @@
 	return latency
 }
 
-// sleep waits for duration; false if the replica was closed first.
+// sleep waits for duration. It returns false if the replica was closed first.
 func (a *Application) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-a.life:
+	case <-a.done:
 		return false
 	}
 }
 
-// awaitFault waits while the fault stands; false if the replica was closed.
-func (a *Application) awaitFault(stands func(Faults) bool) bool {
+// awaitFault blocks while the fault is set. It returns false if the replica was closed.
+func (a *Application) awaitFault(isSet func(Faults) bool) bool {
 	for {
 		a.mutex.Lock()
 		faults, changed, closed := a.faults, a.changed, a.closed
@@ -306,7 +308,7 @@
 		if closed {
 			return false
 		}
-		if !stands(faults) {
+		if !isSet(faults) {
 			return true
 		}
 		<-changed
--- a/internal/emulator/application/application_test.go
+++ b/internal/emulator/application/application_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestWhatIsRefusedDidNotRun(t *testing.T) {
+func TestRejectedOperationDidNotRun(t *testing.T) {
 	inBubble(t, func(t *testing.T, a *application.Application) {
 		is := is.New(t)
 		a.SetFaults(application.Faults{Refuse: true})
@@ -58,7 +58,7 @@
 	})
 }
 
-func TestALostAnswerLeavesItsEffect(t *testing.T) {
+func TestLostResponseKeepsEffect(t *testing.T) {
 	inBubble(t, func(t *testing.T, a *application.Application) {
 		is := is.New(t)
 		a.SetFaults(application.Faults{LoseNext: 1})
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestAHungOperationRunsAfterItsCallerGaveUp(t *testing.T) {
+func TestBlockedOperationRunsAfterCallerGivesUp(t *testing.T) {
 	inBubble(t, func(t *testing.T, a *application.Application) {
 		is := is.New(t)
 		a.SetFaults(application.Faults{HangBefore: true})
--- a/internal/emulator/application/ledger.go
+++ b/internal/emulator/application/ledger.go
@@ -19,16 +19,17 @@
 	At        time.Time         `json:"at"`
 }
 
-// Truth is what the replicas of one ledger executed, for checkers.
+// Truth lists what the replicas that share one ledger executed, for checkers.
 type Truth struct {
 	Executions []Execution `json:"executions"`
-	// ByKey counts executions by operation and key, all of them since the start.
+	// ByKey counts all executions since the start by operation and key.
 	ByKey map[string]int `json:"by_key"`
-	// Dropped counts executions that the bound pushed out of the list.
+	// Dropped counts executions that were removed from the list to keep it within its
+	// limit.
 	Dropped int `json:"dropped"`
 }
 
-// Ledger counts executions. Its one mutex guards all of it.
+// Ledger counts executions. Its mutex guards all fields.
 type Ledger struct {
 	limit int
 
@@ -38,14 +39,14 @@
 	dropped    int
 }
 
-// NewLedger returns an empty ledger that lists at most limit executions and
-// counts all of them.
+// NewLedger returns an empty ledger that counts all executions and lists the last ones,
+// limit at most.
 func NewLedger(limit int) *Ledger {
 	return &Ledger{limit: max(limit, 1), counts: map[string]int{}}
 }
 
-// CountKey is the key of Truth.ByKey: operation and idempotency key, or the
-// call where the request carries no key.
+// CountKey returns the key of Truth.ByKey: operation and idempotency key, or the call if
+// the request has no key.
 func CountKey(operation, key string, call identity.CallID) string {
 	if key == "" {
 		return operation + " " + call.String()
@@ -53,7 +54,7 @@
 	return operation + " " + key
 }
 
-// execute records one execution and returns how many of its key there are now.
+// execute records one execution and returns the number of executions with its key.
 func (l *Ledger) execute(replica string, request backend.InvokeRequest, effect Effect) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -78,7 +79,7 @@
 	return l.counts[CountKey(operation, key, identity.CallID{})]
 }
 
-// Truth returns all that was recorded.
+// Truth returns everything that was recorded.
 func (l *Ledger) Truth() Truth {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/emulator/application/parameters.go
+++ b/internal/emulator/application/parameters.go
@@ -7,13 +7,13 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Parameters describe one stand-in replica. They are read from a YAML file by
-// standin.ReadParameters; what the file leaves out keeps its default.
+// Parameters configure one emulated replica. They are read from a YAML file by
+// standin.ReadParameters; fields that the file omits keep their defaults.
 type Parameters struct {
 	Name string `yaml:"name" validate:"required"`
-	// Seed drives latencies and lost answers.
+	// Seed seeds the latencies and the choice of lost responses.
 	Seed uint64 `yaml:"seed"`
-	// Operations are what the replica can do; others are refused.
+	// Operations lists the supported operations; others are rejected.
 	Operations map[string]Operation `yaml:"operations" validate:"min=1,dive"`
 	// MaxTruth bounds the list of executions.
 	MaxTruth int `yaml:"max_truth" validate:"min=1"`
@@ -34,7 +34,7 @@
 	}
 }
 
-// Validate checks parameters and reports all faults together.
+// Validate checks the parameters and returns all errors joined.
 func (p Parameters) Validate() error {
 	if err := validator.New().Struct(p); err != nil {
 		return fmt.Errorf("application: parameters of %q: %w", p.Name, err)
--- a/internal/emulator/application/server.go
+++ b/internal/emulator/application/server.go
@@ -15,7 +15,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// The paths that only a stand-in has.
+// Control paths of the emulator, which a real application does not have.
 const (
 	PathFaults = "/faults"
 	PathDrain  = "/drain"
@@ -27,17 +27,17 @@
 	apiVersion   = "1"
 )
 
-// NewServer returns the HTTP face of a: its operations, and the stand-in's own
-// paths to inject faults and to read the truth. A replica that is down or loses
-// an answer breaks the connection.
+// NewServer returns the HTTP handler of a: its operations and the control paths that
+// inject faults and read the recorded executions. A replica that is down or loses a
+// response breaks the connection.
 func NewServer(a *Application) http.Handler {
 	mux := http.NewServeMux()
 	server := &server{application: a}
 	mux.HandleFunc("POST "+backend.PathOperations+"{operation}", server.invoke)
 	mux.HandleFunc("GET "+backend.PathLoad, server.load)
 	config := huma.DefaultConfig("stepseam application stand-in", apiVersion)
-	config.CreateHooks = nil // answers carry no links to their schema
-	// What curl -d sends without saying what it is is taken as JSON.
+	config.CreateHooks = nil // responses carry no links to their schema
+	// Bodies without a JSON content type, as curl -d sends them, are parsed as JSON.
 	config.Formats = maps.Clone(config.Formats)
 	config.Formats["application/x-www-form-urlencoded"] = huma.DefaultJSONFormat
 	api := humago.New(mux, config)
@@ -94,12 +94,12 @@
 
 type body[T any] struct{ Body T }
 
-// DrainRequest is the body of a change of draining.
+// DrainRequest is the body of a request that sets draining.
 type DrainRequest struct {
 	Draining bool `json:"draining"`
 }
 
-// register registers what a real application would not have.
+// register registers the control paths.
 func (s *server) register(api huma.API) {
 	huma.Register(api, huma.Operation{OperationID: "faults", Method: http.MethodGet, Path: PathFaults, Summary: "Read the injected faults"},
 		func(context.Context, *none) (*body[Faults], error) {
--- a/internal/emulator/engine/batch.go
+++ b/internal/emulator/engine/batch.go
@@ -11,12 +11,12 @@
 	"stepseam.example/stepseam/internal/emulator/engine/model"
 )
 
-// step is the work of one step of the batch.
+// step is the work of one iteration of the batch.
 type step struct {
-	life       <-chan struct{}
-	duration   time.Duration
-	decoding   []*stream
-	prefilling []prefillShare
+	incarnation <-chan struct{}
+	duration    time.Duration
+	decoding    []*stream
+	prefilling  []prefillShare
 }
 
 type prefillShare struct {
@@ -24,31 +24,31 @@
 	tokens int
 }
 
-// work starts the batch's goroutine unless it runs. The mutex is held.
+// work starts the batch goroutine unless it runs. The caller holds the mutex.
 func (e *Engine) work() {
 	if e.working || e.closed {
 		return
 	}
 	e.working = true
-	go e.runBatch(e.life)
+	go e.runBatch(e.incarnation)
 }
 
-// runBatch makes step after step until no work is left or this life ends.
-func (e *Engine) runBatch(life <-chan struct{}) {
+// runBatch runs iterations until no work is left or this incarnation ends.
+func (e *Engine) runBatch(incarnation <-chan struct{}) {
 	for {
-		next, more := e.beginStep(life)
+		next, more := e.beginStep(incarnation)
 		if !more {
 			return
 		}
-		if !sleep(life, next.duration) || !e.awaitThaw(life) {
+		if !sleep(incarnation, next.duration) || !e.awaitThaw(incarnation) {
 			return
 		}
 		e.finishStep(next)
 	}
 }
 
-// sleep waits for duration; false if life ended first.
-func sleep(life <-chan struct{}, duration time.Duration) bool {
+// sleep waits for duration. It returns false if the incarnation ended first.
+func sleep(incarnation <-chan struct{}, duration time.Duration) bool {
 	if duration <= 0 {
 		return true
 	}
@@ -57,28 +57,29 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-life:
+	case <-incarnation:
 		return false
 	}
 }
 
-// over tells whether life has ended.
-func over(life <-chan struct{}) bool {
+// over reports whether the incarnation has ended.
+func over(incarnation <-chan struct{}) bool {
 	select {
-	case <-life:
+	case <-incarnation:
 		return true
 	default:
 		return false
 	}
 }
 
-// awaitThaw waits while the engine is frozen; false if life has ended.
-func (e *Engine) awaitThaw(life <-chan struct{}) bool {
+// awaitThaw waits while the engine is frozen. It returns false if the incarnation has
+// ended.
+func (e *Engine) awaitThaw(incarnation <-chan struct{}) bool {
 	for {
 		e.mutex.Lock()
 		thawed := e.thawed
 		e.mutex.Unlock()
-		if over(life) {
+		if over(incarnation) {
 			return false
 		}
 		if thawed == nil {
@@ -86,15 +87,15 @@
 		}
 		select {
 		case <-thawed:
-		case <-life:
+		case <-incarnation:
 		}
 	}
 }
 
-func (e *Engine) beginStep(life <-chan struct{}) (step, bool) {
+func (e *Engine) beginStep(incarnation <-chan struct{}) (step, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if over(life) {
+	if over(incarnation) {
 		return step{}, false
 	}
 	e.admit()
@@ -103,7 +104,7 @@
 		return step{}, false
 	}
 	timing := e.parameters.Timing
-	next := step{life: life}
+	next := step{incarnation: incarnation}
 	chunk, context := timing.PrefillChunkTokens, 0
 	for _, s := range e.running {
 		if s.prefill == 0 && s.overhead == 0 {
@@ -127,9 +128,8 @@
 	return next, true
 }
 
-// admit moves waiting streams into the batch, the first in order first. A stream
-// that does not fit waits, and those behind it with it: otherwise a long prompt
-// would never find room.
+// admit moves waiting streams into the batch in their order. A stream that does not fit
+// blocks those behind it, since a long prompt would otherwise starve.
 func (e *Engine) admit() {
 	if len(e.waiting) == 0 {
 		return
@@ -158,7 +158,7 @@
 func (e *Engine) finishStep(done step) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if over(done.life) {
+	if over(done.incarnation) {
 		return
 	}
 	for _, share := range done.prefilling {
@@ -182,7 +182,7 @@
 	e.noteLoad()
 }
 
-// finish ends a stream that has its whole answer and keeps its prefix.
+// finish ends a stream whose answer is complete and stores its prefix in the cache.
 func (e *Engine) finish(s *stream) {
 	result := s.result()
 	e.cache.End(s.lease, true, model.AnswerSegment(result.Text))
@@ -192,7 +192,7 @@
 	e.noteCache()
 }
 
-// follow hands the tokens of s from index from on to onToken until s ends.
+// follow passes the tokens of s from index from onwards to onToken until s ends.
 func (e *Engine) follow(ctx context.Context, s *stream, from int, onToken func(backend.Token) error) (backend.GenerateResult, error) {
 	next := max(from, 0)
 	for {
@@ -224,7 +224,7 @@
 	}
 }
 
-// streamNews is what a follower learns in one look.
+// streamNews is what a follower reads under one lock.
 type streamNews struct {
 	tokens  []string
 	ended   bool
@@ -243,7 +243,7 @@
 	}
 	news := streamNews{changed: e.thawed, broken: e.broken}
 	if e.thawed != nil {
-		return news // nothing moves; look again once thawed
+		return news // nothing advances until the thaw
 	}
 	if next < len(s.tokens) {
 		news.tokens = slices.Clone(s.tokens[next:])
--- a/internal/emulator/engine/engine.go
+++ b/internal/emulator/engine/engine.go
@@ -1,16 +1,16 @@
-// Package engine is the stand-in of a model engine: an in-process core that
-// implements backend.Engine, and an HTTP face for it (NewServer).
+// Package engine emulates a model engine: an in-process core that implements
+// backend.Engine, and an HTTP server for it (NewServer).
 //
-// The core batches continuously, caches prompt prefixes in limited memory,
-// honours priorities, resumes and cancels streams, and moves KV cache, all by
-// the arithmetic of package model. Its answers are a function of model, messages
-// and seed, so that a second run of a call gives the same tokens. All time goes
-// through package time, so it runs in a synctest bubble. Faults are injected by
-// SetFaults and Restart; Truth tells what the engine itself saw.
+// The core batches continuously, caches prompt prefixes in limited memory, honours
+// priorities, resumes and cancels streams, and transfers KV cache, with the timing of
+// package model. Its answers are a function of model, messages and seed, so that
+// repeating a call gives the same tokens. All time goes through package time, so it runs
+// in a synctest bubble. SetFaults and Restart inject faults; Truth returns the engine's
+// own record for checkers.
 //
-// One mutex guards the whole state. A goroutine runs the batch while there is
-// work and ends when there is none, so an idle engine costs nothing. Close ends
-// it in any case; a bubble with a frozen or working engine must call it.
+// One mutex guards the whole state. A goroutine runs the batch while there is work and
+// ends when there is none. Close ends it in any case; a bubble with a frozen or busy
+// engine must call Close.
 package engine
 
 import (
@@ -29,18 +29,18 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Engine is one stand-in engine. It is safe for concurrent use.
+// Engine emulates one model engine. It is safe for concurrent use.
 type Engine struct {
 	parameters Parameters
 
 	mutex  sync.Mutex
 	random *rand.Rand
-	// life is closed when the engine's process ends, by Restart or Close; work
-	// that began in an earlier life is void.
-	life    chan struct{}
-	cache   *model.Cache
-	streams map[identity.StreamID]*stream
-	// finished and cancelled remember ids in order of time, for expiry.
+	// incarnation is closed when the engine's incarnation ends, by Restart or Close; work that
+	// began in an earlier incarnation is discarded.
+	incarnation chan struct{}
+	cache       *model.Cache
+	streams     map[identity.StreamID]*stream
+	// finished and cancelled hold stream ids ordered by time, for expiry.
 	finished  []remembered
 	cancelled []remembered
 	tombs     map[identity.StreamID]struct{}
@@ -52,11 +52,11 @@
 	models    map[string]string
 	adapters  map[string]string
 	role      string
-	// modelNames and adapterNames are the sorted keys, replaced whole.
+	// modelNames and adapterNames are the sorted keys, replaced as a whole.
 	modelNames   []string
 	adapterNames []string
-	// fence is the highest seen; latest is the last order taken per subject,
-	// loading holds the loads under way.
+	// fence is the highest fence seen; latest is the last order accepted per subject;
+	// loading holds the loads in progress.
 	fence     uint64
 	latest    map[string]backend.Order
 	loading   map[backend.Order]chan struct{}
@@ -64,7 +64,8 @@
 	events    []publishedEvent
 	nextEvent uint64
 	faults    Faults
-	// thawed is closed when a freeze ends; inbox holds what arrived during it.
+	// thawed is closed when a freeze ends; inbox holds the requests that arrived during
+	// it.
 	thawed chan struct{}
 	inbox  []func()
 	// broken is closed when connections break: at Down, Restart and Close.
@@ -78,7 +79,7 @@
 	at     time.Time
 }
 
-// New returns an engine that is up and idle.
+// New returns an idle engine.
 func New(parameters Parameters) (*Engine, error) {
 	if err := parameters.Validate(); err != nil {
 		return nil, err
@@ -93,9 +94,9 @@
 	return e, nil
 }
 
-// reset makes the state of a process that has just started.
+// reset initializes the state of a new incarnation.
 func (e *Engine) reset() {
-	e.life = make(chan struct{})
+	e.incarnation = make(chan struct{})
 	e.cache = model.NewCache(e.parameters.Timing.CacheCapacityTokens)
 	e.streams = map[identity.StreamID]*stream{}
 	e.tombs = map[identity.StreamID]struct{}{}
@@ -111,7 +112,7 @@
 	e.loading = map[backend.Order]chan struct{}{}
 	e.noteNames()
 	e.reports, e.events = nil, nil
-	// Event numbers start from the clock, so that they rise over restarts.
+	// Event numbers start at the current time, so that they increase across restarts.
 	e.nextEvent = uint64(time.Now().UnixNano())
 	e.noteLoad()
 }
@@ -132,7 +133,7 @@
 // Name returns the engine's name.
 func (e *Engine) Name() string { return e.parameters.Name }
 
-// Close ends all streams and refuses all further work.
+// Close ends all streams and rejects all further requests.
 func (e *Engine) Close() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -140,14 +141,14 @@
 		return
 	}
 	e.closed = true
-	close(e.life)
+	close(e.incarnation)
 	e.loseStreams()
 	e.breakConnections()
 	e.thaw()
 }
 
-// SetDraining makes the engine refuse new work and finish what runs, or take
-// work again.
+// SetDraining sets whether the engine rejects new work while it finishes the streams in
+// flight.
 func (e *Engine) SetDraining(draining bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -155,7 +156,7 @@
 	e.noteLoad()
 }
 
-// Truth returns what the engine saw so far.
+// Truth returns a copy of the engine's record.
 func (e *Engine) Truth() Truth {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -175,7 +176,7 @@
 	return result, nil
 }
 
-// start brings a stream to the engine; it runs on whoever follows it.
+// start delivers a stream to the engine and returns the function that follows it.
 func (e *Engine) start(ctx context.Context, request backend.GenerateRequest) (*stream, error) {
 	running, err := deliver(ctx, e, func() (*stream, error) { return e.arrive(request) })
 	if err != nil {
@@ -197,7 +198,7 @@
 	return result, nil
 }
 
-// find returns a stream that runs or has finished not long ago.
+// find returns a stream that runs or finished within the retention.
 func (e *Engine) find(ctx context.Context, id identity.StreamID) (*stream, error) {
 	known, err := deliver(ctx, e, func() (*stream, error) {
 		e.forget()
@@ -235,7 +236,7 @@
 	return nil
 }
 
-// arrive takes a stream in, or joins the one that runs under the same id.
+// arrive accepts a stream, or joins the running one with the same id.
 func (e *Engine) arrive(request backend.GenerateRequest) (*stream, error) {
 	e.forget()
 	segments := model.Segments(request.Messages)
@@ -288,7 +289,7 @@
 	return arrival
 }
 
-// refusal returns why a new stream cannot run here, or nil.
+// refusal returns the reason for rejecting a new stream, or nil.
 func (e *Engine) refusal(request backend.GenerateRequest, segments []model.Segment) error {
 	if _, cancelled := e.tombs[request.Stream]; cancelled {
 		return backend.ErrStreamCancelled
@@ -314,7 +315,7 @@
 	return nil
 }
 
-// stop ends a stream without an answer. A prompt that was computed is kept.
+// stop ends a stream without an answer. A computed prompt stays in the cache.
 func (e *Engine) stop(s *stream, outcome Outcome, reason error) {
 	if s.ended {
 		return
@@ -336,7 +337,7 @@
 	e.noteLoad()
 }
 
-// forget drops what was remembered long enough.
+// forget removes finished and cancelled streams past their retention.
 func (e *Engine) forget() {
 	now := time.Now()
 	e.finished = expire(e.finished, now.Add(-e.parameters.StreamRetention), e.parameters.MaxRemembered, func(id identity.StreamID) {
--- a/internal/emulator/engine/engine_test.go
+++ b/internal/emulator/engine/engine_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestAnswersAreDeterministicAndWhole(t *testing.T) {
+func TestAnswersAreDeterministicAndComplete(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		var text strings.Builder
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestTheNextTurnFindsItsPrefix(t *testing.T) {
+func TestNextTurnHitsCachedPrefix(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		first := request("p", 1)
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestAStreamRunsOnAndIsResumed(t *testing.T) {
+func TestStreamContinuesWithoutCallerAndIsResumed(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -125,7 +125,7 @@
 	})
 }
 
-func TestACancelledStreamIsRefusedWhenItArrives(t *testing.T) {
+func TestLateArrivalOfCancelledStreamIsRejected(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		is.NoErr(e.Cancel(t.Context(), streamID("p", 1, 1)))
@@ -133,7 +133,7 @@
 		is.True(errors.Is(err, backend.ErrStreamCancelled))
 		is.Equal(e.Truth().Arrivals[0].Outcome, engine.OutcomeRefused)
 
-		// One that runs stops at once and frees its memory.
+		// A running stream stops at once and frees its memory.
 		go func() {
 			time.Sleep(100 * time.Millisecond)
 			_ = e.Cancel(t.Context(), streamID("q", 1, 1))
@@ -168,7 +168,7 @@
 	})
 }
 
-func TestDrainingRefusesNewAndFinishesOld(t *testing.T) {
+func TestDrainingRejectsNewStreamsAndFinishesRunning(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		finished := make(chan error, 1)
@@ -184,6 +184,6 @@
 		is.NoErr(<-finished)
 		report, err := e.Load(t.Context())
 		is.NoErr(err)
-		is.True(report.Draining) // the answer took longer than the report's lag
+		is.True(report.Draining) // the stream took longer than the report's lag
 	})
 }
--- a/internal/emulator/engine/faults.go
+++ b/internal/emulator/engine/faults.go
@@ -8,30 +8,30 @@
 	"stepseam.example/stepseam/internal/backend"
 )
 
-// Faults are what is wrong with an engine. The zero value is a sound engine.
+// Faults are the injected faults of an engine. The zero value is a healthy engine.
 type Faults struct {
-	// Down: requests do not arrive (ErrNotDelivered), answers under way break.
-	// What runs inside runs on.
+	// Down: requests do not arrive (ErrNotDelivered) and calls in flight lose their
+	// connection. Running streams continue inside the engine.
 	Down bool `json:"down,omitempty"`
-	// Frozen: nothing moves. What arrives waits at the engine and takes effect
-	// after the thaw, also if its sender gave up meanwhile.
+	// Frozen: the process is paused. Requests wait and take effect after the thaw, even
+	// if their sender has given up.
 	Frozen bool `json:"frozen,omitempty"`
-	// Slow multiplies the time of all work; 0 and 1 leave it.
+	// Slow multiplies the time of all work; 0 and 1 have no effect.
 	Slow float64 `json:"slow,omitempty" minimum:"0" maximum:"10000"`
-	// LoseAnswers is the share of requests whose effect happens and whose answer
-	// is lost (ErrBroken); LoseNext loses the next answers for certain.
+	// LoseAnswers is the fraction of requests whose effect takes place and whose response
+	// is lost (ErrBroken); LoseNext is the number of next responses that are lost.
 	LoseAnswers float64 `json:"lose_answers,omitempty" minimum:"0" maximum:"1"`
 	LoseNext    int     `json:"lose_next,omitempty" minimum:"0"`
 }
 
-// Faults returns what is wrong at the moment.
+// Faults returns the current faults.
 func (e *Engine) Faults() Faults {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.faults
 }
 
-// SetFaults replaces the faults. What was frozen moves on when Frozen goes.
+// SetFaults replaces the faults. Frozen work continues when Frozen is cleared.
 func (e *Engine) SetFaults(faults Faults) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// Restart ends the engine's process and starts another: cache, streams, memory
+// Restart ends the engine's incarnation and starts another: the cache, streams, the list
 // of cancelled streams, loaded models and fences are lost.
 func (e *Engine) Restart() {
 	e.mutex.Lock()
@@ -55,7 +55,7 @@
 	if e.closed {
 		return
 	}
-	close(e.life)
+	close(e.incarnation)
 	e.loseStreams()
 	e.breakConnections()
 	e.inbox = nil
@@ -72,13 +72,13 @@
 	}
 }
 
-// breakConnections ends every call that waits for an answer.
+// breakConnections ends every call that waits for a response.
 func (e *Engine) breakConnections() {
 	close(e.broken)
 	e.broken = make(chan struct{})
 }
 
-// thaw lets frozen work move and takes in what arrived during the freeze.
+// thaw resumes frozen work and delivers the requests that arrived during the freeze.
 func (e *Engine) thaw() {
 	if e.thawed == nil {
 		return
@@ -92,8 +92,8 @@
 	}
 }
 
-// loseAnswer decides whether the answer of a request whose effect has happened
-// is lost. The mutex is held.
+// loseAnswer decides whether the response to a request that has taken effect is lost. The
+// caller holds the mutex.
 func (e *Engine) loseAnswer() bool {
 	if e.faults.LoseNext > 0 {
 		e.faults.LoseNext--
@@ -102,15 +102,15 @@
 	return e.faults.LoseAnswers > 0 && e.random.Float64() < e.faults.LoseAnswers
 }
 
-// reply is what a request gets back from the engine.
+// reply is the engine's response to a request.
 type reply[T any] struct {
 	value T
 	err   error
 }
 
-// deliver brings a request to the engine: effect runs once, under the mutex,
-// now or after a thaw. What it returns is the answer, unless the answer gets
-// lost. Every outcome other than ErrNotDelivered means that the request was sent.
+// deliver sends a request to the engine: effect runs once under the mutex, now or after a
+// thaw. It returns effect's result unless the response is lost. Every error other than
+// ErrNotDelivered means that the request was sent.
 func deliver[T any](ctx context.Context, e *Engine, effect func() (T, error)) (T, error) {
 	var zero T
 	if err := ctx.Err(); err != nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-// answer returns err to the caller, or loses it. A refusal is an answer too.
+// answer returns err to the caller, or loses it. A rejection is a response too.
 func (e *Engine) answer(err error) error {
 	if e.loseAnswer() {
 		return fmt.Errorf("%w: the answer was lost", backend.ErrBroken)
@@ -156,8 +156,8 @@
 	return err
 }
 
-// afterSending turns the certainty of not having been sent into doubt, for the
-// later part of a request whose first part was sent.
+// afterSending replaces ErrNotDelivered by ErrBroken in the later part of a request whose
+// first part was sent.
 func afterSending(err error) error {
 	if errors.Is(err, backend.ErrNotDelivered) {
 		return fmt.Errorf("%w: %w", backend.ErrBroken, context.Canceled)
--- a/internal/emulator/engine/faults_test.go
+++ b/internal/emulator/engine/faults_test.go
@@ -17,7 +17,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// begin starts a request in the background and returns where its error comes.
+// begin starts a request in the background and returns the channel of its error.
 func begin(ctx context.Context, e *engine.Engine, r backend.GenerateRequest) <-chan error {
 	ended := make(chan error, 1)
 	go func() {
@@ -28,16 +28,16 @@
 	return ended
 }
 
-// What reaches a frozen engine takes effect after the thaw, though its sender
-// gave up long before: the trap that cancelling has to close.
-func TestAFrozenEngineRunsWhatArrivedOnceThawed(t *testing.T) {
+// A request that reaches a frozen engine takes effect after the thaw, even if its sender
+// has given up; a cancel must cover this case.
+func TestFrozenEngineHandlesRequestsAfterThaw(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		e.SetFaults(engine.Faults{Frozen: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		is.True(errors.Is(<-begin(ctx, e, request("p", 1)), backend.ErrBroken))
-		is.True(errors.Is(<-begin(ctx, e, request("q", 1)), backend.ErrNotDelivered)) // its time was over before it left
+		is.True(errors.Is(<-begin(ctx, e, request("q", 1)), backend.ErrNotDelivered)) // its deadline passed before it was sent
 		is.Equal(len(e.Truth().Arrivals), 0)
 		e.SetFaults(engine.Faults{})
 		time.Sleep(time.Minute)
@@ -47,7 +47,7 @@
 	})
 }
 
-func TestAFreezeStopsARunningStream(t *testing.T) {
+func TestFreezePausesRunningStream(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		ended := begin(t.Context(), e, request("p", 1))
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestDownBreaksAnswersAndNotWork(t *testing.T) {
+func TestDownBreaksConnectionsNotStreams(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		ended := begin(t.Context(), e, request("p", 1))
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestARestartLosesAll(t *testing.T) {
+func TestRestartLosesState(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		is.NoErr(<-begin(t.Context(), e, request("done", 1)))
@@ -94,7 +94,7 @@
 		is.NoErr(err)
 		is.Equal(report.Models, []string{"advisor"})
 		is.NoErr(e.Order(t.Context(), backend.Order{Kind: backend.OrderSetRole, Subject: "prefill", Fence: 1}))
-		is.NoErr(<-begin(t.Context(), e, request("cancelled", 1))) // nobody remembers
+		is.NoErr(<-begin(t.Context(), e, request("cancelled", 1))) // the restarted engine does not know the cancellation
 	})
 }
 
@@ -114,8 +114,8 @@
 	is.Equal(took(engine.Faults{Slow: 5}), 5*took(engine.Faults{}))
 }
 
-// Each request whose answer is lost has had its effect.
-func TestALostAnswerLeavesItsEffect(t *testing.T) {
+// Every request whose response is lost has taken effect.
+func TestLostResponseKeepsEffect(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		lose := func(run func() error) {
@@ -165,7 +165,7 @@
 
 		late := backend.Order{Kind: backend.OrderUnloadModel, Subject: "second", Fence: 2}
 		is.True(errors.Is(e.Order(t.Context(), late), backend.ErrStaleFence))
-		late.Fence = 3 // the same holder may change its mind
+		late.Fence = 3 // the same fence may carry another order
 		is.NoErr(e.Order(t.Context(), late))
 		r.Stream = streamID("p", 2, 1)
 		is.True(errors.Is(<-begin(t.Context(), e, r), backend.ErrRefused))
@@ -173,7 +173,7 @@
 }
 
 // A load that a later order overtook does not undo it.
-func TestAnOvertakenLoadDoesNothing(t *testing.T) {
+func TestOvertakenLoadHasNoEffect(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		ended := make(chan error, 1)
@@ -214,8 +214,8 @@
 		time.Sleep(5 * time.Second)
 		late, err := e.CacheEvents(t.Context(), 0)
 		is.NoErr(err)
-		is.True(len(early) < len(late)) // the last were not seen yet
-		is.True(len(late) < 20)         // and some never are
+		is.True(len(early) < len(late)) // the last events are still delayed
+		is.True(len(late) < 20)         // some events are lost
 		for i := 1; i < len(late); i++ {
 			is.True(late[i].Number > late[i-1].Number)
 		}
@@ -225,7 +225,7 @@
 	})
 }
 
-func TestAMovedPrefixIsCachedAtItsNewEngine(t *testing.T) {
+func TestImportedPrefixIsCached(t *testing.T) {
 	inBubble(t, nil, func(t *testing.T, e *engine.Engine) {
 		is := is.New(t)
 		other, err := engine.New(engine.DefaultParameters("engine-2", "advisor"))
@@ -237,7 +237,7 @@
 		state, err := e.Export(t.Context(), "p", identity.MainBranch)
 		is.NoErr(err)
 		is.NoErr(other.Import(t.Context(), "p", identity.MainBranch, state))
-		is.True(time.Since(started) > 20*time.Millisecond) // twice the overhead at least
+		is.True(time.Since(started) > 20*time.Millisecond) // at least twice the overhead
 		next := request("p", 2)
 		next.Messages = append(next.Messages, backend.Message{Role: "assistant", Content: result.Text}, backend.Message{Role: "user", Content: "?"})
 		moved, err := other.Generate(t.Context(), next, nil)
@@ -249,7 +249,7 @@
 	})
 }
 
-// act is one thing that happens to the engine, and how long until the next.
+// act is one action on the engine and the pause after it.
 type act struct {
 	kind     int
 	program  string
@@ -266,7 +266,7 @@
 	}
 }
 
-// storm drives one engine with everything at once and notes what came of it.
+// storm applies random actions to one engine and records their results.
 type storm struct {
 	engine  *engine.Engine
 	mutex   sync.Mutex
@@ -275,7 +275,7 @@
 	callers sync.WaitGroup
 }
 
-// call runs one request in the background, for a while at most.
+// call runs one request in the background with a timeout.
 func (s *storm) call(run func(ctx context.Context) error, then func()) {
 	s.callers.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -319,10 +319,10 @@
 	time.Sleep(next.pause)
 }
 
-// Through any mix of faults: no stream runs for ever, one that was cancelled
-// does not run afterwards, equal requests get equal answers, memory stays within
-// its bound, and none is left once all programs are released.
-func TestAnEngineKeepsItsPromisesInAStorm(t *testing.T) {
+// Invariants under any mix of faults: every stream ends, a cancelled stream does not run
+// afterwards, equal requests get equal answers, and memory stays within its bound and is
+// free once all programs are released.
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(drawn *rapid.T) {
 		acts := rapid.SliceOfN(rapid.Custom(drawAct), 1, 25).Draw(drawn, "acts")
 		var found error
--- a/internal/emulator/engine/http_test.go
+++ b/internal/emulator/engine/http_test.go
@@ -18,7 +18,7 @@
 	"stepseam.example/stepseam/internal/emulator/pipe"
 )
 
-// overPipes runs test with an engine and the real HTTP client and face of it, in
+// overPipes runs test with an engine behind its HTTP server and the real HTTP client, in
 // virtual time.
 func overPipes(t *testing.T, change func(*engine.Parameters), test func(t *testing.T, e *engine.Engine, client backend.Engine)) {
 	t.Helper()
@@ -37,9 +37,9 @@
 	})
 }
 
-// A stream that waits for its turn is silent for far longer than the client's
-// idle timeout, and is not cut off.
-func TestAWaitingStreamIsNotCutOff(t *testing.T) {
+// A stream that waits in the queue for longer than the client's idle timeout is not cut
+// off.
+func TestQueuedStreamOutlastsIdleTimeout(t *testing.T) {
 	one := func(p *engine.Parameters) { p.Timing.MaxBatch, p.Timing.DecodeBase = 1, time.Second }
 	overPipes(t, one, func(t *testing.T, _ *engine.Engine, client backend.Engine) {
 		ended := make(chan error, 2)
@@ -61,9 +61,9 @@
 	})
 }
 
-// A frozen engine breaks its streams after the idle timeout; after the thaw they
-// are resumed whole.
-func TestAFrozenEngineBreaksItsStreams(t *testing.T) {
+// The client ends the streams of a frozen engine after the idle timeout; after the thaw
+// they can be resumed in full.
+func TestFrozenEngineStreamsTimeOutAndResume(t *testing.T) {
 	overPipes(t, nil, func(t *testing.T, e *engine.Engine, client backend.Engine) {
 		is := is.New(t)
 		first := request("p", 1)
@@ -92,8 +92,8 @@
 	})
 }
 
-// A caller that goes away does not stop the stream, a cancel does.
-func TestALeftStreamRunsOn(t *testing.T) {
+// A disconnected caller does not stop the stream; a cancel does.
+func TestStreamContinuesAfterCallerDisconnects(t *testing.T) {
 	overPipes(t, nil, func(t *testing.T, e *engine.Engine, client backend.Engine) {
 		is := is.New(t)
 		gone := errors.New("gone")
--- a/internal/emulator/engine/memory.go
+++ b/internal/emulator/engine/memory.go
@@ -11,7 +11,7 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// publishedEvent is a cache event with the time from which it is seen.
+// publishedEvent is a cache event and the time from which it is visible.
 type publishedEvent struct {
 	event  backend.CacheEvent
 	seenAt time.Time
@@ -60,8 +60,8 @@
 	return report, nil
 }
 
-// noteLoad records the load for the reports. Reports of one interval replace
-// each other; what is older than the newest visible one is dropped.
+// noteLoad records the load for the reports. A later report of an interval replaces the
+// earlier one; reports older than the newest visible one are dropped.
 func (e *Engine) noteLoad() {
 	now := time.Now()
 	queued := 0
@@ -91,14 +91,14 @@
 	}
 }
 
-// seen tells whether a report is visible: its interval ended ReportLag ago.
+// seen reports whether a load report is visible: its interval ended ReportLag ago.
 func (e *Engine) seen(report backend.LoadReport, now time.Time) bool {
 	end := report.AsOf.Truncate(e.parameters.ReportInterval).Add(e.parameters.ReportInterval)
 	return !end.Add(e.parameters.ReportLag).After(now)
 }
 
-// reportSeen returns the newest visible report. Without news it is repeated at
-// each interval, so that its time tells how old the figures may be.
+// reportSeen returns the newest visible report. Without a change it is repeated at each
+// interval, so that its time states how old the figures may be.
 func (e *Engine) reportSeen(now time.Time) backend.LoadReport {
 	visible := e.reports[0]
 	for _, report := range e.reports[1:] {
@@ -112,7 +112,7 @@
 	return visible
 }
 
-// noteCache turns the cache's changes into events and records the memory held.
+// noteCache turns the cache's changes into events and records the memory in use.
 func (e *Engine) noteCache() {
 	now := time.Now()
 	for _, change := range e.cache.TakeChanges() {
@@ -128,7 +128,7 @@
 	e.record.sample(MemorySample{At: now, Tokens: e.cache.Used(), Programs: e.cache.Programs()})
 }
 
-// publish makes an event visible late, or never.
+// publish makes an event visible after a delay, or drops it.
 func (e *Engine) publish(now time.Time, event backend.CacheEvent) {
 	span := e.parameters.EventDelayLongest - e.parameters.EventDelayShortest
 	delay := e.parameters.EventDelayShortest + time.Duration(e.random.Float64()*float64(span))
@@ -137,7 +137,7 @@
 	}
 	seenAt := now.Add(delay)
 	if last := len(e.events) - 1; last >= 0 && e.events[last].seenAt.After(seenAt) {
-		seenAt = e.events[last].seenAt // events are seen in order
+		seenAt = e.events[last].seenAt // events become visible in order
 	}
 	e.events = append(e.events, publishedEvent{event: event, seenAt: seenAt})
 	if excess := len(e.events) - e.parameters.MaxEvents; excess > 0 {
@@ -163,8 +163,8 @@
 	return events, nil
 }
 
-// Export implements backend.Engine. The state names the prefix and stands for
-// its bytes; the transfer takes its modelled time.
+// Export implements backend.Engine. The state names the prefix instead of containing its
+// bytes; the transfer takes its modelled time.
 func (e *Engine) Export(ctx context.Context, program identity.ProgramID, branch identity.BranchID) ([]byte, error) {
 	segments, err := deliver(ctx, e, func() ([]model.Segment, error) {
 		segments := e.cache.Segments(model.Key{Program: program, Branch: branch})
@@ -218,7 +218,7 @@
 	return afterSending(err)
 }
 
-// transfer takes the time that moving tokens of KV cache takes.
+// transfer waits for the time that moving tokens of KV cache takes.
 func (e *Engine) transfer(ctx context.Context, tokens int) error {
 	e.mutex.Lock()
 	duration := e.parameters.Timing.TransferTime(tokens)
@@ -237,7 +237,7 @@
 	}
 }
 
-// encodeState writes the segments of a prefix.
+// encodeState encodes the segments of a prefix.
 func encodeState(segments []model.Segment) []byte {
 	encoder := wire.NewEncoder(nil)
 	encoder.Uint32(uint32(len(segments)))
--- a/internal/emulator/engine/model/cache.go
+++ b/internal/emulator/engine/model/cache.go
@@ -7,22 +7,22 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Key names the prefix of one branch of one program. Prefixes are not shared
-// between keys.
+// Key identifies the prefix of one branch of one program. Prefixes are not shared between
+// keys.
 type Key struct {
 	Program identity.ProgramID
 	Branch  identity.BranchID
 }
 
-// Segment is one piece of a prompt, such as a message: a digest of its content
-// and its length. Two prompts share a prefix up to the first segment in which
-// they differ. A run without real messages may number its turns as digests.
+// Segment is one piece of a prompt, such as a message: the digest of its content and its
+// length in tokens. Two prompts share a prefix up to the first segment in which they
+// differ. A simulation without real messages may use turn numbers as digests.
 type Segment struct {
 	Digest uint64
 	Tokens int
 }
 
-// CountTokens returns the tokens of all segments.
+// CountTokens returns the sum of the segments' tokens.
 func CountTokens(segments []Segment) int {
 	total := 0
 	for _, segment := range segments {
@@ -31,33 +31,32 @@
 	return total
 }
 
-// Change tells that the cache now holds Tokens for Key; Stored is false where
-// that is less than before.
+// Change states that the cache now contains Tokens for Key; Stored is false if that is
+// less than before.
 type Change struct {
 	Key    Key
 	Tokens int
 	Stored bool
-	// Wanted is true where the memory was given back on request (Release) and
-	// not taken by eviction.
+	// Wanted is true if the memory was freed by Release and not by eviction.
 	Wanted bool
 }
 
-// Held is the memory that one key holds.
+// Held is the memory that one key uses.
 type Held struct {
 	Key    Key
 	Tokens int
-	// Running counts the streams that hold part of it.
+	// Running counts the streams that use part of it.
 	Running int
 }
 
-// Cache is the memory of one engine. Running streams reserve what they need
-// until they end (Lease); kept prefixes fill the rest and are evicted from the
-// tail of the least recently used one. A prefix that a running stream reads is
-// pinned. Cache has no lock: its owner serialises all calls.
+// Cache is the memory of one engine. Running streams reserve memory until they end
+// (Lease); cached prefixes fill the rest and are evicted from the tail of the least
+// recently used one. A prefix that a running stream reads is pinned. Cache has no lock:
+// its owner serialises all calls.
 type Cache struct {
 	capacity int
 	entries  map[Key]*entry
-	// recent orders entries by last use, the most recent in front.
+	// recent orders entries by last use, the most recent first.
 	recent *list.List
 	leases map[*Lease]struct{}
 	// kept counts the tokens of entries, reserved those of leases.
@@ -78,13 +77,14 @@
 type Lease struct {
 	key    Key
 	prompt []Segment
-	// Cached is how many prompt tokens were in the cache; PromptTokens is all.
+	// Cached is the number of prompt tokens found in the cache; PromptTokens is the whole
+	// prompt.
 	Cached       int
 	PromptTokens int
 	reserved     int
 	pinned       *entry
-	// released tells that the key was released while the stream ran, so that
-	// its prefix is not kept at the end.
+	// released is set if the key was released while the stream ran, so that its prefix is
+	// not cached at the end.
 	released bool
 }
 
@@ -101,10 +101,10 @@
 // Capacity returns the size in tokens.
 func (c *Cache) Capacity() int { return c.capacity }
 
-// Used returns the tokens of kept prefixes and running streams.
+// Used returns the tokens of cached prefixes and running streams.
 func (c *Cache) Used() int { return c.kept + c.reserved }
 
-// Programs returns how many programs hold memory.
+// Programs returns the number of programs that use memory.
 func (c *Cache) Programs() int {
 	programs := map[identity.ProgramID]struct{}{}
 	for key := range c.entries {
@@ -116,16 +116,15 @@
 	return len(programs)
 }
 
-// TakeChanges returns what changed since the last call, in order.
+// TakeChanges returns the changes since the last call, in order.
 func (c *Cache) TakeChanges() []Change {
 	changes := c.changes
 	c.changes = nil
 	return changes
 }
 
-// Match returns how many tokens of prompt are in the cache. The last segment is
-// never taken whole from the cache: an engine needs at least one token to
-// compute the next one from.
+// Match returns how many tokens of prompt are in the cache. The last segment never counts
+// in full: an engine needs at least one token to compute the next one from.
 func (c *Cache) Match(key Key, prompt []Segment) int {
 	_, tokens := c.match(key, prompt)
 	return tokens
@@ -143,9 +142,9 @@
 	return segments, tokens
 }
 
-// Begin reserves memory for a stream with prompt that generates up to maxTokens,
-// and pins the cached part of the prompt. It returns false and changes nothing
-// where eviction of all unpinned prefixes would not make enough room.
+// Begin reserves memory for a stream with prompt that generates up to maxTokens, and pins
+// the cached part of the prompt. It returns false and changes nothing if evicting all
+// unpinned prefixes would not make enough room.
 func (c *Cache) Begin(key Key, prompt []Segment, maxTokens int) (*Lease, bool) {
 	segments, cached := c.match(key, prompt)
 	held := c.entries[key]
@@ -166,10 +165,10 @@
 	return lease, true
 }
 
-// makeRoomBeside makes room for tokens without touching the first cached tokens
-// of held, which may be nil. What held has beyond them differs from the prompt
-// that is to run: it goes at once, unless a running stream reads it. Without
-// enough room it returns false and changes nothing.
+// makeRoomBeside makes room for tokens without evicting the first cached tokens of held,
+// which may be nil. The rest of held differs from the new prompt and is evicted at once,
+// unless a running stream reads it. Without enough room it returns false and changes
+// nothing.
 func (c *Cache) makeRoomBeside(held *entry, cached, tokens int) bool {
 	if held == nil {
 		held = &entry{}
@@ -178,7 +177,7 @@
 	if held.pins == 0 {
 		tail = held.tokens - cached
 	}
-	held.pins++ // not to be evicted itself
+	held.pins++ // excludes held from eviction
 	defer func() { held.pins-- }()
 	if !c.fits(tokens - tail) {
 		return false
@@ -190,7 +189,7 @@
 	return true
 }
 
-// fits tells whether evicting unpinned prefixes makes room for tokens.
+// fits reports whether evicting unpinned prefixes makes room for tokens.
 func (c *Cache) fits(tokens int) bool {
 	free := c.capacity - c.Used()
 	if free >= tokens {
@@ -218,7 +217,7 @@
 	}
 }
 
-// trim takes whole segments off the tail until at least tokens are free.
+// trim evicts whole segments from the tail until at least tokens are free.
 func (c *Cache) trim(held *entry, tokens int) {
 	freed := 0
 	for len(held.segments) > 0 && freed < tokens {
@@ -239,9 +238,9 @@
 	c.recent.Remove(held.element)
 }
 
-// End frees the reservation of lease. With keep, the prompt and generated
-// segments become the key's kept prefix, unless the key was released meanwhile.
-// A lease ends once.
+// End frees the reservation of lease. With keep, the prompt and generated segments become
+// the key's cached prefix, unless the key was released meanwhile. It must be called once
+// for each lease.
 func (c *Cache) End(lease *Lease, keep bool, generated ...Segment) {
 	if _, running := c.leases[lease]; !running {
 		return
@@ -257,9 +256,9 @@
 	c.Store(lease.key, append(lease.prompt, generated...))
 }
 
-// Store makes segments the kept prefix of key, as after an import. It returns
-// false and keeps what stands where a running stream reads the old prefix and
-// the new one does not continue it, or where there is no room.
+// Store makes segments the cached prefix of key, as after an import. It returns false and
+// changes nothing if a running stream reads a prefix that the new one does not continue,
+// or if there is no room.
 func (c *Cache) Store(key Key, segments []Segment) bool {
 	tokens := CountTokens(segments)
 	held, found := c.entries[key]
@@ -275,7 +274,7 @@
 		if held.pins > 0 && !continues(held.segments, segments) {
 			return false
 		}
-		held.pins++ // not to be evicted for its own growth
+		held.pins++ // excludes held from eviction for its own growth
 		fits := c.fits(tokens - held.tokens)
 		if fits {
 			c.makeRoom(tokens - held.tokens)
@@ -297,7 +296,7 @@
 	return len(segments) >= len(held) && slices.Equal(held, segments[:len(held)])
 }
 
-// Segments returns the kept prefix of key, for an export.
+// Segments returns the cached prefix of key, for an export.
 func (c *Cache) Segments(key Key) []Segment {
 	if held, found := c.entries[key]; found {
 		return slices.Clone(held.segments)
@@ -305,9 +304,9 @@
 	return nil
 }
 
-// Release frees the kept prefixes of program, or of one branch if branch is set,
-// and returns how many tokens that freed. Streams of it that still run keep
-// their reservation until they end and leave nothing behind.
+// Release frees the cached prefixes of program, or of one branch if branch is set, and
+// returns the number of tokens freed. Streams of it that still run keep their reservation
+// until they end, and their prefixes are not cached.
 func (c *Cache) Release(program identity.ProgramID, branch identity.BranchID) int {
 	matches := func(key Key) bool {
 		return key.Program == program && (branch == "" || key.Branch == branch)
@@ -327,7 +326,8 @@
 		freed += held.tokens
 		c.kept -= held.tokens
 		c.remove(held)
-		// A running stream still reads it: its reservation takes the memory over.
+		// A running stream still reads it: the stream's reservation is charged with the
+		// memory.
 		c.moveToReaders(held)
 		c.changes = append(c.changes, Change{Key: held.key, Wanted: true})
 	}
@@ -348,7 +348,7 @@
 	}
 }
 
-// Held lists what each key holds, kept and running, sorted by key.
+// Held lists the memory that each key uses, cached and running, sorted by key.
 func (c *Cache) Held() []Held {
 	byKey := map[Key]Held{}
 	for key, held := range c.entries {
--- a/internal/emulator/engine/model/cache_test.go
+++ b/internal/emulator/engine/model/cache_test.go
@@ -65,18 +65,18 @@
 	is.Equal(len(cache.Held()), 0)
 }
 
-func TestCacheOwnStaleTailNeverBlocksABegin(t *testing.T) {
+func TestCacheStaleTailOfSameKeyNeverBlocksBegin(t *testing.T) {
 	is := is.New(t)
 	cache := model.NewCache(100)
 	key := model.Key{Program: "p", Branch: "main"}
 	is.True(cache.Store(key, segments(10, 70)))
 	lease, fits := cache.Begin(key, []model.Segment{{Digest: 1, Tokens: 10}, {Digest: 9, Tokens: 50}}, 40)
-	is.True(fits) // 10 of the prompt match; the 70 that differ must go
+	is.True(fits) // 10 tokens of the prompt match; the 70 that differ are evicted
 	is.Equal(lease.Cached, 10)
 	is.Equal(cache.Used(), 100)
 }
 
-// cacheMachine drives a cache by random actions. Its exported methods are them.
+// cacheMachine drives a cache by random actions, which are its exported methods.
 type cacheMachine struct {
 	cache  *model.Cache
 	leases []*model.Lease
@@ -138,8 +138,8 @@
 	}
 }
 
-// The memory used never passes the capacity, equals what Held lists, and is
-// zero once every program is released and every stream has ended.
+// The memory in use never exceeds the capacity, equals the sum of Held, and is zero once
+// every program is released and every stream has ended.
 func TestCacheAccountsForAllMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := &cacheMachine{cache: model.NewCache(200)}
--- a/internal/emulator/engine/model/text.go
+++ b/internal/emulator/engine/model/text.go
@@ -9,8 +9,8 @@
 	"stepseam.example/stepseam/internal/backend"
 )
 
-// tokenBytes is the length of each generated token, so that an answer counts as
-// many tokens when it comes back in a prompt (backend.CountTokens).
+// tokenBytes is the length of each generated token, so that an answer has the same number
+// of tokens when it returns as part of a prompt (backend.CountTokens).
 const tokenBytes = 4
 
 const (
@@ -18,8 +18,7 @@
 	vowels     = "aeiou"
 )
 
-// Digest returns a number that differs, for practical purposes, between any two
-// different messages.
+// Digest returns a hash of a message.
 func Digest(message backend.Message) uint64 {
 	hash := xxhash.New()
 	writeString(hash, message.Role)
@@ -43,13 +42,13 @@
 	return segments
 }
 
-// AnswerSegment returns the segment that text makes as an assistant's message.
+// AnswerSegment returns the segment of an assistant message with text.
 func AnswerSegment(text string) Segment {
 	return Segments([]backend.Message{{Role: "assistant", Content: text}})[0]
 }
 
-// Writer makes the tokens of one answer. The same model, adapter, messages and
-// seed make the same tokens on every engine.
+// Writer generates the tokens of one answer. The same model, adapter, messages and seed
+// give the same tokens on every engine.
 type Writer struct{ random *rand.Rand }
 
 // NewWriter returns the writer of one answer.
@@ -64,8 +63,8 @@
 	return &Writer{random: rand.New(rand.NewPCG(hash.Sum64(), seed))}
 }
 
-// Length returns how long the answer wants to be, between shortest and longest.
-// It is asked once, before the first token.
+// Length draws the length of the answer between shortest and longest. It is called once,
+// before the first token.
 func (w *Writer) Length(shortest, longest int) int {
 	if longest <= shortest {
 		return shortest
@@ -73,7 +72,7 @@
 	return shortest + w.random.IntN(longest-shortest+1)
 }
 
-// Next returns the next token: a syllable of three letters and a space.
+// Next returns the next token: three letters and a space.
 func (w *Writer) Next() string {
 	text := [tokenBytes]byte{
 		consonants[w.random.IntN(len(consonants))],
--- a/internal/emulator/engine/orders.go
+++ b/internal/emulator/engine/orders.go
@@ -10,9 +10,9 @@
 	"stepseam.example/stepseam/internal/backend"
 )
 
-// Order implements backend.Engine. The fence is checked and taken first, then
-// the load takes its time, then the change shows. A repeated order is answered
-// once the first one is done, and changes nothing.
+// Order implements backend.Engine. The fence is checked and recorded first, then the load
+// takes its time, then the change becomes visible. A repeated order waits for the first
+// one and changes nothing.
 func (e *Engine) Order(ctx context.Context, order backend.Order) error {
 	accepted, err := deliver(ctx, e, func() (acceptance, error) {
 		loaded, err := e.acceptOrder(order)
@@ -34,14 +34,14 @@
 	}
 }
 
-// acceptance is an order under way: loaded is closed once it is done and is nil
-// if it is done already.
+// acceptance is an accepted order: loaded is closed once it is done and is nil if it is
+// done already.
 type acceptance struct {
 	loaded <-chan struct{}
 	broken <-chan struct{}
 }
 
-// orderSubject names what an order changes: a model, an adapter or the role.
+// orderSubject identifies what an order changes: a model, an adapter or the role.
 func orderSubject(order backend.Order) string {
 	switch order.Kind {
 	case backend.OrderLoadAdapter:
@@ -55,8 +55,8 @@
 	}
 }
 
-// acceptOrder checks the fence and starts the order. The channel is closed when
-// a load is done; nil means that nothing is left to wait for.
+// acceptOrder checks the fence and starts the order. The channel is closed when a load is
+// done; nil means that there is nothing to wait for.
 func (e *Engine) acceptOrder(order backend.Order) (<-chan struct{}, error) {
 	record := OrderRecord{Order: order, At: time.Now()}
 	defer func() { e.record.order(record) }()
@@ -81,8 +81,8 @@
 	loaded := make(chan struct{})
 	e.loading[order] = loaded
 	e.noteLoad()
-	// The load goes on also if the one who ordered it stops waiting.
-	go e.load(order, duration, e.life, loaded)
+	// The load continues even if the sender of the order stops waiting.
+	go e.load(order, duration, e.incarnation, loaded)
 	return loaded, nil
 }
 
@@ -105,16 +105,16 @@
 	}
 }
 
-// load waits for a load and applies it, unless a later order of the same
-// subject or a restart came in between.
-func (e *Engine) load(order backend.Order, duration time.Duration, life <-chan struct{}, loaded chan<- struct{}) {
+// load waits for a load and applies it, unless a later order for the same subject or a
+// restart came first.
+func (e *Engine) load(order backend.Order, duration time.Duration, incarnation <-chan struct{}, loaded chan<- struct{}) {
 	defer close(loaded)
-	if !sleep(life, duration) || !e.awaitThaw(life) {
+	if !sleep(incarnation, duration) || !e.awaitThaw(incarnation) {
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if over(life) {
+	if over(incarnation) {
 		return
 	}
 	delete(e.loading, order)
@@ -134,13 +134,13 @@
 		e.adapters[order.Subject] = order.Version
 	case backend.OrderSetRole:
 		e.role = order.Subject
-	case backend.OrderFence: // the fence was taken with the order
+	case backend.OrderFence: // the fence was recorded with the order
 	}
 	e.noteNames()
 	e.noteLoad()
 }
 
-// loadsUnderWay lists the loads that will show, in a fixed order.
+// loadsUnderWay lists the loads in progress, in a fixed order.
 func (e *Engine) loadsUnderWay() []backend.Order {
 	var orders []backend.Order
 	for order := range e.loading {
--- a/internal/emulator/engine/server.go
+++ b/internal/emulator/engine/server.go
@@ -18,7 +18,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// The paths that only a stand-in has.
+// Control paths of the emulator, which a real engine does not have.
 const (
 	PathFaults  = "/faults"
 	PathRestart = "/restart"
@@ -27,16 +27,16 @@
 )
 
 const (
-	// maxBodyBytes bounds request bodies: a long history fits.
+	// maxBodyBytes bounds request bodies; long histories fit.
 	maxBodyBytes = 32 << 20
-	// keepaliveInterval is how often a silent stream sends a comment.
+	// keepaliveInterval is how often an idle stream sends a comment.
 	keepaliveInterval = time.Second
 	apiVersion        = "1"
 )
 
-// NewServer returns the HTTP face of e: OpenAI-shaped generation, the rest of
-// backend.Engine, and the stand-in's own paths to inject faults and to read the
-// truth. An engine that is down or loses an answer breaks the connection.
+// NewServer returns the HTTP handler of e: OpenAI-compatible generation, the rest of
+// backend.Engine, and the control paths that inject faults and read the engine's record.
+// An engine that is down or loses a response breaks the connection.
 func NewServer(e *Engine) http.Handler {
 	mux := http.NewServeMux()
 	server := &server{engine: e}
@@ -45,8 +45,8 @@
 	mux.HandleFunc("GET "+backend.PathState, server.export)
 	mux.HandleFunc("PUT "+backend.PathState, server.importState)
 	config := huma.DefaultConfig("stepseam engine stand-in", apiVersion)
-	config.CreateHooks = nil // answers carry no links to their schema
-	// What curl -d sends without saying what it is is taken as JSON.
+	config.CreateHooks = nil // responses carry no links to their schema
+	// Bodies without a JSON content type, as curl -d sends them, are parsed as JSON.
 	config.Formats = maps.Clone(config.Formats)
 	config.Formats["application/x-www-form-urlencoded"] = huma.DefaultJSONFormat
 	api := humago.New(mux, config)
@@ -57,7 +57,7 @@
 
 type server struct{ engine *Engine }
 
-// chat generates, streamed or whole.
+// chat serves chat completions, streamed or whole.
 func (s *server) chat(w http.ResponseWriter, r *http.Request) {
 	request, streamed, err := readChat(w, r)
 	if err != nil {
@@ -88,8 +88,8 @@
 	_ = json.NewEncoder(w).Encode(response)
 }
 
-// readChat reads a chat completion request with its headers. A request without a
-// stream id becomes a program of its own.
+// readChat parses a chat completion request with its headers. A request without a stream
+// id becomes a program of its own.
 func readChat(w http.ResponseWriter, r *http.Request) (backend.GenerateRequest, bool, error) {
 	var body backend.ChatRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&body); err != nil {
@@ -142,8 +142,8 @@
 	s.stream(w, r, known)
 }
 
-// stream writes the events of a stream from its first token. A goroutine follows
-// the stream, this one alone writes.
+// stream writes the events of a stream from its first token. One goroutine follows the
+// stream; only this one writes.
 func (s *server) stream(w http.ResponseWriter, r *http.Request, followed *stream) {
 	writer := &eventWriter{writer: w, controller: http.NewResponseController(w), template: newResponse(followed, backend.ObjectChunk)}
 	ctx, cancel := context.WithCancel(r.Context())
@@ -181,7 +181,7 @@
 	}
 }
 
-// eventWriter writes server-sent events and remembers the first error.
+// eventWriter writes server-sent events and keeps the first error.
 type eventWriter struct {
 	writer     io.Writer
 	controller *http.ResponseController
@@ -232,7 +232,7 @@
 	e.flush()
 }
 
-// finish writes the end of the stream. A broken one ends without its mark.
+// finish writes the end of the stream. A broken stream ends without the end marker.
 func (e *eventWriter) finish(result backend.GenerateResult, outcome error) {
 	if outcome != nil {
 		document, answerable := backend.NewErrorDocument(outcome)
@@ -296,8 +296,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// answerable returns err in the form that huma answers with, or breaks the
-// connection.
+// answerable converts err to the error type that huma writes, or breaks the connection.
 func answerable(err error) error {
 	if err == nil {
 		return nil
--- a/internal/emulator/engine/server_json.go
+++ b/internal/emulator/engine/server_json.go
@@ -11,10 +11,10 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// none is a request or an answer without content.
+// none is a request or a response without content.
 type none struct{}
 
-// body is an answer in JSON.
+// body is a JSON response.
 type body[T any] struct{ Body T }
 
 func respond[T any](value T, err error) (*body[T], error) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// registerEngine registers the small requests of backend.Engine.
+// registerEngine registers the JSON requests of backend.Engine.
 func (s *server) registerEngine(api huma.API) {
 	huma.Register(api, operation("cancel", http.MethodDelete, backend.PathStreams+"{id}", "Cancel a stream, arrived or not", http.StatusNoContent),
 		func(ctx context.Context, input *struct {
@@ -76,12 +76,12 @@
 		})
 }
 
-// DrainRequest is the body of a change of draining.
+// DrainRequest is the body of a request that sets draining.
 type DrainRequest struct {
 	Draining bool `json:"draining"`
 }
 
-// registerStandIn registers what a real engine would not have.
+// registerStandIn registers the control paths.
 func (s *server) registerStandIn(api huma.API) {
 	huma.Register(api, operation("faults", http.MethodGet, PathFaults, "Read the injected faults", http.StatusOK),
 		func(context.Context, *none) (*body[Faults], error) {
--- a/internal/emulator/engine/server_test.go
+++ b/internal/emulator/engine/server_test.go
@@ -19,7 +19,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// quick makes an engine whose answers take milliseconds of real time.
+// quick returns an engine whose answers take milliseconds of real time.
 func quick(parameters *engine.Parameters) {
 	parameters.Timing.DecodeBase = time.Millisecond
 	parameters.Timing.PrefillTokensPerSecond = 1e6
@@ -46,8 +46,8 @@
 	return e, directory.Engine(netip.MustParseAddrPort(server.Listener.Addr().String())), server.URL
 }
 
-// The engine over HTTP behaves as the one in process.
-func TestTheWholeInterfaceOverHTTP(t *testing.T) {
+// The engine behaves over HTTP as it does in process.
+func TestEngineInterfaceOverHTTP(t *testing.T) {
 	is := is.New(t)
 	e, client, _ := overHTTP(t)
 	first := request("p/ñ", 1)
@@ -129,7 +129,7 @@
 	_, err := client.Generate(t.Context(), request("p", 1), nil)
 	is.True(errors.Is(err, backend.ErrBroken))
 	_, err = client.Resume(t.Context(), streamID("p", 1, 1), 0, nil)
-	is.NoErr(err) // its effect had happened
+	is.NoErr(err) // the lost request took effect
 
 	send(t, http.MethodPut, url+engine.PathDrain, engine.DrainRequest{Draining: true})
 	_, err = client.Generate(t.Context(), request("p", 2), nil)
@@ -148,9 +148,9 @@
 	is.True(errors.Is(client.Cancel(t.Context(), streamID("p", 9, 1)), backend.ErrBroken))
 }
 
-// A switch can be set by hand with curl: other fields stay off, and the body
-// need not say that it is JSON. A wrong one is refused with its place.
-func TestFaultsByHand(t *testing.T) {
+// Faults can be set with curl: omitted fields are off, and the body needs no JSON content
+// type. An invalid body is rejected with the position of its error.
+func TestFaultsFromCurlRequests(t *testing.T) {
 	is := is.New(t)
 	e, _, url := overHTTP(t)
 	put := func(body string) (int, string) {
--- a/internal/emulator/engine/stream.go
+++ b/internal/emulator/engine/stream.go
@@ -8,7 +8,7 @@
 	"stepseam.example/stepseam/internal/emulator/engine/model"
 )
 
-// stream is one attempt of one call. The engine's mutex guards all of it.
+// stream is one attempt of one call. The engine's mutex guards all fields.
 type stream struct {
 	request  backend.GenerateRequest
 	segments []model.Segment
@@ -16,11 +16,11 @@
 	// number orders streams by arrival.
 	number uint64
 	writer *model.Writer
-	// wanted is the length of the answer, cut to MaxTokens.
+	// wanted is the length of the answer, limited by MaxTokens.
 	wanted int
 	lease  *model.Lease
-	// prefill counts prompt tokens still to compute (while the stream waits: as
-	// expected at its arrival); overhead is the prompt's fixed cost, not yet spent.
+	// prefill counts prompt tokens not yet computed (for a waiting stream, the estimate
+	// at its arrival); overhead is the unspent part of the prompt's fixed cost.
 	prefill  int
 	overhead time.Duration
 	tokens   []string
@@ -28,8 +28,8 @@
 	endedAt  time.Time
 	// err is set on a stream that ended without an answer.
 	err error
-	// changed is closed and replaced at each new token and at the end; nil while
-	// nobody follows.
+	// changed is closed and replaced at each new token and at the end; nil while there is
+	// no follower.
 	changed chan struct{}
 	record  *Arrival
 }
@@ -62,7 +62,7 @@
 	return s.changed
 }
 
-// wake tells all followers of a change.
+// wake notifies all followers of a change.
 func (s *stream) wake() {
 	if s.changed != nil {
 		close(s.changed)
--- a/internal/emulator/engine/truth.go
+++ b/internal/emulator/engine/truth.go
@@ -9,7 +9,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// Outcome is how a stream ended at the engine.
+// Outcome states how a stream ended at the engine.
 type Outcome string
 
 // The outcomes of streams.
@@ -22,7 +22,7 @@
 	OutcomeLost Outcome = "lost"
 )
 
-// Digest is a digest in a form that JSON carries without loss.
+// Digest is a message digest that JSON carries without loss of precision.
 type Digest uint64
 
 // MarshalText writes the digest in hexadecimal.
@@ -37,13 +37,13 @@
 	return err
 }
 
-// Arrival is one stream that reached the engine, refused or not.
+// Arrival is one stream that reached the engine, accepted or rejected.
 type Arrival struct {
 	Number uint64            `json:"number"`
 	Stream identity.StreamID `json:"stream"`
 	Model  string            `json:"model"`
-	// Digest is of all messages, Messages of each one in order: a later call of
-	// the same branch must begin with the same ones.
+	// Digest covers all messages, Messages has one digest per message in order: a later
+	// call of the same branch must begin with the same ones.
 	Digest       Digest    `json:"digest"`
 	Messages     []Digest  `json:"messages"`
 	Priority     int       `json:"priority"`
@@ -58,22 +58,22 @@
 	Reason  string    `json:"reason,omitempty"`
 }
 
-// MemorySample is the memory held at one time.
+// MemorySample is the memory in use at one time.
 type MemorySample struct {
 	At       time.Time `json:"at"`
 	Tokens   int       `json:"tokens"`
 	Programs int       `json:"programs"`
 }
 
-// Truth is what the engine itself saw and did, for checkers. It survives
-// restarts of the engine and is not visible to stepseam.
+// Truth is the engine's own record of its work, for checkers. It survives restarts of the
+// engine and is not visible to stepseam.
 type Truth struct {
 	Name     string               `json:"name"`
 	Arrivals []Arrival            `json:"arrivals"`
 	Memory   []MemorySample       `json:"memory"`
 	Held     []backend.HeldPrefix `json:"held"`
 	Orders   []OrderRecord        `json:"orders"`
-	// Dropped counts entries that the bound pushed out.
+	// Dropped counts entries that were removed to keep the lists within their limits.
 	Dropped int `json:"dropped"`
 	// Tokens and RecomputedTokens count generated and prefilled tokens.
 	Tokens          int `json:"tokens"`
@@ -82,15 +82,15 @@
 	Restarts        int `json:"restarts"`
 }
 
-// OrderRecord is one order that the engine took, carried out or not.
+// OrderRecord is one order that the engine received.
 type OrderRecord struct {
 	Order backend.Order `json:"order"`
 	At    time.Time     `json:"at"`
-	// Done is false where the fence was stale or the order was a repeat.
+	// Done is false if the fence was stale or the order was a repeat.
 	Done bool `json:"done"`
 }
 
-// recorder keeps the truth within its bound. The engine's mutex guards it.
+// recorder bounds the size of the record. The engine's mutex guards it.
 type recorder struct {
 	limit    int
 	arrivals []*Arrival
@@ -121,7 +121,7 @@
 	r.memory = appendBounded(r.memory, sample, r.limit, &r.totals.Dropped)
 }
 
-// appendBounded drops the oldest half when the limit is reached, so that the
+// appendBounded drops the oldest half when the limit is reached, so that the amortized
 // cost per entry stays constant.
 func appendBounded[T any](list []T, value T, limit int, dropped *int) []T {
 	if len(list) >= limit {
--- a/internal/emulator/link/link_test.go
+++ b/internal/emulator/link/link_test.go
@@ -12,11 +12,11 @@
 	"github.com/matryer/is"
 )
 
-// patience bounds waits that are expected to end; quiet is how long a test
-// looks for something that must not come.
+// arrivalTimeout bounds waits for expected events; silenceWindow is how long a test checks that nothing
+// arrives.
 const (
-	patience = 10 * time.Second
-	quiet    = 100 * time.Millisecond
+	arrivalTimeout = 10 * time.Second
+	silenceWindow  = 100 * time.Millisecond
 )
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
@@ -56,7 +56,7 @@
 func silent(t *testing.T, connection net.Conn) {
 	t.Helper()
 	check := is.New(t)
-	check.NoErr(connection.SetReadDeadline(time.Now().Add(quiet)))
+	check.NoErr(connection.SetReadDeadline(time.Now().Add(silenceWindow)))
 	_, err := connection.Read(make([]byte, 1))
 	check.True(errors.Is(err, os.ErrDeadlineExceeded))
 }
@@ -64,7 +64,7 @@
 func receive(t *testing.T, connection net.Conn, want string) {
 	t.Helper()
 	check := is.New(t)
-	check.NoErr(connection.SetReadDeadline(time.Now().Add(patience)))
+	check.NoErr(connection.SetReadDeadline(time.Now().Add(arrivalTimeout)))
 	got := make([]byte, len(want))
 	_, err := io.ReadFull(connection, got)
 	check.NoErr(err)
@@ -77,7 +77,7 @@
 	is.New(t).NoErr(err)
 }
 
-func TestTCPIsHeldByACutAndGoesOnAfterIt(t *testing.T) {
+func TestTCPStallsDuringCutAndContinues(t *testing.T) {
 	network := NewNetwork(1)
 	_, connection := startTCP(t, network)
 	write(t, connection, "one")
@@ -135,7 +135,7 @@
 	network.Cut("a", "b")
 	write(t, connection, "two")
 	check.NoErr(relay.Close())
-	check.NoErr(connection.SetReadDeadline(time.Now().Add(patience)))
+	check.NoErr(connection.SetReadDeadline(time.Now().Add(arrivalTimeout)))
 	_, err := connection.Read(make([]byte, 1))
 	check.True(err != nil && !errors.Is(err, os.ErrDeadlineExceeded))
 }
--- a/internal/emulator/link/network.go
+++ b/internal/emulator/link/network.go
@@ -1,11 +1,11 @@
-// Package link relays TCP connections and UDP datagrams between processes of a
-// laboratory site, so that a test can cut, delay and heal the link between any
-// two of them, each direction by itself.
+// Package link relays TCP connections and UDP datagrams between the processes of a
+// laboratory site, so that a test can cut, delay and heal each direction of a link
+// between two processes.
 //
-// A relay stands in front of one target; whoever is to be cut off from the
-// target is given the relay's address. A cut holds TCP bytes back and drops
-// datagrams, and nobody is told, as when a switch fails: connections stay open
-// and go on once the link is healed.
+// A relay forwards to one target; a process whose link to the target may be cut connects
+// to the relay's address instead. A cut stalls TCP bytes and drops datagrams without an
+// error, as when a switch fails: connections stay open and continue once the link is
+// healed.
 package link
 
 import (
@@ -15,19 +15,19 @@
 	"time"
 )
 
-// Condition is the state of one direction of a link. The zero value is a
-// healthy link without delay.
+// Condition is the state of one direction of a link. The zero value is a healthy link
+// without delay.
 type Condition struct {
-	// Cut holds back TCP bytes and drops datagrams.
+	// Cut stalls TCP bytes and drops datagrams.
 	Cut bool
-	// Delay is added to everything that passes.
+	// Delay is added to all traffic.
 	Delay time.Duration
-	// Loss is the chance that a datagram is dropped, between 0 and 1.
+	// Loss is the probability that a datagram is dropped, between 0 and 1.
 	Loss float64
 }
 
-// Network holds the conditions of all links of a site. Endpoints are named by
-// the test; a relay that names no caller takes the caller's IP number.
+// Network contains the conditions of all links of a site. The test names the endpoints; a
+// relay without a caller's name uses the caller's IP address.
 type Network struct {
 	// mutex guards everything below.
 	mutex      sync.Mutex
@@ -37,12 +37,12 @@
 	changed chan struct{}
 }
 
-// direction is one way of a link.
+// direction identifies one direction of a link.
 type direction struct{ from, to string }
 
 func (d direction) reversed() direction { return direction{from: d.to, to: d.from} }
 
-// NewNetwork returns a network of healthy links; datagram losses are drawn from seed.
+// NewNetwork returns a network of healthy links; seed determines datagram losses.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		conditions: make(map[direction]Condition),
@@ -66,14 +66,14 @@
 	n.CutOneWay(b, a)
 }
 
-// CutOneWay cuts the direction from → to alone; its delay is kept.
+// CutOneWay cuts only the direction from → to and keeps its delay.
 func (n *Network) CutOneWay(from, to string) {
 	condition := n.condition(direction{from, to})
 	condition.Cut = true
 	n.Set(from, to, condition)
 }
 
-// Heal makes both directions between a and b healthy and without delay.
+// Heal removes cut, delay and loss from both directions between a and b.
 func (n *Network) Heal(a, b string) {
 	n.Set(a, b, Condition{})
 	n.Set(b, a, Condition{})
@@ -85,7 +85,7 @@
 	return n.conditions[way]
 }
 
-// awaitOpen waits until way is not cut; it returns false if ctx ended first.
+// awaitOpen blocks until way is not cut. It returns false if ctx ended first.
 func (n *Network) awaitOpen(ctx context.Context, way direction) bool {
 	for {
 		n.mutex.Lock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// passes decides whether a datagram gets through way, and after what delay.
+// passes decides whether a datagram passes way, and after what delay.
 func (n *Network) passes(way direction) (time.Duration, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/emulator/link/tcp.go
+++ b/internal/emulator/link/tcp.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// Sizes of one direction's buffer: what is under way on the emulated link.
+// Buffer sizes of one direction: the data in flight on the emulated link.
 const (
 	chunkBytes   = 32 << 10
 	chunksQueued = 64
 )
 
-// Route says whom a relay stands between.
+// Route names the two ends of a relay.
 type Route struct {
-	// From names the caller; empty takes the caller's IP number.
+	// From names the caller; if empty, the caller's IP address is used.
 	From string
 	// To names the target's endpoint.
 	To string
-	// Listen is where the relay listens; port 0 takes a free one.
+	// Listen is the relay's listen address; port 0 selects a free port.
 	Listen netip.AddrPort
-	// Target is where the relay passes everything on to.
+	// Target is the address to which the relay forwards.
 	Target netip.AddrPort
 }
 
-// Relay passes traffic on until it is closed.
+// Relay forwards traffic until it is closed.
 type Relay struct {
 	address netip.AddrPort
 	cancel  context.CancelFunc
@@ -38,10 +38,10 @@
 	running sync.WaitGroup
 }
 
-// Address returns where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() netip.AddrPort { return r.address }
 
-// Close ends the relay with all its connections and waits for them.
+// Close closes the relay and its connections and waits for its goroutines.
 func (r *Relay) Close() error {
 	r.cancel()
 	err := r.close()
@@ -72,8 +72,8 @@
 	}
 }
 
-// relayConnection connects caller to the target once both ways are open, as a
-// handshake needs both, and pumps until either side ends.
+// relayConnection connects caller to the target once both directions are open, as a
+// handshake needs both, and forwards until either side ends.
 func (n *Network) relayConnection(ctx context.Context, caller *net.TCPConn, route Route) {
 	defer caller.Close()
 	way := direction{from: sourceName(route, caller.RemoteAddr()), to: route.To}
@@ -105,17 +105,17 @@
 	way      direction
 }
 
-// chunk is what was read at once; the last one is empty and carries how the
-// reading ended.
+// chunk is the result of one read; the last one is empty and states how the reading
+// ended.
 type chunk struct {
 	bytes []byte
 	read  time.Time
-	// broken is true on a last chunk that ended with a reset, not an end of file.
+	// broken is true on a last chunk that ended with a reset instead of an end of file.
 	broken bool
 }
 
-// pump carries one direction. An end of the stream travels like its bytes, so
-// that it is held back by a cut too.
+// pump forwards one direction. The end of the stream is delayed and stalled like its
+// bytes.
 func (n *Network) pump(ctx context.Context, cancel context.CancelFunc, p pipe) {
 	chunks := make(chan chunk, chunksQueued)
 	var reader sync.WaitGroup
@@ -140,7 +140,7 @@
 	}
 }
 
-// carry waits out the delay and any cut of way.
+// carry waits for the delay and while way is cut.
 func (n *Network) carry(ctx context.Context, way direction, read time.Time) bool {
 	due := read.Add(n.condition(way).Delay)
 	if wait := time.Until(due); wait > 0 {
@@ -181,7 +181,7 @@
 	}
 }
 
-// sourceName returns the name by which a caller's conditions are looked up.
+// sourceName returns the name under which a caller's conditions are stored.
 func sourceName(route Route, address net.Addr) string {
 	if route.From != "" {
 		return route.From
--- a/internal/emulator/link/udp.go
+++ b/internal/emulator/link/udp.go
@@ -14,12 +14,13 @@
 const (
 	// datagramBytes is the largest datagram that is relayed.
 	datagramBytes = 64 << 10
-	// sessionIdle is how long a caller's way back is kept without traffic.
+	// sessionIdle is how long a caller's socket towards the target is kept without
+	// traffic.
 	sessionIdle = 2 * time.Minute
 )
 
-// RelayUDP starts a relay of UDP datagrams. Each caller gets a socket of its
-// own towards the target, so that answers find their way back.
+// RelayUDP starts a relay of UDP datagrams. Each caller gets its own socket towards the
+// target, so that responses can be routed back.
 func (n *Network) RelayUDP(route Route) (*Relay, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(route.Listen))
 	if err != nil {
@@ -36,7 +37,7 @@
 	return relay, nil
 }
 
-// datagramRelay is one UDP relay at work.
+// datagramRelay is one running UDP relay.
 type datagramRelay struct {
 	network *Network
 	relay   *Relay
@@ -44,7 +45,7 @@
 	socket  *net.UDPConn
 	// mutex guards sessions.
 	mutex sync.Mutex
-	// sessions holds the socket towards the target of each caller.
+	// sessions maps each caller to its socket towards the target.
 	sessions map[netip.AddrPort]*net.UDPConn
 }
 
@@ -65,7 +66,7 @@
 	}
 }
 
-// forward sends a datagram on, at once or after the way's delay, or drops it.
+// forward sends a datagram, at once or after the delay of the direction, or drops it.
 func (d *datagramRelay) forward(way direction, datagram []byte, write func([]byte)) {
 	delay, passes := d.network.passes(way)
 	if !passes {
@@ -79,8 +80,7 @@
 	time.AfterFunc(delay, func() { write(copied) })
 }
 
-// session returns the socket of caller towards the target, or nil if there can
-// be none.
+// session returns the socket of caller towards the target, or nil if none can be opened.
 func (d *datagramRelay) session(ctx context.Context, caller netip.AddrPort) *net.UDPConn {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -99,7 +99,7 @@
 	return session
 }
 
-// answers carries the target's datagrams back to caller until they stop.
+// answers forwards the target's datagrams to caller until reading fails.
 func (d *datagramRelay) answers(caller netip.AddrPort, session *net.UDPConn) {
 	defer d.drop(caller, session)
 	way := direction{from: d.route.To, to: sourceName(d.route, net.UDPAddrFromAddrPort(caller))}
@@ -111,7 +111,7 @@
 			return
 		}
 		if err != nil {
-			// Nobody listens at the target for now; it may come back.
+			// Nobody listens at the target; it may be restarting.
 			continue
 		}
 		d.forward(way, buffer[:count], func(datagram []byte) {
--- a/internal/emulator/logservice/faults.go
+++ b/internal/emulator/logservice/faults.go
@@ -2,43 +2,42 @@
 
 import "time"
 
-// Faults describes how the service, or one caller's view of it, misbehaves. The
-// zero value is a faultless service. Probabilities are between 0 and 1.
+// Faults are the injected faults of the service or of one caller's view of it. The zero
+// value is a service without faults. Probabilities are between 0 and 1.
 type Faults struct {
-	// Down refuses everything with platform.ErrUnavailable.
+	// Down fails every request with siteservices.ErrUnavailable.
 	Down bool `yaml:"down" json:"down"`
-	// AppendDelay is the time an append takes: one half passes before its
-	// effect, the other half before its answer. The effect does not depend on
-	// the caller's patience: an append given up on still lands.
+	// AppendDelay is the duration of an append: one half passes before its effect, the
+	// other half before its response. An append takes effect even if its caller gave up.
 	AppendDelay time.Duration `yaml:"append_delay" json:"append_delay" validate:"gte=0"`
-	// ReadDelay is the time a read takes before it is looked up.
+	// ReadDelay passes before a read is looked up.
 	ReadDelay time.Duration `yaml:"read_delay" json:"read_delay" validate:"gte=0"`
-	// Refuse is the chance that a request is refused without effect.
+	// Refuse is the probability that a request is rejected without effect.
 	Refuse float64 `yaml:"refuse" json:"refuse" validate:"gte=0,lte=1"`
-	// LoseBefore is the chance that an append is lost on its way: it has no
-	// effect and the caller is told platform.ErrAnswerLost.
+	// LoseBefore is the probability that an append is lost before its effect; the caller
+	// gets siteservices.ErrAnswerLost.
 	LoseBefore float64 `yaml:"lose_before" json:"lose_before" validate:"gte=0,lte=1"`
-	// LoseAfter is the chance that an answer is lost after the effect. It
-	// applies to reads too, which have no effect.
+	// LoseAfter is the probability that a response is lost after the effect. It applies
+	// to reads too, which have no effect.
 	LoseAfter float64 `yaml:"lose_after" json:"lose_after" validate:"gte=0,lte=1"`
 }
 
-// Outcome is what a scripted fault does to one append.
+// Outcome is the scripted outcome of one append.
 type Outcome int
 
-// The outcomes that a test can line up for coming appends.
+// The outcomes that a test can script.
 const (
-	// Succeed lets the append through, whatever the probabilities say.
+	// Succeed lets the append through, regardless of the probabilities.
 	Succeed Outcome = iota
-	// RefuseAppend refuses it without effect: platform.ErrUnavailable.
+	// RefuseAppend rejects it without effect: siteservices.ErrUnavailable.
 	RefuseAppend
-	// LoseRequest drops it before its effect: platform.ErrAnswerLost.
+	// LoseRequest drops it before its effect: siteservices.ErrAnswerLost.
 	LoseRequest
-	// LoseAnswer drops the answer after the effect: platform.ErrAnswerLost.
+	// LoseAnswer drops the response after the effect: siteservices.ErrAnswerLost.
 	LoseAnswer
 )
 
-// script lines up outcomes for coming appends, first one first.
+// script is a queue of outcomes for coming appends.
 type script struct {
 	outcomes []Outcome
 }
@@ -52,7 +51,7 @@
 	return first, true
 }
 
-// SetFaults replaces the faults that all callers meet.
+// SetFaults replaces the faults that apply to all callers.
 func (s *Service) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -60,14 +59,14 @@
 	s.wakeReaders()
 }
 
-// Faults returns the faults that all callers meet.
+// Faults returns the faults that apply to all callers.
 func (s *Service) Faults() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-// SetDown switches the outage for all callers.
+// SetDown starts or ends an outage for all callers.
 func (s *Service) SetDown(down bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -75,15 +74,15 @@
 	s.wakeReaders()
 }
 
-// Script lines up outcomes for the next appends of any caller. They go before
-// the probabilities, and before those lined up for one view.
+// Script queues outcomes for the next appends of any caller. They take precedence over
+// the probabilities and over outcomes queued for one view.
 func (s *Service) Script(outcomes ...Outcome) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.script.outcomes = append(s.script.outcomes, outcomes...)
 }
 
-// wakeReaders lets long polls look at the faults again. The caller holds mutex.
+// wakeReaders makes long polls check the faults again. The caller holds mutex.
 func (s *Service) wakeReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -113,7 +112,7 @@
 	return Succeed
 }
 
-// chance draws with probability. The caller holds mutex.
+// chance returns true with probability. The caller holds mutex.
 func (s *Service) chance(probability float64) bool {
 	return probability > 0 && s.random.Float64() < probability
 }
--- a/internal/emulator/logservice/server.go
+++ b/internal/emulator/logservice/server.go
@@ -10,11 +10,10 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// NewServer returns the HTTP face of service: the protocol that
-// siteservices.LogClient speaks, and under /stand-in/ what tests and operators of a
-// laboratory site use to switch faults (GET and PUT /stand-in/faults, with
-// ?caller= for one caller's view) and to see what is stored
-// (GET /stand-in/counts, GET /stand-in/streams).
+// NewServer returns the HTTP handler of service: the protocol of siteservices.LogClient
+// and, under /stand-in/, the control paths for tests and operators of a laboratory site:
+// faults (GET and PUT /stand-in/faults, with ?caller= for one caller's view) and stored
+// data (GET /stand-in/counts, GET /stand-in/streams).
 func NewServer(service *Service) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/streams/{stream}/records", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/emulator/logservice/service.go
+++ b/internal/emulator/logservice/service.go
@@ -1,10 +1,10 @@
-// Package logservice is a stand-in for the platform's append-only log service.
+// Package logservice emulates the platform's append-only log service.
 //
-// Its core keeps streams in memory and implements siteservices.Log directly, with
-// package time and channels alone, so that it runs inside a testing/synctest
-// bubble. Each caller gets its own view, so that a test can cut one node off
-// while the others go on. Faults are switched by the test or drawn from a
-// seeded source: outage, slowness, and answers lost before or after the effect.
+// Its core stores streams in memory and implements siteservices.Log with package time and
+// channels alone, so that it runs inside a testing/synctest bubble. Each caller gets its
+// own view, so that a test can partition one node from the log while others continue.
+// Faults are set by the test or drawn from a seeded source: outage, delay, and requests
+// or responses that are lost.
 package logservice
 
 import (
@@ -17,14 +17,14 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// Bounds of one answer of Read, in records and in bytes. An answer holds at
-// least one record, however large.
+// Bounds of one response to Read, in records and in bytes. A response contains at least
+// one record, however large.
 const (
 	MaxReadRecords = 4096
 	MaxReadBytes   = 4 << 20
 )
 
-// Counts tells how much the service has stored.
+// Counts contains the totals of the service.
 type Counts struct {
 	// Appends counts the appends that took effect.
 	Appends uint64 `json:"appends"`
@@ -36,8 +36,8 @@
 	Reads uint64 `json:"reads"`
 }
 
-// Service is the core of the log service. It implements siteservices.Log without a
-// view's own faults; callers that are cut off one by one use ViewFor.
+// Service is the core of the log service. It implements siteservices.Log for callers
+// without a view; ViewFor returns the view of one caller.
 type Service struct {
 	// mutex guards everything below.
 	mutex   sync.Mutex
@@ -47,8 +47,8 @@
 	faults  Faults
 	script  script
 	counts  Counts
-	// changed is closed and replaced whenever faults change, so that long polls
-	// notice an outage at once.
+	// changed is closed and replaced whenever faults change, so that long polls notice an
+	// outage at once.
 	changed chan struct{}
 }
 
@@ -61,7 +61,7 @@
 
 var _ siteservices.Log = (*Service)(nil)
 
-// New returns an empty service whose fault draws come from seed.
+// New returns an empty service whose random faults are determined by seed.
 func New(seed uint64) *Service {
 	return &Service{
 		streams: make(map[string]*stream),
@@ -78,15 +78,15 @@
 	return s.counts
 }
 
-// Streams returns the names of all streams, sorted. No fault applies.
+// Streams returns the names of all streams, sorted, regardless of faults.
 func (s *Service) Streams() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Sorted(maps.Keys(s.streams))
 }
 
-// Records returns all records of name. No fault applies: it is the truth that
-// checkers read. The records must not be changed.
+// Records returns all records of name regardless of faults, for checkers. The records
+// must not be changed.
 func (s *Service) Records(name string) [][]byte {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// stream returns the stream name, made on first use. The caller holds mutex.
+// stream returns the stream name and creates it on first use. The caller holds mutex.
 func (s *Service) stream(name string) *stream {
 	found := s.streams[name]
 	if found == nil {
--- a/internal/emulator/logservice/service_test.go
+++ b/internal/emulator/logservice/service_test.go
@@ -70,7 +70,7 @@
 	check.Equal(service.Records("a"), [][]byte{{1}, {3}})
 }
 
-func TestViewsFailAlone(t *testing.T) {
+func TestViewsFailIndependently(t *testing.T) {
 	check := is.New(t)
 	service := New(1)
 	service.ViewFor("n1").SetDown(true)
@@ -81,7 +81,7 @@
 	check.Equal(service.Counts().Records, uint64(1))
 }
 
-func TestSlowAppendLandsThoughItsCallerGaveUp(t *testing.T) {
+func TestSlowAppendTakesEffectAfterCallerGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		service := New(1)
--- a/internal/emulator/logservice/view.go
+++ b/internal/emulator/logservice/view.go
@@ -7,7 +7,7 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// View is the service as one caller sees it. Its faults come on top of the
+// View is the service as one caller sees it. Its faults apply in addition to the
 // service's own.
 type View struct {
 	service *Service
@@ -31,7 +31,7 @@
 	return view
 }
 
-// SetFaults replaces the faults that this caller alone meets.
+// SetFaults replaces the faults that apply to this caller only.
 func (v *View) SetFaults(faults Faults) {
 	v.service.mutex.Lock()
 	defer v.service.mutex.Unlock()
@@ -39,14 +39,14 @@
 	v.service.wakeReaders()
 }
 
-// Faults returns the faults that this caller alone meets.
+// Faults returns the faults that apply to this caller only.
 func (v *View) Faults() Faults {
 	v.service.mutex.Lock()
 	defer v.service.mutex.Unlock()
 	return v.faults
 }
 
-// SetDown cuts this caller off from the service, or connects it again.
+// SetDown partitions this caller from the service, or reconnects it.
 func (v *View) SetDown(down bool) {
 	v.service.mutex.Lock()
 	defer v.service.mutex.Unlock()
@@ -54,7 +54,7 @@
 	v.service.wakeReaders()
 }
 
-// Script lines up outcomes for this caller's next appends.
+// Script queues outcomes for this caller's next appends.
 func (v *View) Script(outcomes ...Outcome) {
 	v.service.mutex.Lock()
 	defer v.service.mutex.Unlock()
@@ -73,15 +73,15 @@
 	return s.ViewFor("").Read(ctx, stream, from, limit, wait)
 }
 
-// appendAnswer is what an append's effect left for its caller.
+// appendAnswer is the result of an append.
 type appendAnswer struct {
 	offset siteservices.Offset
 	err    error
 }
 
-// Append implements siteservices.Log. Once the request has been taken, its effect
-// comes after half the delay even if the caller has given up by then; the
-// caller is told siteservices.ErrAnswerLost.
+// Append implements siteservices.Log. An accepted request takes effect after half the
+// delay even if the caller has given up by then; the caller gets
+// siteservices.ErrAnswerLost.
 func (v *View) Append(ctx context.Context, stream string, records [][]byte) (siteservices.Offset, error) {
 	if ctx.Err() != nil {
 		return 0, unavailable("append " + stream + ": " + ctx.Err().Error())
@@ -115,8 +115,8 @@
 	return v.service.draw(v), v.service.faults.AppendDelay + v.faults.AppendDelay
 }
 
-// effect lets an admitted append take effect as outcome says. An outage that
-// began meanwhile loses the request.
+// effect applies an admitted append according to outcome. If an outage began meanwhile,
+// the request is lost.
 func (v *View) effect(stream string, records [][]byte, outcome Outcome) appendAnswer {
 	v.service.mutex.Lock()
 	defer v.service.mutex.Unlock()
@@ -130,8 +130,8 @@
 	return appendAnswer{offset: offset}
 }
 
-// Read implements siteservices.Log. Records are shared with the service and must
-// not be changed.
+// Read implements siteservices.Log. Records are shared with the service and must not be
+// changed.
 func (v *View) Read(
 	ctx context.Context, stream string, from siteservices.Offset, limit int, wait time.Duration,
 ) (siteservices.ReadResult, error) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// admitRead draws the faults of one read and waits out its delay.
+// admitRead draws the faults of one read and waits for its delay.
 func (v *View) admitRead(ctx context.Context, stream string) error {
 	if ctx.Err() != nil {
 		return unavailable("read " + stream + ": " + ctx.Err().Error())
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// lookUp reads once and returns the channels that tell when to look again.
+// lookUp reads once and returns the channels that are closed when another look is needed.
 func (v *View) lookUp(stream string, from siteservices.Offset, limit int) (
 	result siteservices.ReadResult, grown, changed <-chan struct{}, err error,
 ) {
--- a/internal/emulator/machinelist/list.go
+++ b/internal/emulator/machinelist/list.go
@@ -1,6 +1,6 @@
-// Package machinelist is a stand-in for the platform's list of live and leaving
-// machines. What the list shows lags behind what was set. Its core runs inside
-// a testing/synctest bubble; Server puts it on HTTP.
+// Package machinelist emulates the platform's list of live and leaving machines, which
+// may be stale. Its core runs inside a testing/synctest bubble; NewServer serves it over
+// HTTP.
 package machinelist
 
 import (
@@ -14,14 +14,14 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// Faults describes how the list misbehaves. The zero value is a faultless list
+// Faults are the injected faults of the list. The zero value is a list without faults and
 // without lag.
 type Faults struct {
-	// Down refuses everything with siteservices.ErrUnavailable.
+	// Down fails every request with siteservices.ErrUnavailable.
 	Down bool `yaml:"down" json:"down"`
-	// Lag is how long a change takes to show.
+	// Lag is the time after which a change becomes visible.
 	Lag time.Duration `yaml:"lag" json:"lag" validate:"gte=0"`
-	// Delay is the time that an answer takes.
+	// Delay is the duration of a request.
 	Delay time.Duration `yaml:"delay" json:"delay" validate:"gte=0"`
 }
 
@@ -31,12 +31,12 @@
 	mutex  sync.Mutex
 	faults Faults
 	views  map[string]*View
-	// history holds the lists that were true, oldest first; the first one is
-	// shown, or was, and later ones may be.
+	// history contains versions of the list, oldest first; the first one is visible or
+	// was, later ones may be.
 	history []version
 }
 
-// version is the list as it was true from since on.
+// version is the list as it was from since on.
 type version struct {
 	since    time.Time
 	machines []siteservices.Machine
@@ -44,7 +44,7 @@
 
 var _ siteservices.MachineList = (*List)(nil)
 
-// New returns a list that shows machines from the start, whatever the lag.
+// New returns a list in which machines are visible from the start, whatever the lag.
 func New(machines []siteservices.Machine) *List {
 	return &List{
 		views:   make(map[string]*View),
@@ -52,43 +52,43 @@
 	}
 }
 
-// SetFaults replaces the faults. A longer lag never brings back what has
-// already been dropped as too old.
+// SetFaults replaces the faults. A longer lag never restores versions that have been
+// dropped.
 func (l *List) SetFaults(faults Faults) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.faults = faults
 }
 
-// Faults returns the faults that all callers meet.
+// Faults returns the faults that apply to all callers.
 func (l *List) Faults() Faults {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.faults
 }
 
-// Replace sets the whole list; it shows after the lag.
+// Replace sets the whole list; the change is visible after the lag.
 func (l *List) Replace(machines []siteservices.Machine) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.change(sorted(machines))
 }
 
-// Put adds machine or replaces the one of its name; it shows after the lag.
+// Put adds machine or replaces the one of its name; the change is visible after the lag.
 func (l *List) Put(machine siteservices.Machine) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.change(sorted(append(without(l.latest(), machine.Name), machine)))
 }
 
-// Remove takes the machine name off the list; it shows after the lag.
+// Remove removes the machine name from the list; the change is visible after the lag.
 func (l *List) Remove(name string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.change(without(l.latest(), name))
 }
 
-// SetState marks a machine as live or leaving; it shows after the lag. It
+// SetState marks a machine as live or leaving; the change is visible after the lag. It
 // returns false if the machine is not listed.
 func (l *List) SetState(name string, state siteservices.MachineState) bool {
 	l.mutex.Lock()
@@ -103,7 +103,7 @@
 	return true
 }
 
-// Latest returns the list without lag: the truth that checkers read.
+// Latest returns the list without lag, for checkers.
 func (l *List) Latest() []siteservices.Machine {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -124,8 +124,8 @@
 	l.shown()
 }
 
-// shown returns the list that callers see now and drops older ones. The caller
-// holds mutex.
+// shown returns the list that is visible now and drops older versions. The caller holds
+// mutex.
 func (l *List) shown() []siteservices.Machine {
 	visible := time.Now().Add(-l.faults.Lag)
 	for len(l.history) > 1 && !l.history[1].since.After(visible) {
@@ -155,7 +155,7 @@
 	return view
 }
 
-// SetDown cuts this caller off from the list, or connects it again.
+// SetDown partitions this caller from the list, or reconnects it.
 func (v *View) SetDown(down bool) {
 	v.list.mutex.Lock()
 	defer v.list.mutex.Unlock()
--- a/internal/emulator/machinelist/list_test.go
+++ b/internal/emulator/machinelist/list_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestOneCallerCanBeCutOff(t *testing.T) {
+func TestPartitionOfOneCaller(t *testing.T) {
 	check := is.New(t)
 	list := New(nil)
 	list.ViewFor("n1").SetDown(true)
--- a/internal/emulator/machinelist/server.go
+++ b/internal/emulator/machinelist/server.go
@@ -8,10 +8,10 @@
 	"stepseam.example/stepseam/internal/siteservices"
 )
 
-// NewServer returns the HTTP face of list: GET /v1/machines as
-// siteservices.MachineListClient speaks it, and under /stand-in/ the switches of a
-// laboratory site: GET and PUT /stand-in/faults, GET and PUT /stand-in/machines,
-// PUT and DELETE /stand-in/machines/{name}.
+// NewServer returns the HTTP handler of list: GET /v1/machines as
+// siteservices.MachineListClient calls it and, under /stand-in/, the control paths of a
+// laboratory site: GET and PUT /stand-in/faults, GET and PUT /stand-in/machines, PUT and
+// DELETE /stand-in/machines/{name}.
 func NewServer(list *List) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/machines", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/emulator/network/call.go
+++ b/internal/emulator/network/call.go
@@ -11,19 +11,19 @@
 	"stepseam.example/stepseam/internal/wire"
 )
 
-// partWindow is how many parts of one call are under way before sendPart waits.
+// partWindow is how many parts of one call are in flight before sendPart blocks.
 const partWindow = 64
 
-// errCallerGone is what sendPart returns once nobody waits for the parts.
-var errCallerGone = errors.New("network: the caller is gone")
+// errCallerCancelled is what sendPart returns once the caller no longer waits.
+var errCallerCancelled = errors.New("network: the caller is gone")
 
-// frame is one encoded message on its way.
+// frame is one encoded message in transit.
 type frame struct {
 	kind    peer.Kind
 	fields  []byte
 	final   bool
 	failure error
-	// arrival is when the frame is there.
+	// arrival is when the frame arrives.
 	arrival time.Time
 }
 
@@ -33,18 +33,18 @@
 	return message.Kind(), encoder.Bytes()
 }
 
-// exchange is one call under way, between the caller's and the handler's side.
+// exchange is one call in flight between the caller's and the handler's side.
 type exchange struct {
-	network *Network
-	caller  *Endpoint
-	callee  *Endpoint
-	luck    luck
-	frames  chan frame
-	// broken runs while heartbeats do not go through; the caller's side alone uses it.
+	network     *Network
+	caller      *Endpoint
+	callee      *Endpoint
+	drawnFaults drawnFaults
+	frames      chan frame
+	// broken runs while heartbeats are lost; only the caller's side uses it.
 	broken *time.Timer
-	// callerGone is done when the handler's side learns that nobody waits any more.
-	callerGone context.Context
-	hangUp     context.CancelFunc
+	// callerDone is done when the handler's side learns that the caller no longer waits.
+	callerDone   context.Context
+	cancelCaller context.CancelFunc
 }
 
 // Call implements peer.Client.
@@ -54,7 +54,7 @@
 		return nil, fmt.Errorf("%w: %w", peer.ErrNotSent, err)
 	}
 	message, err := e.call(ctx, address, kind, fields, onPart)
-	// A stopped process does not go on with an answer before its thaw.
+	// A paused process does not return an answer before its thaw.
 	if gateErr := e.awaitThaw(); gateErr != nil {
 		return nil, fmt.Errorf("%w: %w", peer.ErrUnreachable, gateErr)
 	}
@@ -70,33 +70,33 @@
 	e.count(len(fields))
 	exchange := &exchange{
 		network: network, caller: e, callee: callee,
-		luck:   network.draw(e.node, callee.node, kind),
-		frames: make(chan frame, partWindow),
+		drawnFaults: network.draw(e.node, callee.node, kind),
+		frames:      make(chan frame, partWindow),
 	}
-	exchange.callerGone, exchange.hangUp = context.WithCancel(callee.life)
+	exchange.callerDone, exchange.cancelCaller = context.WithCancel(callee.lifetime)
 	defer exchange.leave()
 	latency := network.latency(e.node, callee.node)
 	time.AfterFunc(latency, func() { exchange.deliver(kind, fields) })
-	if exchange.luck.duplicate && !exchange.luck.loseRequest {
-		time.AfterFunc(latency+exchange.luck.duplicateAfter, func() { exchange.deliverDuplicate(kind, fields) })
+	if exchange.drawnFaults.duplicate && !exchange.drawnFaults.loseRequest {
+		time.AfterFunc(latency+exchange.drawnFaults.duplicateAfter, func() { exchange.deliverDuplicate(kind, fields) })
 	}
 	return exchange.receive(ctx, onPart)
 }
 
-// refused is the outcome of a call to where nobody listens: at once if the
-// other machine can say so, else after the time that a dial is given.
+// refused returns the error of a call to an address without a listener: at once if the
+// other machine can refuse the connection, else after the dial timeout.
 func (e *Endpoint) refused(ctx context.Context, callee *Endpoint, address netip.AddrPort) error {
 	if callee != nil && !e.network.Reaches(callee.node, e.node) {
 		select {
 		case <-time.After(DetectionTime):
 		case <-ctx.Done():
-		case <-e.life.Done():
+		case <-e.lifetime.Done():
 		}
 	}
 	return fmt.Errorf("%w: nothing listens at %s", peer.ErrNotSent, address)
 }
 
-// leave tells the handler's side that nobody waits, as soon as that can get there.
+// leave notifies the handler's side that the caller stopped waiting, after the latency.
 func (x *exchange) leave() {
 	if x.broken != nil {
 		x.broken.Stop()
@@ -105,13 +105,12 @@
 	if !x.network.Reaches(x.caller.node, x.callee.node) {
 		delay = DetectionTime
 	}
-	time.AfterFunc(delay, x.hangUp)
+	time.AfterFunc(delay, x.cancelCaller)
 }
 
-// deliver hands the request, which is at the other side after its latency, to
-// the handler there.
+// deliver passes the request, which has arrived at the other side, to the handler there.
 func (x *exchange) deliver(kind peer.Kind, fields []byte) {
-	if x.luck.loseRequest {
+	if x.drawnFaults.loseRequest {
 		x.reset("the request was lost")
 		return
 	}
@@ -128,11 +127,11 @@
 		x.answer(nil, fmt.Errorf("%w: %d", peer.ErrUnknownKind, kind))
 		return
 	}
-	message, err := handler.Handle(x.callerGone, request, x.sendPart)
+	message, err := handler.Handle(x.callerDone, request, x.sendPart)
 	x.answer(message, err)
 }
 
-// deliverDuplicate runs the handler once more and drops what it answers.
+// deliverDuplicate runs the handler a second time and drops its response.
 func (x *exchange) deliverDuplicate(kind peer.Kind, fields []byte) {
 	if !x.carryRequest() {
 		return
@@ -142,34 +141,34 @@
 	if err != nil || handler == nil {
 		return
 	}
-	// The answer of a duplicate has no one to go to.
-	_, _ = handler.Handle(x.callee.life, request, func(peer.Message) error { return errCallerGone })
+	// The response of a duplicate is dropped.
+	_, _ = handler.Handle(x.callee.lifetime, request, func(peer.Message) error { return errCallerCancelled })
 }
 
-// carryRequest waits until the request is at the other node's process.
+// carryRequest waits until the request has arrived at the other node's process.
 func (x *exchange) carryRequest() bool {
 	for !x.network.Reaches(x.caller.node, x.callee.node) {
-		// TCP sends again until the connection is given up.
+		// TCP retransmits until the connection fails.
 		changed := x.network.watch()
 		if x.network.Reaches(x.caller.node, x.callee.node) {
 			break
 		}
 		select {
 		case <-changed:
-		case <-x.callerGone.Done():
+		case <-x.callerDone.Done():
 			return false
 		}
 	}
 	return x.callee.awaitThaw() == nil
 }
 
-// reset ends the call at the caller as a broken connection does.
+// reset fails the call at the caller as a reset connection does.
 func (x *exchange) reset(reason string) {
 	failure := fmt.Errorf("%w: %s", peer.ErrUnreachable, reason)
 	delay := x.network.latency(x.callee.node, x.caller.node)
 	select {
 	case x.frames <- frame{final: true, failure: failure, arrival: time.Now().Add(delay)}:
-	case <-x.callerGone.Done():
+	case <-x.callerDone.Done():
 	}
 }
 
@@ -179,7 +178,7 @@
 }
 
 func (x *exchange) answer(message peer.Message, err error) {
-	if x.luck.loseAnswer {
+	if x.drawnFaults.loseAnswer {
 		x.reset("the answer was lost")
 		return
 	}
@@ -188,32 +187,33 @@
 		if errors.Is(err, peer.ErrUnknownKind) {
 			failure = err
 		}
-		_ = x.put(frame{final: true, failure: failure}) // a caller that is gone wants no answer
+		_ = x.put(frame{final: true, failure: failure}) // the caller may have stopped waiting
 		return
 	}
 	kind, fields := encode(message)
-	_ = x.put(frame{kind: kind, fields: fields, final: true}) // a caller that is gone wants no answer
+	_ = x.put(frame{kind: kind, fields: fields, final: true}) // the caller may have stopped waiting
 }
 
-// put sends one frame back. It waits while the sender is frozen or the window is full.
+// put sends one frame to the caller. It blocks while the sender is frozen or the window
+// is full.
 func (x *exchange) put(sent frame) error {
 	if err := x.callee.awaitThaw(); err != nil {
 		return err
 	}
-	if x.callerGone.Err() != nil {
-		return errCallerGone
+	if x.callerDone.Err() != nil {
+		return errCallerCancelled
 	}
 	x.callee.count(len(sent.fields))
 	sent.arrival = time.Now().Add(x.network.latency(x.callee.node, x.caller.node))
 	select {
 	case x.frames <- sent:
 		return nil
-	case <-x.callerGone.Done():
-		return errCallerGone
+	case <-x.callerDone.Done():
+		return errCallerCancelled
 	}
 }
 
-// receive hands parts on until the final frame, and watches the connection.
+// receive passes parts on until the final frame, and watches the connection.
 func (x *exchange) receive(ctx context.Context, onPart func(peer.Message) error) (peer.Message, error) {
 	for {
 		received, err := x.next(ctx)
@@ -239,7 +239,7 @@
 	}
 }
 
-// next returns the next frame that made it to the caller's running process.
+// next returns the next frame that arrived at the caller's running process.
 func (x *exchange) next(ctx context.Context) (frame, error) {
 	var received frame
 	err := x.wait(func(broken <-chan time.Time, changed <-chan struct{}) (bool, error) {
@@ -252,7 +252,7 @@
 			return false, x.lost()
 		case <-x.death():
 			return x.drain(&received)
-		case <-x.caller.life.Done():
+		case <-x.caller.lifetime.Done():
 			return false, fmt.Errorf("%w: %w", peer.ErrUnreachable, ErrKilled)
 		case <-ctx.Done():
 			return false, fmt.Errorf("%w: %w", peer.ErrUnreachable, ctx.Err())
@@ -267,16 +267,16 @@
 	return received, x.caller.awaitThaw()
 }
 
-// death is closed when the caller can learn that the callee was killed: its
-// machine resets the connection, if that gets through.
+// death is closed when the caller can learn that the callee was killed: its machine
+// resets the connection, if the reset gets through.
 func (x *exchange) death() <-chan struct{} {
 	if !x.network.Reaches(x.callee.node, x.caller.node) {
 		return nil
 	}
-	return x.callee.life.Done()
+	return x.callee.lifetime.Done()
 }
 
-// drain takes a frame that left before the callee was killed.
+// drain returns a frame that was sent before the callee was killed.
 func (x *exchange) drain(received *frame) (bool, error) {
 	select {
 	case *received = <-x.frames:
@@ -286,7 +286,7 @@
 	}
 }
 
-// arrive waits until a frame that was sent is there.
+// arrive waits until a sent frame has arrived.
 func (x *exchange) arrive(ctx context.Context, sent frame) error {
 	timer := time.NewTimer(time.Until(sent.arrival))
 	defer timer.Stop()
@@ -303,7 +303,7 @@
 			return false, nil
 		case <-broken:
 			return false, x.lost()
-		case <-x.caller.life.Done():
+		case <-x.caller.lifetime.Done():
 			return false, fmt.Errorf("%w: %w", peer.ErrUnreachable, ErrKilled)
 		case <-ctx.Done():
 			return false, fmt.Errorf("%w: %w", peer.ErrUnreachable, ctx.Err())
@@ -311,8 +311,8 @@
 	})
 }
 
-// wait runs step until it is done or fails. While the connection is broken, a
-// timer runs; healing in time stops it.
+// wait runs step until it is done or fails. While the connection is broken, a timer runs;
+// healing before it expires stops it.
 func (x *exchange) wait(step func(broken <-chan time.Time, changed <-chan struct{}) (bool, error)) error {
 	for {
 		changed := x.network.watch()
@@ -339,7 +339,7 @@
 	}
 }
 
-// connected tells whether heartbeats go through in both directions.
+// connected reports whether heartbeats get through in both directions.
 func (x *exchange) connected() bool {
 	return !x.callee.Frozen() && !x.caller.Frozen() &&
 		x.network.Reaches(x.caller.node, x.callee.node) &&
--- a/internal/emulator/network/endpoint.go
+++ b/internal/emulator/network/endpoint.go
@@ -11,24 +11,24 @@
 	"stepseam.example/stepseam/internal/peer"
 )
 
-// ErrKilled tells that the node itself was killed: nothing it does reaches
-// anything any more.
+// ErrKilled is returned once the node itself was killed: nothing that it sends is
+// delivered.
 var ErrKilled = errors.New("network: this node was killed")
 
-// Endpoint is one life of one node on the network. It implements peer.Client
-// for the node's calls and gives its datagram socket.
+// Endpoint is one incarnation of one node on the network. It implements peer.Client for
+// the node's calls and provides its datagram socket.
 //
-// A killed endpoint never comes back; a restart is a new Join. A frozen one
-// behaves like a stopped process: whatever it was about to send leaves after the
-// thaw, even if deadlines have passed meanwhile, and what arrives waits.
+// A killed endpoint stays dead; a restart is a new Join. A frozen one behaves like a
+// paused process: what it was about to send leaves after the thaw, even if deadlines have
+// passed, and arriving messages wait.
 type Endpoint struct {
 	network  *Network
 	node     identity.Node
 	registry *peer.Registry
 	packets  *PacketConn
-	// life ends when the endpoint is killed.
-	life  context.Context
-	death context.CancelFunc
+	// lifetime ends when the endpoint is killed.
+	lifetime context.Context
+	death    context.CancelFunc
 
 	serving atomic.Bool
 	sent    atomic.Int64
@@ -41,28 +41,28 @@
 
 func newEndpoint(network *Network, node identity.Node, registry *peer.Registry) *Endpoint {
 	endpoint := &Endpoint{network: network, node: node, registry: registry}
-	endpoint.life, endpoint.death = context.WithCancel(context.Background())
+	endpoint.lifetime, endpoint.death = context.WithCancel(context.Background())
 	endpoint.packets = newPacketConn(endpoint)
 	return endpoint
 }
 
-// Node returns the life of the node that the endpoint stands for.
+// Node returns the identity of the node's incarnation.
 func (e *Endpoint) Node() identity.Node { return e.node }
 
-// Serve begins to take calls. The registry must be complete by now.
+// Serve starts accepting calls. The registry must be complete by then.
 func (e *Endpoint) Serve() { e.serving.Store(true) }
 
 // Done is closed when the endpoint is killed.
-func (e *Endpoint) Done() <-chan struct{} { return e.life.Done() }
+func (e *Endpoint) Done() <-chan struct{} { return e.lifetime.Done() }
 
 // Packets returns the endpoint's datagram socket.
 func (e *Endpoint) Packets() *PacketConn { return e.packets }
 
-// Sent returns how many messages and datagrams, and bytes of them, the endpoint sent.
+// Sent returns how many messages and datagrams the endpoint sent, and their bytes.
 func (e *Endpoint) Sent() (messages, bytes int64) { return e.sent.Load(), e.bytes.Load() }
 
-// Kill ends this life: its calls in and out fail, its handlers' contexts end,
-// and nothing that it sends from now on leaves.
+// Kill ends this incarnation: its calls in both directions fail, its handlers' contexts
+// end, and nothing that it sends from now on is delivered.
 func (e *Endpoint) Kill() {
 	e.death()
 	e.network.change(func() {})
@@ -78,7 +78,7 @@
 	e.network.change(func() {})
 }
 
-// Thaw lets a frozen endpoint go on.
+// Thaw resumes a frozen endpoint.
 func (e *Endpoint) Thaw() {
 	e.mutex.Lock()
 	if e.thawed != nil {
@@ -89,21 +89,20 @@
 	e.network.change(func() {})
 }
 
-// Frozen tells whether the endpoint is frozen.
+// Frozen reports whether the endpoint is frozen.
 func (e *Endpoint) Frozen() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.thawed != nil
 }
 
-func (e *Endpoint) killed() bool { return e.life.Err() != nil }
+func (e *Endpoint) killed() bool { return e.lifetime.Err() != nil }
 
-// Gate is passed by everything that the node sends or takes in, also by other
-// stand-ins on its behalf (its calls to engines and to the log, and their
-// answers). It returns ctx's error if ctx has ended already. Otherwise it waits
-// while the node is frozen, whatever becomes of ctx, because a stopped process
-// does not notice its deadline before it sends; it fails with ErrKilled once
-// the node is killed.
+// Gate is called before everything that the node sends or receives, also by other
+// emulators on its behalf (its calls to engines and to the log, and their responses). It
+// returns ctx's error if ctx has ended already. Otherwise it blocks while the node is
+// frozen, even if ctx ends, because a paused process does not notice its deadline before
+// it sends; it fails with ErrKilled once the node is killed.
 func (e *Endpoint) Gate(ctx context.Context) error {
 	if err := ctx.Err(); err != nil && !e.killed() {
 		return fmt.Errorf("network: %s: %w", e.node.Name, err)
@@ -111,7 +110,7 @@
 	return e.awaitThaw()
 }
 
-// awaitThaw waits while the endpoint is frozen; it may be frozen again meanwhile.
+// awaitThaw blocks while the endpoint is frozen; it may be frozen again meanwhile.
 func (e *Endpoint) awaitThaw() error {
 	for {
 		if e.killed() {
@@ -125,7 +124,7 @@
 		}
 		select {
 		case <-thawed:
-		case <-e.life.Done():
+		case <-e.lifetime.Done():
 		}
 	}
 }
--- a/internal/emulator/network/network.go
+++ b/internal/emulator/network/network.go
@@ -1,13 +1,12 @@
-// Package network is an in-memory network between the nodes of a simulated
-// site. It carries the peer protocol and membership datagrams, and it brings
-// about what real networks and machines do: latency between zones, one-way
-// cuts, loss, duplicates, reordering, killed and frozen processes. All its time
-// goes through package time, so that it runs in virtual time inside a
+// Package network is an in-memory network between the nodes of a simulated site. It
+// transports the peer protocol and membership datagrams, and injects faults: latency
+// between zones, one-way cuts, loss, duplicates, reordering, killed and frozen processes.
+// All its time goes through package time, so that it runs in virtual time inside a
 // testing/synctest bubble.
 //
-// Every message is encoded by its sender and decoded by its receiver, so nodes
-// share no memory through it. Chance is drawn from one seeded generator per
-// directed pair of nodes, so that traffic elsewhere does not change a pair's luck.
+// Every message is encoded by its sender and decoded by its receiver, so nodes share no
+// memory through it. Each directed pair of nodes has its own seeded random generator, so
+// that traffic between other nodes does not change a pair's faults.
 package network
 
 import (
@@ -23,23 +22,23 @@
 	"stepseam.example/stepseam/internal/peer"
 )
 
-// DetectionTime is how long a call lasts on a connection that lost its other
-// side before it fails, as the TCP transport's heartbeats would notice it.
+// DetectionTime is how long a call lasts on a broken connection before it fails, as with
+// the TCP transport's heartbeats.
 const DetectionTime = 2 * time.Second
 
-// Faults are the chances of random faults, from 0 to 1.
+// Faults are the probabilities of random faults, from 0 to 1.
 type Faults struct {
-	// RequestLoss loses a call before the handler sees it.
+	// RequestLoss loses a call before the handler receives it.
 	RequestLoss float64
-	// AnswerLoss loses the final answer after the handler ran.
+	// AnswerLoss loses the final response after the handler ran.
 	AnswerLoss float64
 	// DatagramLoss drops a datagram.
 	DatagramLoss float64
-	// DatagramReorder holds a datagram back for up to ReorderDelay.
+	// DatagramReorder delays a datagram by up to ReorderDelay.
 	DatagramReorder float64
 	ReorderDelay    time.Duration
-	// Duplicate hands a request to the handler a second time, up to
-	// DuplicateDelay later. DuplicateKinds limits it to some kinds; nil is all.
+	// Duplicate delivers a request to the handler a second time, up to DuplicateDelay
+	// later. DuplicateKinds limits it to some kinds; nil means all.
 	Duplicate      float64
 	DuplicateDelay time.Duration
 	DuplicateKinds map[peer.Kind]bool
@@ -53,7 +52,7 @@
 type Network struct {
 	seed uint64
 
-	// mutex guards all below.
+	// mutex guards all fields below.
 	mutex      sync.Mutex
 	byName     map[identity.NodeName]*Endpoint
 	byPeer     map[netip.AddrPort]*Endpoint
@@ -82,8 +81,8 @@
 	}
 }
 
-// Join attaches one life of a node. A former life of the same name is killed.
-// The endpoint takes no calls before its Serve.
+// Join attaches one incarnation of a node. An earlier incarnation with the same name is
+// killed. The endpoint accepts no calls before its Serve.
 func (n *Network) Join(node identity.Node, registry *peer.Registry) *Endpoint {
 	endpoint := newEndpoint(n, node, registry)
 	n.mutex.Lock()
@@ -98,7 +97,7 @@
 	return endpoint
 }
 
-// Endpoint returns the present life of the node called name, or nil.
+// Endpoint returns the current incarnation of the node called name, or nil.
 func (n *Network) Endpoint(name identity.NodeName) *Endpoint {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -127,14 +126,14 @@
 	n.latencies[zonePair{b, a}] = oneWay
 }
 
-// SetFaults replaces the chances of random faults.
+// SetFaults replaces the probabilities of random faults.
 func (n *Network) SetFaults(faults Faults) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.faults = faults
 }
 
-// Cut stops everything that node from sends to node to; the other direction stays.
+// Cut drops everything that node from sends to node to; the other direction stays open.
 func (n *Network) Cut(from, to identity.NodeName) {
 	n.change(func() { n.cutNodes[nodePair{from, to}] = true })
 }
@@ -144,7 +143,7 @@
 	n.change(func() { delete(n.cutNodes, nodePair{from, to}) })
 }
 
-// CutZone stops everything that nodes of zone from send to nodes of zone to.
+// CutZone drops everything that nodes of zone from send to nodes of zone to.
 func (n *Network) CutZone(from, to identity.Zone) {
 	n.change(func() { n.cutZones[zonePair{from, to}] = true })
 }
@@ -162,15 +161,15 @@
 	})
 }
 
-// Reaches tells whether what from sends now gets to to, so that other stand-ins
-// can follow the same cuts.
+// Reaches reports whether messages from from reach to, so that other emulators can apply
+// the same cuts.
 func (n *Network) Reaches(from, to identity.Node) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.reaches(from, to)
 }
 
-// reaches is Reaches under the caller's lock. A node always reaches itself.
+// reaches is Reaches for callers that hold the lock. A node always reaches itself.
 func (n *Network) reaches(from, to identity.Node) bool {
 	if from.Name == to.Name {
 		return true
@@ -178,7 +177,7 @@
 	return !n.cutNodes[nodePair{from.Name, to.Name}] && !n.cutZones[zonePair{from.Zone, to.Zone}]
 }
 
-// change alters reachability and wakes all calls under way.
+// change alters reachability and wakes all calls in flight.
 func (n *Network) change(alter func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -202,8 +201,8 @@
 	return n.latencies[zonePair{from.Zone, to.Zone}]
 }
 
-// luck is what chance decides for one call or datagram.
-type luck struct {
+// drawnFaults are the random faults of one call or datagram.
+type drawnFaults struct {
 	loseRequest    bool
 	loseAnswer     bool
 	duplicate      bool
@@ -212,9 +211,9 @@
 	holdBack       time.Duration
 }
 
-// draw decides the luck of one message from one node to another. It always
-// draws the same count of numbers, so that changed chances do not shift later luck.
-func (n *Network) draw(from, to identity.Node, kind peer.Kind) luck {
+// draw draws the random faults of one message between two nodes. It always consumes the
+// same count of random numbers, so that changed probabilities do not shift later draws.
+func (n *Network) draw(from, to identity.Node, kind peer.Kind) drawnFaults {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	pair := nodePair{from.Name, to.Name}
@@ -226,7 +225,7 @@
 	}
 	faults := n.faults
 	wanted := faults.DuplicateKinds == nil || faults.DuplicateKinds[kind]
-	drawn := luck{
+	drawn := drawnFaults{
 		loseRequest: generator.Float64() < faults.RequestLoss,
 		loseAnswer:  generator.Float64() < faults.AnswerLoss,
 		duplicate:   generator.Float64() < faults.Duplicate && wanted,
--- a/internal/emulator/network/network_test.go
+++ b/internal/emulator/network/network_test.go
@@ -60,8 +60,8 @@
 	return endpoint
 }
 
-// handle answers "echo"; "parts" sends three parts; "slow" takes ten seconds;
-// "wait" waits until the caller is gone.
+// handle echoes "echo", answers "parts" with three parts and "slow" after ten seconds;
+// "wait" blocks until the caller stops waiting.
 func (s *site) handle(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 	s.handled.Add(1)
 	asked := request.(*text).value
@@ -113,17 +113,17 @@
 	})
 }
 
-func TestCutIsNoticedAndHealingInTimeSavesTheCall(t *testing.T) {
+func TestCutIsDetectedAndTimelyHealKeepsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1)
-		s.network.Cut("b", "a") // only the answer's way
+		s.network.Cut("b", "a") // only the direction of the response
 		start := time.Now()
 		_, err := s.call(t.Context(), "a", "b", "x", nil)
 		is.True(errors.Is(err, peer.ErrUnreachable))
 		is.True(!errors.Is(err, peer.ErrNotSent))
 		is.Equal(time.Since(start), network.DetectionTime)
-		is.Equal(s.handled.Load(), int64(1)) // the request itself got there
+		is.Equal(s.handled.Load(), int64(1)) // the request itself arrived
 
 		time.AfterFunc(time.Second, s.network.HealAll)
 		answer, err := s.call(t.Context(), "a", "b", "x", nil)
@@ -132,7 +132,7 @@
 	})
 }
 
-func TestRandomLossTellsBeforeFromAfter(t *testing.T) {
+func TestRandomLossDistinguishesRequestFromResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1)
@@ -170,12 +170,12 @@
 		s.join("b", 2)
 		_, err = s.call(t.Context(), "a", "b", "x", nil)
 		is.NoErr(err)
-		time.Sleep(10 * time.Second) // lets the killed life's handler run out
+		time.Sleep(10 * time.Second) // lets the handler of the killed incarnation end
 	})
 }
 
-// The trap of fencing: a message whose sender passed its checks before a freeze
-// leaves after the thaw, although the sender's deadline has passed by then.
+// A message whose sender passed its checks before a freeze is sent after the thaw,
+// although the sender's deadline has passed; fencing must cover this case.
 func TestFrozenSenderSendsAfterTheThaw(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -192,7 +192,7 @@
 		go func() { gated <- s.nodes["a"].Gate(ctx) }()
 		time.Sleep(30 * time.Second)
 		is.Equal(s.handled.Load(), int64(0))
-		is.Equal(len(done), 0) // a stopped process does not notice its deadline
+		is.Equal(len(done), 0) // a paused process does not notice its deadline
 		s.nodes["a"].Thaw()
 		time.Sleep(time.Second)
 		is.Equal(s.handled.Load(), int64(1))
@@ -213,7 +213,7 @@
 		is.Equal(s.handled.Load(), int64(0))
 		s.nodes["b"].Thaw()
 		time.Sleep(time.Second)
-		is.Equal(s.handled.Load(), int64(1)) // what waited in its buffers is read now
+		is.Equal(s.handled.Load(), int64(1)) // the buffered request is read now
 	})
 }
 
--- a/internal/emulator/network/packet.go
+++ b/internal/emulator/network/packet.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// packetQueueLength is how many datagrams wait at a socket; more are dropped,
-// as a kernel does.
+// packetQueueLength is the receive buffer of a socket in datagrams; further ones are
+// dropped.
 const packetQueueLength = 512
 
-// PacketConn is a node's datagram socket. Its methods are a part of
-// *net.UDPConn's, so that code written against an interface of them takes both.
+// PacketConn is a node's datagram socket. Its methods are a subset of *net.UDPConn's, so
+// that code can use an interface that both implement.
 type PacketConn struct {
 	endpoint *Endpoint
 	queue    chan packet
@@ -33,8 +33,8 @@
 	}
 }
 
-// ReadFromUDPAddrPort waits for a datagram. It returns net.ErrClosed once the
-// socket is closed or the node killed.
+// ReadFromUDPAddrPort waits for a datagram. It returns net.ErrClosed once the socket is
+// closed or the node killed.
 func (c *PacketConn) ReadFromUDPAddrPort(buffer []byte) (int, netip.AddrPort, error) {
 	select {
 	case received := <-c.queue:
@@ -44,12 +44,12 @@
 		return copy(buffer, received.payload), received.from, nil
 	case <-c.closed:
 		return 0, netip.AddrPort{}, net.ErrClosed
-	case <-c.endpoint.life.Done():
+	case <-c.endpoint.lifetime.Done():
 		return 0, netip.AddrPort{}, net.ErrClosed
 	}
 }
 
-// WriteToUDPAddrPort sends a datagram. Like UDP it tells nothing about arrival.
+// WriteToUDPAddrPort sends a datagram. As with UDP, success does not imply delivery.
 func (c *PacketConn) WriteToUDPAddrPort(payload []byte, to netip.AddrPort) (int, error) {
 	select {
 	case <-c.closed:
--- a/internal/emulator/pipe/pipe.go
+++ b/internal/emulator/pipe/pipe.go
@@ -1,6 +1,5 @@
-// Package pipe is a network of stream connections in memory. Real HTTP clients
-// and servers run over it inside a synctest bubble, in virtual time, where they
-// could not use sockets.
+// Package pipe is an in-memory network of stream connections. Real HTTP clients and
+// servers run over it in virtual time inside a synctest bubble, where sockets don't work.
 package pipe
 
 import (
@@ -17,12 +16,12 @@
 	listeners map[netip.AddrPort]*Listener
 }
 
-// NewNetwork returns a network on which nobody listens.
+// NewNetwork returns a network without listeners.
 func NewNetwork() *Network {
 	return &Network{listeners: map[netip.AddrPort]*Listener{}}
 }
 
-// Listen takes the connections to address, in place of an earlier listener.
+// Listen accepts the connections to address and replaces an earlier listener.
 func (n *Network) Listen(address netip.AddrPort) *Listener {
 	listener := &Listener{
 		address: address, network: n,
@@ -34,8 +33,8 @@
 	return listener
 }
 
-// Dial connects to an address, in the form that http.Transport wants. It fails as
-// a refused connection where nobody listens.
+// Dial connects to an address; its signature is that of http.Transport.DialContext. It
+// fails like a refused connection if nobody listens.
 func (n *Network) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	target, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -78,7 +77,7 @@
 	}
 }
 
-// Close implements net.Listener. Connections that were made go on.
+// Close implements net.Listener. Established connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
--- a/internal/emulator/replica/replica.go
+++ b/internal/emulator/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica is a stand-in for a replica of a service that speaks HTTP/1.1.
-// A script decides what it does with each request, faults below HTTP included.
+// Package replica emulates a replica of a service that speaks HTTP/1.1. A script decides
+// the response to each request, including faults below the HTTP layer.
 package replica
 
 import (
@@ -13,7 +13,7 @@
 	"sync"
 )
 
-// Request is what the replica has received.
+// Request is a request that the replica received.
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header
@@ -23,18 +23,18 @@
 // Exchange is one request on its connection.
 type Exchange struct {
 	Request Request
-	// Socket is the connection, for faults.
+	// Socket is the connection, for faults below HTTP.
 	Socket net.Conn
-	// Number counts the requests of the replica from 1.
+	// Number is the request's number at the replica, from 1.
 	Number int
 }
 
-// Write sends raw text. A caller that is gone is not an error of the replica.
+// Write sends raw text. A closed connection is not an error of the replica.
 func (e *Exchange) Write(format string, values ...any) {
 	_, _ = fmt.Fprintf(e.Socket, format, values...)
 }
 
-// Answer sends a whole answer with length, after the given head lines.
+// Answer sends a whole response with Content-Length, after the given header lines.
 func (e *Exchange) Answer(status int, body string, head ...string) {
 	lines := ""
 	if len(head) > 0 {
@@ -43,7 +43,7 @@
 	e.Write("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), lines, len(body), body)
 }
 
-// Script handles one exchange and tells whether the connection stays open.
+// Script handles one exchange and reports whether the connection stays open.
 type Script func(*Exchange) bool
 
 // Replica listens on loopback until Close.
@@ -52,7 +52,7 @@
 	listener net.Listener
 	script   Script
 
-	// mutex guards all below.
+	// mutex guards all fields below.
 	mutex       sync.Mutex
 	received    []Request
 	connections int
@@ -74,7 +74,7 @@
 	return started, nil
 }
 
-// Close ends the replica and its connections.
+// Close closes the listener and all connections.
 func (r *Replica) Close() {
 	_ = r.listener.Close()
 	r.mutex.Lock()
--- a/internal/emulator/standin/parameters.go
+++ b/internal/emulator/standin/parameters.go
@@ -13,9 +13,9 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// ReadParameters reads a stand-in's YAML file over defaults and checks the
-// result by the fields' validate tags; an empty path takes the defaults. All
-// findings come back together, each with file, line and field.
+// ReadParameters reads an emulator's YAML file over defaults and checks the result by the
+// fields' validate tags; an empty path selects the defaults. All errors are returned
+// together, each with file, line and field.
 func ReadParameters[T any](path string, defaults T) (T, error) {
 	parameters := defaults
 	var file *ast.File
@@ -51,7 +51,7 @@
 	return fmt.Errorf("parameters: %d finding(s)\n  %s", len(lines), strings.Join(lines, "\n  "))
 }
 
-// place returns file:line of field, or the file alone where field is a default.
+// place returns file:line of field, or the file alone if the field has its default.
 func place(path string, file *ast.File, field string) string {
 	if file == nil {
 		return "defaults"
--- a/internal/emulator/standin/serve.go
+++ b/internal/emulator/standin/serve.go
@@ -15,10 +15,10 @@
 	shutdownTimeout = 2 * time.Second
 )
 
-// Serve answers HTTP requests at address until ctx ends. ready is called once
-// with the address listened on, which tells the port where address leaves it
-// open. At the end running requests see their contexts cancelled and get a
-// moment to answer.
+// Serve serves HTTP at address until ctx ends. It calls ready once with the address of
+// the listener, which includes the port if address leaves it open. When ctx ends, the
+// contexts of running requests are cancelled and the requests have a short time to
+// finish.
 func Serve(ctx context.Context, address netip.AddrPort, handler http.Handler, ready func(netip.AddrPort)) error {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
--- a/internal/emulator/standin/standin.go
+++ b/internal/emulator/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds what the HTTP faces of the platform's stand-ins share:
-// bounded JSON bodies, and how an injected fault looks on the wire. A refusal
-// states that it had no effect; a lost answer breaks the connection.
+// Package standin contains what the HTTP servers of the emulators share: bounded JSON
+// bodies, and the responses for injected faults. A rejection states that the request had
+// no effect; a lost response breaks the connection.
 package standin
 
 import (
@@ -23,8 +23,8 @@
 	_, _ = writer.Write(encoded)
 }
 
-// ReadJSON decodes the request's bounded body into value. It answers a faulty
-// body itself and returns false.
+// ReadJSON decodes the request's bounded body into value. On an invalid body it writes an
+// error response and returns false.
 func ReadJSON(writer http.ResponseWriter, request *http.Request, value any) bool {
 	body := http.MaxBytesReader(writer, request.Body, siteservices.MaxBodyBytes)
 	decoder := json.NewDecoder(body)
@@ -36,14 +36,14 @@
 	return true
 }
 
-// Reject answers a request that was not acted on.
+// Reject writes an error response to a request that had no effect.
 func Reject(writer http.ResponseWriter, status int, err error) {
 	writer.Header().Set(siteservices.EffectHeader, siteservices.EffectNone)
 	http.Error(writer, err.Error(), status)
 }
 
-// Fail answers a request by the core's error: certain refusals with 503, all
-// others by breaking the connection, as when an answer gets lost.
+// Fail writes the response for the core's error: 503 for errors without effect; all
+// others break the connection, like a lost response.
 func Fail(writer http.ResponseWriter, err error) {
 	if errors.Is(err, siteservices.ErrUnavailable) {
 		Reject(writer, http.StatusServiceUnavailable, err)
--- a/internal/emulator/store/store.go
+++ b/internal/emulator/store/store.go
@@ -1,6 +1,5 @@
-// Package store is a stand-in for a durable log with partitions, producers and
-// keyed topics. It keeps everything in memory and can be made to fail in the ways
-// that a real one does.
+// Package store emulates a durable log with partitions, producers and keyed topics in
+// memory, with fault injection.
 package store
 
 import (
@@ -14,45 +13,45 @@
 	"stepseam.example/stepseam/internal/logstore"
 )
 
-// repeats is how many of a producer's last answers are kept for a repeat.
+// repeats is how many of a producer's last results are stored for retries.
 const repeats = 5
 
-// Fault says how the store fails; the zero value does not.
+// Fault is an injected fault of the store; the zero value is none.
 type Fault struct {
-	// Busy refuses every call with nothing done.
+	// Busy rejects every call without effect.
 	Busy bool
-	// Silent answers nothing: calls hang until their context ends.
+	// Silent blocks all calls until their contexts end.
 	Silent bool
-	// LoseAnswers does the writes and answers none of them.
+	// LoseAnswers executes writes and loses their responses.
 	LoseAnswers bool
-	// LateAfter does writes whose answers are lost only after this time.
+	// LateAfter delays the effect of writes whose responses are lost.
 	LateAfter time.Duration
 	// Delay is added to each call.
 	Delay time.Duration
-	// Partition limits the fault to the partition of this number in every topic;
-	// nil is all.
+	// Partition limits the fault to the partition of this number in every topic; nil
+	// means all.
 	Partition *int
 }
 
 // Store is a logstore.Store in memory. It is safe for concurrent use.
 type Store struct {
-	// mutex guards all below.
+	// mutex guards all fields below.
 	mutex      sync.Mutex
 	partitions map[logstore.Partition]*partition
 	fault      Fault
 	// changed is closed and replaced at each write.
 	changed chan struct{}
 	calls   map[string]int
-	// pageItems is how many keys a page of the newest records holds.
+	// pageItems is the number of keys on a page of the newest records.
 	pageItems int
-	// readsPerSecond bounds the reading calls; 0 sets no bound. window is the second that
-	// they are counted in, reads their count.
+	// readsPerSecond bounds the read calls; 0 means no bound. window is the second in
+	// which they are counted, reads their count.
 	readsPerSecond int
 	window         time.Time
 	reads          int
 }
 
-// defaultPageItems is the page that the users' store gives.
+// defaultPageItems is the default number of keys on a page.
 const defaultPageItems = 500
 
 type partition struct {
@@ -67,7 +66,7 @@
 	epoch    uint64
 	sequence uint64
 	begun    bool
-	// answers holds the last ones by sequence number.
+	// answers contains the last results by sequence number.
 	answers map[uint64]logstore.AppendResult
 }
 
@@ -78,28 +77,29 @@
 	return &Store{partitions: map[logstore.Partition]*partition{}, changed: make(chan struct{}), calls: map[string]int{}, pageItems: defaultPageItems}
 }
 
-// Fail makes all further calls fail as fault says.
+// Fail injects fault into all further calls.
 func (s *Store) Fail(fault Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fault = fault
 }
 
-// SetPage sets how many keys a page of the newest records holds.
+// SetPage sets the number of keys on a page of the newest records.
 func (s *Store) SetPage(items int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pageItems = items
 }
 
-// LimitReads refuses reading calls beyond a number in each second; 0 refuses none.
+// LimitReads rejects read calls beyond a number in each second; 0 means no limit.
 func (s *Store) LimitReads(perSecond int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.readsPerSecond = perSecond
 }
 
-// allowed counts a call and tells whether it is within the limit. It needs the mutex.
+// allowed counts a call and reports whether it is within the limit. The caller holds the
+// mutex.
 func (s *Store) allowed(operation string) bool {
 	if s.readsPerSecond == 0 || operation == "append" {
 		return true
@@ -118,14 +118,14 @@
 	return s.calls[operation]
 }
 
-// Records returns all records of a partition that are kept.
+// Records returns all retained records of a partition.
 func (s *Store) Records(place logstore.Partition) [][]byte {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Clone(s.at(place).records)
 }
 
-// Put writes the newest value of a key, or drops the key where value is nil.
+// Put writes the newest value of a key, or removes the key if value is nil.
 func (s *Store) Put(place logstore.Partition, key string, value []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -151,7 +151,7 @@
 	}
 }
 
-// at needs the mutex.
+// at returns a partition and creates it on first use. The caller holds the mutex.
 func (s *Store) at(place logstore.Partition) *partition {
 	kept, known := s.partitions[place]
 	if !known {
@@ -161,13 +161,13 @@
 	return kept
 }
 
-// wake needs the mutex.
+// wake notifies waiting reads. The caller holds the mutex.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// begin counts a call and applies the faults that come before any effect.
+// begin counts a call and applies the faults that occur before any effect.
 func (s *Store) begin(ctx context.Context, operation string, place logstore.Partition) (Fault, error) {
 	s.mutex.Lock()
 	s.calls[operation]++
@@ -194,7 +194,7 @@
 	return fault, nil
 }
 
-// Append is logstore.Store's.
+// Append implements logstore.Store.
 func (s *Store) Append(ctx context.Context, request logstore.AppendRequest) (logstore.AppendResult, error) {
 	fault, err := s.begin(ctx, "append", request.Partition)
 	if err != nil {
@@ -244,7 +244,7 @@
 	return answer, nil
 }
 
-// Read is logstore.Store's.
+// Read implements logstore.Store.
 func (s *Store) Read(ctx context.Context, request logstore.ReadRequest) (logstore.ReadResult, error) {
 	if _, err := s.begin(ctx, "read", request.Partition); err != nil {
 		return logstore.ReadResult{}, err
@@ -288,7 +288,7 @@
 	return result, s.changed, nil
 }
 
-// Newest is logstore.Store's.
+// Newest implements logstore.Store.
 func (s *Store) Newest(ctx context.Context, request logstore.NewestRequest) (logstore.NewestResult, error) {
 	if _, err := s.begin(ctx, "newest", request.Partition); err != nil {
 		return logstore.NewestResult{}, err
@@ -310,7 +310,7 @@
 	return result, nil
 }
 
-// Changes is logstore.Store's.
+// Changes implements logstore.Store.
 func (s *Store) Changes(ctx context.Context, request logstore.ReadRequest) (logstore.ChangesResult, error) {
 	result, err := s.Read(ctx, request)
 	if err != nil {
--- a/internal/emulator/tools/server.go
+++ b/internal/emulator/tools/server.go
@@ -7,8 +7,8 @@
 	"stepseam.example/stepseam/internal/emulator/standin"
 )
 
-// NewServer returns the HTTP face of service: POST /v1/tools/{tool} with a JSON
-// body answers a Result, GET /stand-in/calls counts the calls of each tool.
+// NewServer returns the HTTP handler of service: POST /v1/tools/{tool} with a JSON body
+// returns a Result, GET /stand-in/calls the number of calls of each tool.
 func NewServer(service *Service) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/tools/{tool}", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/emulator/tools/tools.go
+++ b/internal/emulator/tools/tools.go
@@ -1,6 +1,6 @@
-// Package tools is a stand-in for the tool services that programs call between
-// their model calls: slow, sometimes failing, sometimes hanging. Its core runs
-// inside a testing/synctest bubble; NewServer puts it on HTTP.
+// Package tools emulates the tool services that programs call between model calls, with
+// latency, failures and hangs. Its core runs inside a testing/synctest bubble; NewServer
+// serves it over HTTP.
 package tools
 
 import (
@@ -15,16 +15,17 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// ErrFailed tells that the tool ran and failed.
+// ErrFailed is returned if the tool ran and failed.
 var ErrFailed = errors.New("tools: the tool failed")
 
-// Options sets how the tools behave. Probabilities are between 0 and 1.
+// Options configure the tools. Probabilities are between 0 and 1.
 type Options struct {
 	Seed uint64 `yaml:"seed" json:"seed"`
-	// MinimumLatency and MaximumLatency bound a call's evenly drawn time.
+	// MinimumLatency and MaximumLatency bound the uniformly distributed duration of a
+	// call.
 	MinimumLatency time.Duration `yaml:"minimum_latency" json:"minimum_latency" validate:"gte=0"`
 	MaximumLatency time.Duration `yaml:"maximum_latency" json:"maximum_latency" validate:"gtefield=MinimumLatency"`
-	// Fail is the chance of a failure, Hang that of never answering.
+	// Fail is the probability of a failure, Hang that of blocking until the context ends.
 	Fail float64 `yaml:"fail" json:"fail" validate:"gte=0,lte=1"`
 	Hang float64 `yaml:"hang" json:"hang" validate:"gte=0,lte=1"`
 }
@@ -59,7 +60,7 @@
 	}
 }
 
-// SetOptions replaces the behaviour of coming calls; the seed stays.
+// SetOptions replaces the behaviour of further calls; the seed stays.
 func (s *Service) SetOptions(options Options) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,7 +78,7 @@
 	return copied
 }
 
-// Call runs tool. A call that hangs ends with ctx alone.
+// Call runs tool. A call that hangs ends only with ctx.
 func (s *Service) Call(ctx context.Context, tool string, input json.RawMessage) (Result, error) {
 	number, latency, fails, hangs := s.draw(tool)
 	if hangs {
@@ -93,7 +94,7 @@
 	return Result{Tool: tool, Number: number, Input: input}, nil
 }
 
-// draw counts a call and decides its course.
+// draw counts a call and draws its latency and outcome.
 func (s *Service) draw(tool string) (number uint64, latency time.Duration, fails, hangs bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/emulator/weightstore/server.go
+++ b/internal/emulator/weightstore/server.go
@@ -12,9 +12,9 @@
 	Down bool `json:"down"`
 }
 
-// NewServer returns the HTTP face of store: GET /v1/weights/{model}/{version}/wait
-// as siteservices.WeightStoreClient speaks it, POST /v1/weights/{model}/{version}/fetch
-// for engines, and PUT /stand-in/faults to switch an outage.
+// NewServer returns the HTTP handler of store: GET /v1/weights/{model}/{version}/wait as
+// siteservices.WeightStoreClient calls it, POST /v1/weights/{model}/{version}/fetch for
+// engines, and PUT /stand-in/faults to start or end an outage.
 func NewServer(store *Store) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/weights/{model}/{version}/wait", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/emulator/weightstore/store.go
+++ b/internal/emulator/weightstore/store.go
@@ -1,6 +1,6 @@
-// Package weightstore is a stand-in for the platform's rate-limited store of
-// model weights. Fetches run one after the other at a fixed rate. Its core runs
-// inside a testing/synctest bubble; NewServer puts it on HTTP.
+// Package weightstore emulates the platform's rate-limited store of model weights.
+// Fetches run one after the other at a fixed rate. Its core runs inside a
+// testing/synctest bubble; NewServer serves it over HTTP.
 package weightstore
 
 import (
@@ -13,17 +13,17 @@
 	"stepseam.example/stepseam/internal/wait"
 )
 
-// Options sets the store's size and speed.
+// Options configure the store's size and rate.
 type Options struct {
 	// BytesPerSecond is the rate that all fetches share.
 	BytesPerSecond int64 `yaml:"bytes_per_second" json:"bytes_per_second" validate:"gt=0"`
-	// ModelBytes gives the size of each model's weights.
+	// ModelBytes is the size of each model's weights.
 	ModelBytes map[string]int64 `yaml:"model_bytes" json:"model_bytes" validate:"dive,gt=0"`
-	// DefaultBytes is the size of a model that ModelBytes lacks.
+	// DefaultBytes is the size of a model that is not in ModelBytes.
 	DefaultBytes int64 `yaml:"default_bytes" json:"default_bytes" validate:"gt=0"`
 }
 
-// DefaultOptions returns a store of eight gigabytes a second and models of
+// DefaultOptions returns a store with a rate of eight gigabytes a second and models of
 // sixteen gigabytes.
 func DefaultOptions() Options {
 	return Options{BytesPerSecond: 8 << 30, DefaultBytes: 16 << 30}
@@ -35,7 +35,7 @@
 	// mutex guards everything below.
 	mutex sync.Mutex
 	down  bool
-	// busyUntil is when the fetches that were accepted so far are done.
+	// busyUntil is when all accepted fetches are done.
 	busyUntil time.Time
 	fetches   uint64
 }
@@ -45,14 +45,14 @@
 // New returns an idle store.
 func New(options Options) *Store { return &Store{options: options} }
 
-// SetDown switches an outage of the store.
+// SetDown starts or ends an outage of the store.
 func (s *Store) SetDown(down bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.down = down
 }
 
-// Fetches returns the number of fetches that were accepted.
+// Fetches returns the number of accepted fetches.
 func (s *Store) Fetches() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -72,8 +72,8 @@
 	return max(0, time.Until(s.busyUntil)), nil
 }
 
-// Fetch takes a turn for the weights of model and returns once they are
-// through. The turn is used up even if ctx ends before.
+// Fetch queues a fetch of model's weights and returns once it is complete. The fetch uses
+// its share of the rate even if ctx ends first.
 func (s *Store) Fetch(ctx context.Context, model, version string) error {
 	done, err := s.reserve(model)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// reserve queues a fetch and returns when it is done.
+// reserve queues a fetch and returns the time at which it completes.
 func (s *Store) reserve(model string) (time.Time, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/emulator/weightstore/store_test.go
+++ b/internal/emulator/weightstore/store_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestFetchesTakeTurns(t *testing.T) {
+func TestFetchesAreSerialized(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
 		store := New(Options{BytesPerSecond: 100, DefaultBytes: 500, ModelBytes: map[string]int64{"large": 1000}})
