--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands for a fresh machine: `make demo` and `make test`.
+# `make demo` and `make test` work on a fresh machine.
 
 GO ?= go
 TEST_FLAGS ?= -count=1 -timeout=8m
@@ -24,12 +24,12 @@
 demo: build
 	bin/stepseam-lab demo --programs bin
 
-# The demonstration's site, left running until it is interrupted.
+# Runs the demonstration's site until it is interrupted.
 site: build
 	bin/stepseam-lab site --programs bin
 
-# A long search over seeded failure schedules: make soak SCHEDULES=10000 SEED=1.
-# It runs JOBS searches side by side, each with its own seed.
+# Searches seeded failure schedules: make soak SCHEDULES=10000 SEED=1. Runs JOBS
+# concurrent searches, each with its own seed.
 SCHEDULES ?= 1000
 SEED ?= 1
 JOBS ?= 6
@@ -42,7 +42,7 @@
 clean:
 	rm -rf bin
 
-# A search over random faults on real processes: make soak-platform SECONDS=120 SEED=7.
+# Injects random faults into real processes: make soak-platform SECONDS=120 SEED=7.
 SECONDS ?= 60
 soak-platform:
 	SOAK_SECONDS=$(SECONDS) SOAK_SEED=$(SEED) $(GO) test ./platform -count=1 -timeout=20m -run TestPromisesHoldUnderRandomFaults -v
--- a/test/process/caller_test.go
+++ b/test/process/caller_test.go
@@ -14,16 +14,16 @@
 	"stepseam.example/stepseam/client"
 )
 
-// conversation is one program as its caller sees it: the calls that were
-// answered and what is not certain.
+// conversation is one program from its caller's view: the calls that were answered and
+// those with an unknown outcome.
 type conversation struct {
 	lab     *laboratory
 	client  *client.Client
 	id      string
 	branch  *client.Branch
 	answers []api.Answer
-	// ran are the keys of unrepeatable calls that were answered, doubtful those
-	// whose outcome is unknown, refused those that were refused as not run.
+	// ran contains the keys of unrepeatable calls that were answered, doubtful those with
+	// an unknown outcome, refused those that were rejected as not run.
 	ran, doubtful, refused []string
 }
 
@@ -43,8 +43,8 @@
 	return c.lab.node(program.Owner)
 }
 
-// say makes a streamed model call and checks that its tokens are the answer.
-// onToken, if not nil, is told of each token.
+// say makes a streamed model call and checks that the streamed tokens form the answer.
+// onToken, if not nil, is called with each token.
 func (c *conversation) say(ctx context.Context, text string, onToken func(index int)) error {
 	var streamed strings.Builder
 	call := api.CallRequest{
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// act makes an unrepeatable application call under key. A refusal as not run
-// and an unknown outcome are told apart; both are no errors here.
+// act makes an unrepeatable application call with key and records its outcome. A
+// rejection as not run and an unknown outcome are no errors here.
 func (c *conversation) act(ctx context.Context, key string) error {
 	call := api.CallRequest{
 		Kind: api.CallApplication, Application: applicationService, Operation: "open_ticket",
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// load runs programs beside each other until their turns are over.
+// load runs programs concurrently until all their turns are done.
 type load struct {
 	conversations []*conversation
 	group         sync.WaitGroup
@@ -132,7 +132,7 @@
 	return running
 }
 
-// wait returns what went wrong.
+// wait waits for the load and returns its errors.
 func (r *load) wait() error {
 	r.group.Wait()
 	return errors.Join(r.faults...)
--- a/test/process/checker_test.go
+++ b/test/process/checker_test.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// verify compares what the back ends saw with what the callers got.
+// verify compares the back ends' records with the callers' results.
 func (l *laboratory) verify(conversations ...*conversation) {
 	l.t.Helper()
 	executions, arrivals := l.executions(), l.arrivals()
@@ -28,9 +28,9 @@
 func (l *laboratory) executions() map[string]int {
 	l.t.Helper()
 	counts := map[string]int{}
-	for _, standIn := range l.Applications {
+	for _, emulator := range l.Applications {
 		var truth application.Truth
-		is.New(l.t).NoErr(standIn.Get(l.ctx, application.PathTruth, &truth))
+		is.New(l.t).NoErr(emulator.Get(l.ctx, application.PathTruth, &truth))
 		for _, execution := range truth.Executions {
 			counts[execution.Key]++
 		}
@@ -38,14 +38,13 @@
 	return counts
 }
 
-// arrivals returns the streams that ran at engines, by program and in order of
-// their arrival.
+// arrivals returns the streams that ran at engines by program, in order of their arrival.
 func (l *laboratory) arrivals() map[string][]engine.Arrival {
 	l.t.Helper()
 	found := map[string][]engine.Arrival{}
-	for _, standIn := range l.Engines {
+	for _, emulator := range l.Engines {
 		var truth engine.Truth
-		is.New(l.t).NoErr(standIn.Get(l.ctx, engine.PathTruth, &truth))
+		is.New(l.t).NoErr(emulator.Get(l.ctx, engine.PathTruth, &truth))
 		for _, arrival := range truth.Arrivals {
 			if arrival.Outcome != engine.OutcomeRefused {
 				program := string(arrival.Stream.Call.Program)
@@ -59,7 +58,7 @@
 	return found
 }
 
-// faults lists what does not hold for one program.
+// faults returns the violated invariants of one program.
 func (c *conversation) faults(executions map[string]int, arrivals []engine.Arrival) []error {
 	faults := c.executionFaults(executions)
 	faults = append(faults, orderFaults(arrivals)...)
@@ -86,7 +85,7 @@
 	return faults
 }
 
-// orderFaults finds calls that reached an engine before an earlier one had ended there.
+// orderFaults finds calls that reached an engine before an earlier call had ended there.
 func orderFaults(arrivals []engine.Arrival) []error {
 	var faults []error
 	last := map[identity.BranchID]identity.Sequence{}
@@ -100,8 +99,8 @@
 	return faults
 }
 
-// historyFaults finds prompts that do not continue the ones before them, and
-// repeats of one call with other prompts.
+// historyFaults finds prompts that do not continue the previous ones, and repeats of one
+// call with another prompt.
 func historyFaults(arrivals []engine.Arrival) []error {
 	ordered := slices.Clone(arrivals)
 	slices.SortStableFunc(ordered, func(a, b engine.Arrival) int {
@@ -132,7 +131,7 @@
 	return engine.Arrival{Stream: identity.StreamID{Call: call}, Digest: digest, Messages: messages}
 }
 
-func TestTheCheckerFindsWhatIsWrong(t *testing.T) {
+func TestCheckerFindsViolations(t *testing.T) {
 	first, second := seen(1, 1, 7), seen(2, 2, 7, 8, 9)
 	sound := []engine.Arrival{first, first, second, second}
 	ran := &conversation{id: "p", ran: []string{"a"}, doubtful: []string{"b"}, refused: []string{"c"}}
--- a/test/process/failure_test.go
+++ b/test/process/failure_test.go
@@ -16,8 +16,7 @@
 	"stepseam.example/stepseam/internal/lab/site"
 )
 
-// duringModelCall runs a model call of c and calls disturb once, after some
-// tokens have come.
+// duringModelCall runs a model call of c and calls disturb once, after a few tokens.
 func duringModelCall(c *conversation, disturb func()) error {
 	var once sync.Once
 	disturbed := false
@@ -49,7 +48,7 @@
 	lab.verify(c)
 }
 
-func TestOwnerAndAReplicaKilledTogether(t *testing.T) {
+func TestOwnerAndReplicaKilledTogether(t *testing.T) {
 	check := is.New(t)
 	lab := start(t, nil)
 	c := lab.converse(lab.client)
@@ -87,8 +86,8 @@
 	owner := c.owner()
 	c.client = lab.clientOf(lab.others(owner)...)
 	c.branch = c.client.Branch(c.id, "", 1)
-	// Whether the kill falls before the effect or after it, the ticket is opened
-	// at most once and the caller is told the truth.
+	// Whether the kill comes before or after the effect, the operation runs at most once
+	// and the caller gets its true outcome.
 	time.AfterFunc(operationTime/2, lab.Nodes[owner].Kill)
 	check.NoErr(c.act(lab.ctx, c.id+"/ticket"))
 	<-lab.Nodes[owner].Done()
@@ -96,7 +95,7 @@
 	lab.verify(c)
 }
 
-func TestFrozenOwnerWakesUpAfterItsLease(t *testing.T) {
+func TestFrozenOwnerResumesAfterLeaseExpiry(t *testing.T) {
 	check := is.New(t)
 	lab := start(t, nil)
 	c := lab.converse(lab.client)
@@ -109,14 +108,14 @@
 	check.True(c.owner() != owner)
 	check.NoErr(lab.Nodes[owner].Thaw())
 	check.NoErr(c.run(lab.ctx, 2))
-	// The woken node passes requests on to the shard's owner of today.
+	// The resumed node forwards requests to the shard's current owner.
 	through := lab.clientOf(lab.Nodes[owner])
 	c.branch = through.Branch(c.id, "", c.branch.Next())
 	check.NoErr(c.run(lab.ctx, 1))
 	lab.verify(c)
 }
 
-func TestLogOutageRefusesOnlyWhatNeedsTheLog(t *testing.T) {
+func TestLogOutageRejectsOnlyCallsThatNeedTheLog(t *testing.T) {
 	check := is.New(t)
 	lab := start(t, nil)
 	c := lab.converse(lab.client)
@@ -142,16 +141,16 @@
 	check.NoErr(c.run(lab.ctx, 1))
 	check.NoErr(lab.LogService.Put(lab.ctx, "/stand-in/faults", logservice.Faults{Down: true}))
 	check.NoErr(c.say(lab.ctx, "a question during the outage", nil))
-	// The owner has to see the log away for a second before it lets its replicas
-	// go on without it; until then its shards would wait for the log.
+	// The owner must see the log unavailable for a second before its replicas may serve
+	// without the log; until then its shards would wait for it.
 	time.Sleep(armingTime)
 	owner := c.owner()
 	lab.Nodes[owner].Kill()
 	next := c.branch.Next()
 	c.client = lab.clientOf(lab.others(owner)...)
 	c.branch = c.client.Branch(c.id, "", next)
-	// The next owner serves without the log: the call is answered in the outage,
-	// and what must run at most once is refused as not run.
+	// The next owner serves without the log: the call is answered during the outage, and
+	// what must run at most once is rejected as not run.
 	check.NoErr(c.say(lab.ctx, "a question to the next owner", nil))
 	check.True(c.owner() != owner)
 	c.branch = lab.impatientClient(lab.others(owner)...).Branch(c.id, "", c.branch.Next())
@@ -165,8 +164,8 @@
 	lab.verify(c)
 }
 
-// armingTime is a good deal longer than an owner takes to leave a whole state with
-// its replicas once the log is away.
+// armingTime is well above the time in which an owner sends its whole state to its
+// replicas once the log is unavailable.
 const armingTime = 8 * time.Second
 
 func TestCutLinksToAnEngineAndToTheLog(t *testing.T) {
@@ -198,13 +197,13 @@
 	check.True(strings.HasPrefix(cutEngine, "engine-"))
 	began := time.Now()
 	note := func(what string) { t.Logf("%5.1f s: %s", time.Since(began).Seconds(), what) }
-	// The engine that serves the program falls silent during a call.
+	// The engine that serves the program becomes unreachable during a call.
 	check.NoErr(duringModelCall(c, func() { network.Cut("nodes", cutEngine) }))
 	note("the call was answered though its engine fell silent")
 	check.NoErr(c.say(lab.ctx, "a question while the engine is cut off", nil))
 	note("the next call was answered")
 	network.Heal("nodes", cutEngine)
-	// The owner's link to the log falls silent.
+	// The owner's connection to the log is cut.
 	owner := string(lab.Nodes[c.owner()].Name)
 	network.Cut(owner, "log")
 	check.NoErr(c.say(lab.ctx, "a question while the owner is cut off from the log", nil))
@@ -215,7 +214,7 @@
 	lab.verify(c)
 }
 
-func TestPlannedStopsUnderLoadCutOffNothing(t *testing.T) {
+func TestPlannedStopsUnderLoadBreakNoCalls(t *testing.T) {
 	check := is.New(t)
 	lab := start(t, nil)
 	running := lab.startLoad(6, 4)
@@ -227,14 +226,14 @@
 	}
 	check.NoErr(running.wait())
 	for _, c := range running.conversations {
-		// Nothing was refused or left in doubt by a planned stop.
+		// A planned stop must not reject a call or leave its outcome unknown.
 		check.Equal(len(c.refused)+len(c.doubtful), 0)
 		check.Equal(len(c.ran), 4)
 	}
 	lab.verify(running.conversations...)
 }
 
-func TestAPlannedStopOfAllNodesLosesNothing(t *testing.T) {
+func TestPlannedStopOfAllNodesLosesNothing(t *testing.T) {
 	check := is.New(t)
 	lab := start(t, nil)
 	c := lab.converse(lab.client)
--- a/test/process/main_test.go
+++ b/test/process/main_test.go
@@ -1,6 +1,6 @@
-// Package process proves what must always hold over real processes: kills,
-// freezes, cut links, an outage of the log and planned stops under load. What
-// counts is what the back ends saw and what the callers got.
+// Package process tests the system's invariants over real processes: kills, freezes, cut
+// links, log outages and planned stops under load. The checks compare the back ends'
+// records with the callers' results.
 package process
 
 import (
@@ -25,7 +25,7 @@
 	"stepseam.example/stepseam/internal/settings"
 )
 
-// programs is the directory of the programs that TestMain built.
+// programs is the directory of the binaries that TestMain built.
 var programs string
 
 func TestMain(m *testing.M) {
@@ -54,7 +54,7 @@
 	return m.Run()
 }
 
-// The site of the process tests.
+// Parameters of the site under test.
 const (
 	modelName          = "agent-8b"
 	engineService      = "agentllm"
@@ -63,13 +63,14 @@
 	shardCount         = 16
 	leaseDuration      = 1500 * time.Millisecond
 	leaseRenewal       = 300 * time.Millisecond
-	// answerTokens and tokenTime make a model call last about a second and a half.
+	// answerTokens and tokenTime give a model call a duration of about a second and a
+	// half.
 	answerTokens = 60
 	tokenTime    = 25 * time.Millisecond
-	// operationTime is how long an application operation takes; its effect stands
-	// in the middle.
+	// operationTime is the duration of an application operation; its effect takes place
+	// halfway.
 	operationTime = 400 * time.Millisecond
-	// testLimit bounds one test; every wait ends long before.
+	// testLimit bounds one test; every wait ends well before it.
 	testLimit = 150 * time.Second
 	// stopPatience bounds a planned stop.
 	stopPatience = 30 * time.Second
@@ -80,13 +81,12 @@
 class,subscriber,,,agent-8b,,200000,200,4,1h,30m,60s,512
 `
 
-// slots bounds the sites that run at once, each one mostly waiting, and keeps
-// them apart.
+// slots bounds the number of sites that run concurrently.
 var slots = make(chan int, slotCount)
 
 const slotCount = 4
 
-// laboratory is a running site with a table in force.
+// laboratory is a running site with a published table.
 type laboratory struct {
 	*site.Site
 	t      *testing.T
@@ -94,8 +94,8 @@
 	client *client.Client
 }
 
-// start starts a site of four nodes in four zones, so that a replica set stands
-// apart from its owner, and publishes the table.
+// start starts a site of four nodes in four zones, so that replica sets exclude their
+// owner's zone, and publishes the table.
 func start(t *testing.T, adjust func(*site.Plan)) *laboratory {
 	t.Helper()
 	t.Parallel()
@@ -153,7 +153,7 @@
 	return plan
 }
 
-// clientOf returns a client that knows the given nodes.
+// clientOf returns a client configured with the given nodes.
 func (l *laboratory) clientOf(nodes ...*site.Node) *client.Client {
 	l.t.Helper()
 	return l.clientThrough(nil, nodes...)
@@ -165,7 +165,7 @@
 	return l.newClient(client.Options{Nodes: callersOf(nodes), Patience: testLimit, Transport: transport})
 }
 
-// impatientClient returns a client that takes early refusals for final.
+// impatientClient returns a client that does not retry early rejections.
 func (l *laboratory) impatientClient(nodes ...*site.Node) *client.Client {
 	l.t.Helper()
 	return l.newClient(client.Options{Nodes: callersOf(nodes), Patience: time.Second})
@@ -187,7 +187,7 @@
 	return addresses
 }
 
-// lastHost is a transport that remembers where the last request went.
+// lastHost is a transport that records the host of the last request.
 type lastHost struct {
 	mutex sync.Mutex
 	last  string
@@ -207,7 +207,7 @@
 	return h.last
 }
 
-// nodeAt returns the node that takes callers at address.
+// nodeAt returns the node that serves callers at address.
 func (l *laboratory) nodeAt(address string) *site.Node {
 	for _, node := range l.Nodes {
 		if node.Addresses.Callers.String() == address {
@@ -229,7 +229,7 @@
 	return -1
 }
 
-// others returns all nodes but the one at index.
+// others returns all nodes except the one at index.
 func (l *laboratory) others(index int) []*site.Node {
 	var found []*site.Node
 	for i, node := range l.Nodes {
@@ -240,22 +240,22 @@
 	return found
 }
 
-// findCrashes fails the test if a process crashed by itself, which the others
-// may have hidden by taking its work over.
+// findCrashes fails the test if a process crashed by itself, since a takeover by other
+// nodes may have masked the crash.
 func (l *laboratory) findCrashes() {
 	for _, node := range l.Nodes {
 		if crash := node.Crash(); crash != "" {
 			l.t.Errorf("%s crashed: %s", node.Name, crash)
 		}
 	}
-	for _, standIn := range slices.Concat(l.Engines, l.Applications, []*site.StandIn{l.LogService, l.MachineList}) {
-		if crash := standIn.Crash(); crash != "" {
-			l.t.Errorf("%s crashed: %s", standIn.Name(), crash)
+	for _, emulator := range slices.Concat(l.Engines, l.Applications, []*site.StandIn{l.LogService, l.MachineList}) {
+		if crash := emulator.Crash(); crash != "" {
+			l.t.Errorf("%s crashed: %s", emulator.Name(), crash)
 		}
 	}
 }
 
-// showLogs prints the nodes' last output of a test that failed.
+// showLogs prints the last log output of the nodes if the test failed.
 func (l *laboratory) showLogs() {
 	if !l.t.Failed() {
 		return
--- a/test/process/outside_test.go
+++ b/test/process/outside_test.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	// leavingLimit is how soon a leaving back end must get no new work.
+	// leavingLimit is the time after which a leaving back end must get no new work.
 	leavingLimit = 3 * time.Second
-	// staleList is how far the machine list lags behind in the test of that.
+	// staleList is the machine list's lag in the test of a leaving engine.
 	staleList = 10 * time.Second
 )
 
@@ -45,31 +45,31 @@
 	lab.verify(running.conversations...)
 }
 
-func TestALeavingEngineGetsNoNewWork(t *testing.T) {
+func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	check := is.New(t)
 	lab := start(t, nil)
-	// The list will tell of the engine's leaving long after the engine itself.
+	// The list reports that the engine leaves long after the engine itself does.
 	check.NoErr(lab.MachineList.Put(lab.ctx, "/stand-in/faults", machinelist.Faults{Lag: staleList}))
 	running := lab.startLoad(6, 4)
 	leaving := lab.Engines[0]
 	lab.await("work at the engine", func() bool { return lab.newest(leaving).After(time.Time{}) })
-	told := time.Now()
+	leftAt := time.Now()
 	check.NoErr(leaving.Put(lab.ctx, engine.PathDrain, engine.DrainRequest{Draining: true}))
 	check.NoErr(running.wait())
-	late := lab.newest(leaving).Sub(told)
+	late := lab.newest(leaving).Sub(leftAt)
 	t.Logf("the last new work came %v after the engine began to leave", late)
 	if late > leavingLimit {
 		t.Errorf("the engine was sent new work %v after it began to leave", late)
 	}
-	check.True(time.Since(told) > leavingLimit) // else nothing was tried after the limit
+	check.True(time.Since(leftAt) > leavingLimit) // otherwise no work was placed after the limit
 	lab.verify(running.conversations...)
 }
 
-// newest returns when the last stream was sent to an engine, refused or not.
-func (l *laboratory) newest(standIn *site.StandIn) time.Time {
+// newest returns when the last stream reached an engine, accepted or rejected.
+func (l *laboratory) newest(emulator *site.StandIn) time.Time {
 	l.t.Helper()
 	var truth engine.Truth
-	is.New(l.t).NoErr(standIn.Get(l.ctx, engine.PathTruth, &truth))
+	is.New(l.t).NoErr(emulator.Get(l.ctx, engine.PathTruth, &truth))
 	var newest time.Time
 	for _, arrival := range truth.Arrivals {
 		if arrival.Arrived.After(newest) {
@@ -79,7 +79,7 @@
 	return newest
 }
 
-// await waits for what has no signal of its own.
+// await polls a condition that has no notification.
 func (l *laboratory) await(what string, condition func() bool) {
 	l.t.Helper()
 	ctx, cancel := context.WithTimeout(l.ctx, stopPatience)
@@ -92,17 +92,17 @@
 	}))
 }
 
-func TestACallerThatVanishesAsksAgainElsewhere(t *testing.T) {
+func TestDisconnectedCallerRetriesThroughAnotherNode(t *testing.T) {
 	check := is.New(t)
 	lab := start(t, nil)
 	c := lab.converse(lab.clientOf(lab.Nodes[0]))
 	for turn := range 4 {
 		key := fmt.Sprintf("%s/vanished/%d", c.id, turn)
 		ctx, cancel := context.WithTimeout(lab.ctx, operationTime/4*time.Duration(turn+1))
-		_ = c.act(ctx, key) // whatever this caller saw, it is gone now
+		_ = c.act(ctx, key) // the caller disconnects, whatever the outcome
 		cancel()
 		if slices.Contains(c.ran, key) {
-			continue // it was answered before it vanished
+			continue // it was answered before it disconnected
 		}
 		other := lab.clientOf(lab.Nodes[(turn+1)%len(lab.Nodes)])
 		c.branch = other.Branch(c.id, "", c.branch.Next())
@@ -112,7 +112,7 @@
 	lab.verify(c)
 }
 
-func TestRacingOperatorsAreBothToldTheTruth(t *testing.T) {
+func TestRacingOperatorsGetTrueResults(t *testing.T) {
 	check := is.New(t)
 	lab := start(t, nil)
 	const racers, exitConflict = 4, 4
@@ -126,7 +126,7 @@
 			command := exec.CommandContext(lab.ctx, filepath.Join(programs, site.OperatorProgram),
 				"--address", lab.Nodes[racer].Addresses.Operators.String(),
 				"table", "publish", "--base", "1", "--author", fmt.Sprint(racer), path)
-			output, _ := command.CombinedOutput() // the exit code says it
+			output, _ := command.CombinedOutput() // the exit code reports the outcome
 			codes[racer] = command.ProcessState.ExitCode()
 			t.Logf("operator %d: exit code %d: %s", racer, codes[racer], output)
 		})
--- a/test/replay/mutate_test.go
+++ b/test/replay/mutate_test.go
@@ -9,8 +9,8 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// compareWrong compares a replay with wrong forms of each stated outcome in turn:
-// each one has to be found.
+// compareWrong compares a replay with wrong forms of each expected outcome in turn; each
+// one must be detected.
 func compareWrong(t *testing.T, played *trace.Trace, found *replay.Evidence) {
 	t.Helper()
 	tried := 0
@@ -20,7 +20,7 @@
 			mutated := *played
 			mutated.Events = slices.Clone(played.Events)
 			mutated.Events[index] = wrong
-			if !noticed(wrong, replay.Compare(&mutated, found)) {
+			if !detected(wrong, replay.Compare(&mutated, found)) {
 				t.Errorf("%s:%d: the wrong form %+v is not noticed", played.File, wrong.Line, wrong.Body)
 			}
 		}
@@ -30,16 +30,16 @@
 	}
 }
 
-// noticed tells whether a wrong line was found. Of a race, the line of whoever
-// lost it is the one that shows it.
-func noticed(wrong trace.Event, differences []replay.Difference) bool {
+// detected reports whether a wrong line was detected. A mutated line of a race is detected
+// at the line of the racer that lost.
+func detected(wrong trace.Event, differences []replay.Difference) bool {
 	publication, _ := wrong.Body.(trace.Publish)
 	return slices.ContainsFunc(differences, func(one replay.Difference) bool {
 		return one.Line == wrong.Line || publication.RaceOf != ""
 	})
 }
 
-// mutations returns wrong forms of a line. Lines that state nothing have none.
+// mutations returns wrong forms of a line. Lines without an expected outcome have none.
 func mutations(event trace.Event) []trace.Event {
 	bodies := wrongBodies(event.Body)
 	wrong := make([]trace.Event, 0, len(bodies))
--- a/test/replay/record_test.go
+++ b/test/replay/record_test.go
@@ -13,9 +13,9 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// TestARecordedRunReplaysToTheSameOutcomes records the callers of a run, writes
-// the recording, reads it and replays it. All answers have to be the same again.
-func TestARecordedRunReplaysToTheSameOutcomes(t *testing.T) {
+// TestRecordedRunReplaysToSameOutcomes records the callers of a run, writes and reads
+// the recording, and replays it. All outcomes must be the same.
+func TestRecordedRunReplaysToSameOutcomes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	played := readTrace(t, "testdata/quito-deadline-night.jsonl")
@@ -34,7 +34,7 @@
 	is.NoErr(trace.Write(&file, recorded))
 	read, err := trace.Read("recorded.jsonl", &file)
 	is.NoErr(err)
-	is.Equal(read.Events, recorded.Events) // what is written is what is read
+	is.Equal(read.Events, recorded.Events) // the recording survives encoding and decoding
 
 	calls, digests := 0, 0
 	for _, event := range read.Events {
@@ -46,6 +46,6 @@
 		}
 	}
 	is.Equal(calls, 18)
-	is.Equal(digests, 12) // the texts of all model calls are stated
+	is.Equal(digests, 12) // the recording contains the digests of all model calls' answers
 	is.Equal(replay.Compare(read, run(t, read, replay.Options{})), nil)
 }
--- a/test/replay/replay_test.go
+++ b/test/replay/replay_test.go
@@ -1,5 +1,5 @@
-// Package replay replays the traces in testdata over whole sites of real nodes in
-// virtual time and compares with the outcomes that they state.
+// Package replay replays the traces in testdata over whole sites of real nodes in virtual
+// time and compares the results with the outcomes that the traces expect.
 package replay
 
 import (
@@ -35,7 +35,7 @@
 	return read
 }
 
-// run replays a trace in a bubble of its own.
+// run replays a trace in its own bubble.
 func run(t *testing.T, played *trace.Trace, options replay.Options) *replay.Evidence {
 	t.Helper()
 	if os.Getenv("STEPSEAM_REPLAY_LOG") != "" {
@@ -55,9 +55,8 @@
 
 func nameOf(file string) string { return strings.TrimSuffix(filepath.Base(file), ".jsonl") }
 
-// TestTraces replays every trace of testdata. All stated outcomes have to come,
-// and each one has to be able to fail: with a wrong form in its place, the same
-// replay differs at its line.
+// TestTraces replays every trace of testdata. All expected outcomes must occur, and a
+// wrong form of each must be detected at its line.
 func TestTraces(t *testing.T) {
 	t.Parallel()
 	for _, file := range traceFiles(t) {
--- a/test/replay/variants_test.go
+++ b/test/replay/variants_test.go
@@ -18,14 +18,14 @@
 	"stepseam.example/stepseam/internal/trace"
 )
 
-// variant is a site with one wrong rule, and the kind of line that has to show
-// it in the replay of a trace.
+// variant is a site with one wrong rule, and the kind of line at which the replay of a
+// trace must differ.
 type variant struct {
 	trace string
 	name  string
 	shows trace.Kind
 	wrong simulated.Wrong
-	// change makes the wrong thing happen to the site; nil changes nothing.
+	// change alters the site; nil changes nothing.
 	change func(trace.Event) trace.Event
 }
 
@@ -49,13 +49,13 @@
 		Fence:      func(identity.StreamID) error { return nil },
 		CheckLease: func(journal.Shard) error { return nil },
 	}}
-	deafToTables := simulated.Wrong{Log: func(log siteservices.Log) siteservices.Log { return firstTableLog{Log: log} }}
+	ignoresTables := simulated.Wrong{Log: func(log siteservices.Log) siteservices.Log { return firstTableLog{Log: log} }}
 	return []variant{
 		{trace: "quito-deadline-night", name: "the oldest turn is forgotten", shows: conversation, wrong: forgets},
 		{trace: "quito-deadline-night", name: "engines are not told to release", shows: memory, wrong: keepsMemory},
 		{trace: "quito-owner-killed-mid-enrolment", name: "unrepeatable calls run again", shows: executions, wrong: runsAgain},
 		{trace: "quito-fee-answer-lost", name: "unrepeatable calls run again", shows: executions, wrong: runsAgain},
-		{trace: "quito-operator-race", name: "new versions are not read", shows: "expect_version", wrong: deafToTables},
+		{trace: "quito-operator-race", name: "new versions are not read", shows: "expect_version", wrong: ignoresTables},
 		{trace: "quito-zone-cut", name: "the oldest turn is forgotten", shows: conversation, wrong: forgets},
 		{trace: "quito-zone-cut", name: "engines are not told to release", shows: memory, wrong: keepsMemory},
 		{trace: "quito-owner-frozen-past-its-lease", name: "unrepeatable calls run again", shows: executions, wrong: runsAgain},
@@ -73,7 +73,7 @@
 	}
 }
 
-// killInPlaceOfDrain stops nodes without handing anything over.
+// killInPlaceOfDrain stops nodes without a handover.
 func killInPlaceOfDrain(event trace.Event) trace.Event {
 	if stop, isDrain := event.Body.(trace.Drain); isDrain {
 		event.Body = trace.Kill(stop)
@@ -81,8 +81,8 @@
 	return event
 }
 
-// TestTracesFindWrongVariants replays each trace over a site with a wrong rule:
-// the line that the rule is there for has to differ.
+// TestTracesFindWrongVariants replays each trace over a site with a wrong rule: the line
+// that checks the rule must differ.
 func TestTracesFindWrongVariants(t *testing.T) {
 	t.Parallel()
 	for _, wrong := range variants() {
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestEveryTraceHasAWrongVariant keeps new traces from standing without one.
+// TestEveryTraceHasAWrongVariant ensures that each trace has a wrong variant.
 func TestEveryTraceHasAWrongVariant(t *testing.T) {
 	t.Parallel()
 	for _, file := range traceFiles(t) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// firstTableLog shows a node the first table and none after it.
+// firstTableLog returns the first table to a node and no later one.
 type firstTableLog struct{ siteservices.Log }
 
 // Read implements siteservices.Log.
@@ -131,12 +131,12 @@
 	return l.Log.Read(ctx, stream, from, 1, wait)
 }
 
-// wrongBackends gives back-end clients that are wrong in one way.
+// wrongBackends returns back-end clients with one injected fault.
 type wrongBackends struct {
 	backend.Directory
-	// forget drops the oldest turn of every longer conversation, keepMemory says
-	// that engines released what they hold, hideLeaving shows leaving engines as
-	// live, sendTwice makes each application request twice.
+	// forget drops the oldest turn of every longer conversation, keepMemory reports
+	// releases that engines did not get, hideLeaving shows leaving engines as live,
+	// sendTwice sends each application request twice.
 	forget, keepMemory, hideLeaving, sendTwice bool
 }
 
@@ -192,12 +192,12 @@
 
 func (a wrongApplication) Invoke(ctx context.Context, request backend.InvokeRequest) ([]byte, error) {
 	if a.wrong.sendTwice {
-		_, _ = a.Application.Invoke(ctx, request) // the second answer is the one handed on
+		_, _ = a.Application.Invoke(ctx, request) // the second response is returned
 	}
 	return a.Application.Invoke(ctx, request)
 }
 
-// Load hands on what the replica reports.
+// Load returns the replica's report.
 func (a wrongApplication) Load(ctx context.Context) (backend.LoadReport, error) {
 	return backend.LoadOf(ctx, a.Application)
 }
--- a/test/simulation/caller_test.go
+++ b/test/simulation/caller_test.go
@@ -15,33 +15,33 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// attemptTimeout is how long a simulated caller waits for a node before it asks
-// another one.
+// attemptTimeout is how long a simulated caller waits for a node before it tries another
+// one.
 const attemptTimeout = 90 * time.Second
 
-// errConnection is what a caller sees of a node that died under its request.
+// errConnection is the caller's error if a node dies during its request.
 var errConnection = errors.New("simulation: connection lost")
 
-// outcome is what became of one call as its caller saw it.
+// outcome is the result of one call from its caller's view.
 type outcome struct {
 	id      identity.CallID
 	request api.CallRequest
-	// answer is set once the caller got one; streamed are the tokens of the
-	// attempt that brought it.
+	// answer is set once the caller got one; streamed contains the tokens of the
+	// successful attempt.
 	answer   *api.Answer
 	streamed string
-	// problem is the last refusal, given up on; nil with an answer.
+	// problem is the final rejection; nil with an answer.
 	problem *api.Problem
-	// everAmbiguous tells that some attempt ended without certainty.
+	// everAmbiguous is set if the outcome of some attempt was unknown.
 	everAmbiguous bool
 	attempts      int
-	// took is the time from the first attempt to the last one's end.
+	// took is the time from the start of the first attempt to the end of the last one.
 	took time.Duration
-	// refusals counts what the attempts were refused with.
+	// refusals counts the rejections of the attempts by code.
 	refusals map[api.Code]int
 }
 
-// programRecord is one program as its caller saw it.
+// programRecord is one program from its caller's view.
 type programRecord struct {
 	id       identity.ProgramID
 	tenant   string
@@ -49,8 +49,8 @@
 	ended    bool
 }
 
-// caller runs one program against a site, like an agent whose connections may
-// break and who asks another node then.
+// caller runs one program against a site, like an agent whose connections may break and
+// who retries through another node.
 type caller struct {
 	site   *site
 	random *rand.Rand
@@ -59,7 +59,7 @@
 	patience time.Duration
 }
 
-// workload runs the plan's programs and returns what their callers saw.
+// workload runs the plan's programs and returns their callers' records.
 func (s *site) workload(ctx context.Context) []*programRecord {
 	records := make([]*programRecord, s.plan.programs)
 	var group sync.WaitGroup
@@ -77,8 +77,8 @@
 	return records
 }
 
-// run makes the program's calls one after the other, with pauses for tools, and
-// one branch beside the main one.
+// run makes the program's calls one after the other, with pauses for tools, and one
+// concurrent branch.
 func (c *caller) run(ctx context.Context, calls int) {
 	c.pause(2 * time.Second)
 	if !c.create(ctx) {
@@ -95,7 +95,7 @@
 	c.end(ctx)
 }
 
-// chain makes one branch's calls. It stops at the first that has no answer.
+// chain makes one branch's calls. It stops at the first call without an answer.
 func (c *caller) chain(ctx context.Context, branch identity.BranchID, calls int) []*outcome {
 	var outcomes []*outcome
 	for sequence := 1; sequence <= calls; sequence++ {
@@ -136,20 +136,20 @@
 	time.Sleep(time.Duration(c.random.Int64N(int64(longest))))
 }
 
-// somewhere returns a live node; callers do not know which are frozen.
-func (c *caller) somewhere() *simulated.Life {
+// randomNode returns a random live node, which may be frozen.
+func (c *caller) randomNode() *simulated.Life {
 	for {
-		if found := c.site.life(c.random.IntN(c.site.plan.nodes)); found != nil {
+		if found := c.site.incarnation(c.random.IntN(c.site.plan.nodes)); found != nil {
 			return found
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// through sends one request through some node. A node that dies or stays silent
-// under it is a lost connection.
+// through sends one request through a random node. If the node dies or does not respond,
+// the result is a lost connection.
 func (c *caller) through(ctx context.Context, request func(context.Context, serving.Programs) error) error {
-	at := c.somewhere()
+	at := c.randomNode()
 	if at.Node.Board().Draining.Load() {
 		return api.NewProblem(api.CodeDraining, "the node is stopping").WithRetryAfter(time.Second)
 	}
@@ -184,21 +184,21 @@
 
 func (c *caller) create(ctx context.Context) bool {
 	request := serving.CreateRequest{ID: c.record.id, Tenant: c.record.tenant, Class: className}
-	return c.insist(ctx, func(ctx context.Context, programs serving.Programs) error {
+	return c.retryUntilSuccess(ctx, func(ctx context.Context, programs serving.Programs) error {
 		_, err := programs.Create(ctx, request)
 		return err
 	}) == nil
 }
 
 func (c *caller) end(ctx context.Context) {
-	c.record.ended = c.insist(ctx, func(ctx context.Context, programs serving.Programs) error {
+	c.record.ended = c.retryUntilSuccess(ctx, func(ctx context.Context, programs serving.Programs) error {
 		_, err := programs.End(ctx, c.record.id)
 		return err
 	}) == nil
 }
 
-// insist repeats a repeatable request until it succeeds or patience ends.
-func (c *caller) insist(ctx context.Context, request func(context.Context, serving.Programs) error) error {
+// retryUntilSuccess retries a repeatable request until it succeeds or the patience expires.
+func (c *caller) retryUntilSuccess(ctx context.Context, request func(context.Context, serving.Programs) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.patience)
 	defer cancel()
 	for {
@@ -210,7 +210,7 @@
 	}
 }
 
-// pauseAfter waits as long as a refusal asks for, or a moment.
+// pauseAfter waits for a rejection's retry delay, or a short default.
 func (c *caller) pauseAfter(err error) {
 	wait := 200 * time.Millisecond
 	var problem *api.Problem
@@ -220,7 +220,7 @@
 	time.Sleep(wait)
 }
 
-// call makes one call and asks again, elsewhere, until it has a final outcome.
+// call makes one call and retries it through other nodes until its outcome is final.
 func (c *caller) call(ctx context.Context, request api.CallRequest) *outcome {
 	result := &outcome{
 		id:       identity.CallID{Program: c.record.id, Branch: identity.BranchID(request.Branch), Sequence: identity.Sequence(request.Sequence)},
@@ -256,7 +256,7 @@
 	return result
 }
 
-// attempt makes the call through one node and keeps its answer in result.
+// attempt makes the call through one node and stores its answer in result.
 func (c *caller) attempt(ctx context.Context, result *outcome) error {
 	var mutex sync.Mutex
 	var streamed strings.Builder
@@ -288,7 +288,7 @@
 	return nil
 }
 
-// summary counts what callers met, so that a search can be seen to search.
+// summary counts the outcomes, so that logs show what a search covered.
 func summary(records []*programRecord) string {
 	calls, answered, attempts, ambiguous := 0, 0, 0, 0
 	refusals := map[api.Code]int{}
@@ -310,7 +310,7 @@
 	return fmt.Sprintf("%d calls, %d answered, %d attempts, %d ambiguous, final refusals %v", calls, answered, attempts, ambiguous, refusals)
 }
 
-// isFinal tells that asking again cannot bring another outcome.
+// isFinal reports that a retry cannot change the outcome.
 func isFinal(problem *api.Problem) bool {
 	switch problem.Code {
 	case api.CodeOutcomeUnknown, api.CodeBudget, api.CodeProgramEnded, api.CodeConflict, api.CodeLimit, api.CodeInvalid, api.CodeHistoryMismatch:
--- a/test/simulation/checker_test.go
+++ b/test/simulation/checker_test.go
@@ -13,7 +13,7 @@
 	"stepseam.example/stepseam/internal/identity"
 )
 
-// violation is one point of the brief that did not hold, with what shows it.
+// violation is one violated requirement and the evidence.
 type violation struct {
 	point string
 	what  string
@@ -21,8 +21,8 @@
 
 func (v violation) String() string { return v.point + ": " + v.what }
 
-// The points of the brief that the checker reads from the back ends' own records
-// and from what the callers got.
+// The requirements that the checker verifies from the back ends' own records and the
+// callers' results.
 const (
 	pointOrder        = "calls reach the model in order"
 	pointHistory      = "history is never lost or mixed"
@@ -34,13 +34,13 @@
 	pointProgress     = "after healing every call comes to an end"
 )
 
-// seen is one stream as an engine saw it.
+// seen is one stream as an engine recorded it.
 type seen struct {
 	engine.Arrival
 	engine string
 }
 
-// evidence is what the back ends of a site saw.
+// evidence is what the back ends of a site recorded.
 type evidence struct {
 	arrivals   []seen
 	executions []application.Execution
@@ -68,7 +68,7 @@
 	return found
 }
 
-// check returns every violation of the points that callers and back ends show.
+// check returns every violation that callers' and back ends' records show.
 func (s *site) check(records []*programRecord) []violation {
 	found := s.evidence()
 	var violations []violation
@@ -125,8 +125,8 @@
 	return violations
 }
 
-// checkHistory: every model call reached the engines with exactly the turns and
-// answers that the branch's caller had so far, and no others.
+// checkHistory: every model call reached the engines with exactly the turns and answers
+// of the branch so far.
 func checkHistory(found evidence, record *programRecord) []violation {
 	expected := map[identity.CallID][]engine.Digest{}
 	histories := map[identity.BranchID][]engine.Digest{}
@@ -158,7 +158,7 @@
 	return violations
 }
 
-// checkBudget: what the engines computed for a program, repeats included, stays
+// checkBudget: the tokens that engines computed for a program, repeats included, stay
 // within the budget of its class.
 func (s *site) checkBudget(found evidence, record *programRecord) []violation {
 	var spent int64
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// checkAnswers: what was streamed is the answer, and it is what an engine made
-// of this very call.
+// checkAnswers: the streamed tokens form the answer, and an engine generated it for this
+// call.
 func checkAnswers(found evidence, record *programRecord) []violation {
 	var violations []violation
 	for _, outcome := range record.outcomes {
@@ -206,7 +206,7 @@
 	})
 }
 
-// checkOutput: an application's answer stands for an execution of this call.
+// checkOutput: an application's answer belongs to an execution of this call.
 func checkOutput(found evidence, outcome *outcome) []violation {
 	ran := slices.ContainsFunc(found.executions, func(execution application.Execution) bool {
 		return execution.Stream.Call == outcome.id
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// checkNotRun: a call that was only ever refused as not run reached no back end.
+// checkNotRun: a call whose attempts were all rejected as not run reached no back end.
 func checkNotRun(found evidence, record *programRecord) []violation {
 	var violations []violation
 	for _, outcome := range record.outcomes {
@@ -238,7 +238,7 @@
 	return violations
 }
 
-// checkMemory: no engine holds anything for a program that has ended.
+// checkMemory: no engine has memory in use for a program that has ended.
 func checkMemory(found evidence, record *programRecord) []violation {
 	if holders := found.held[record.id]; record.ended && len(holders) > 0 {
 		return []violation{{pointMemory, fmt.Sprintf("%s has ended and %v still hold its prefixes", record.id, holders)}}
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// checkProgress: each call has an answer or a refusal that is final, or one that
-// its caller gave up on.
+// checkProgress: each call has an answer, a final rejection, or one after which its
+// caller gave up.
 func checkProgress(record *programRecord) []violation {
 	var violations []violation
 	for _, outcome := range record.outcomes {
--- a/test/simulation/interim_test.go
+++ b/test/simulation/interim_test.go
@@ -19,19 +19,19 @@
 
 const (
 	outageLength = time.Hour
-	// betweenDeaths is the time from one death to the next.
-	betweenDeaths = 12 * time.Minute
-	// longestGap bounds how long a program cannot be reached after its owner's death
-	// in an outage: the death is seen, the lease runs out, the state is fetched.
-	longestGap = 8 * time.Second
+	// killInterval is the time from one kill to the next.
+	killInterval = 12 * time.Minute
+	// maxUnavailability bounds how long a program is unreachable after its owner's death in an
+	// outage: failure detection, lease expiry, and fetching the state.
+	maxUnavailability = 8 * time.Second
 )
 
-// TestOwnersDieInAnOutageOfTheLog takes the log service away for an hour, in which
-// owners die one after the other and come back a minute later with nothing. No two
-// of them are replicas of one shard, since sets of replicas stay as they are while
-// the log is away. Programs go on within seconds of each death; calls that must run
-// at most once are refused as not run.
-func TestOwnersDieInAnOutageOfTheLog(t *testing.T) {
+// TestOwnerDeathsDuringLogOutage kills owners one after the other during an hour without
+// the log service and restarts each a minute later without state. No two of them are
+// replicas of one shard, since replica sets do not change while the log is unavailable.
+// Programs must continue within seconds of each death; calls that must run at most once
+// are rejected as not run.
+func TestOwnerDeathsDuringLogOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,21 +41,21 @@
 		plan.vanishing = false
 		site := newSite(t, plan)
 		defer site.close()
-		time.Sleep(30 * time.Second) // the sets of replicas grow to their full size
+		time.Sleep(30 * time.Second) // replica sets grow to their full size
 		var records []*programRecord
 		var callers sync.WaitGroup
 		callers.Go(func() { records = site.workload(t.Context()) })
 		time.Sleep(10 * time.Second)
 		site.Log.SetFaults(logservice.Faults{Down: true})
 		began := time.Now()
-		victims := site.apart()
+		victims := site.withoutSharedReplicas()
 		is.True(len(victims) >= 3)
 		for _, victim := range victims {
-			time.Sleep(betweenDeaths)
-			owned := site.life(victim).Node.Journal().Owned()
+			time.Sleep(killInterval)
+			owned := site.incarnation(victim).Node.Journal().Owned()
 			site.killNode(victim)
 			t.Logf("%s died as the owner of %d shards; the slowest of their programs went on after %s",
-				nodeName(victim), len(owned), site.longestSilence(t, owned))
+				nodeName(victim), len(owned), site.longestUnavailability(t, owned))
 			time.Sleep(time.Minute)
 			site.startNode(victim)
 		}
@@ -71,7 +71,7 @@
 			for _, outcome := range record.outcomes {
 				refused += outcome.refusals[api.CodeLogUnavailable]
 				if !outcome.request.Unrepeatable {
-					is.True(outcome.answer != nil) // answered, and no refusal names the log
+					is.True(outcome.answer != nil) // answered; rejections never name the log
 					is.Equal(outcome.refusals[api.CodeLogUnavailable], 0)
 					is.True(outcome.took < time.Minute)
 				}
@@ -82,12 +82,12 @@
 	})
 }
 
-// apart returns nodes that own shards, no two of which are replicas of one shard
-// by the claims that stand in the log.
-func (s *site) apart() []int {
+// withoutSharedReplicas returns nodes that own shards, no two of which are replicas of one shard
+// according to the claims in the log.
+func (s *site) withoutSharedReplicas() []int {
 	var victims []int
 	for index := range s.plan.nodes {
-		alone := len(s.life(index).Node.Journal().Owned()) > 0
+		alone := len(s.incarnation(index).Node.Journal().Owned()) > 0
 		for shard := range identity.ShardID(s.plan.shards) {
 			replicas := s.replicas(shard)
 			alone = alone && !(slices.Contains(replicas, nodeName(index)) && slices.ContainsFunc(victims, func(other int) bool {
@@ -114,9 +114,9 @@
 	return names
 }
 
-// longestSilence asks for the programs of shards until each is answered again, and
-// returns how long the last one took.
-func (s *site) longestSilence(t *testing.T, shards []identity.ShardID) time.Duration {
+// longestUnavailability queries the programs of shards until each is reachable again, and
+// returns the longest time that one was not.
+func (s *site) longestUnavailability(t *testing.T, shards []identity.ShardID) time.Duration {
 	t.Helper()
 	died := time.Now()
 	for index := range s.plan.programs {
@@ -125,8 +125,8 @@
 			continue
 		}
 		for !s.answers(program) {
-			if time.Since(died) > longestGap {
-				t.Errorf("%s cannot be reached %s after its owner's death", program, longestGap)
+			if time.Since(died) > maxUnavailability {
+				t.Errorf("%s cannot be reached %s after its owner's death", program, maxUnavailability)
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	for index := range s.plan.nodes {
-		if alive := s.life(index); alive != nil {
+		if alive := s.incarnation(index); alive != nil {
 			_, err := alive.Node.Programs().Get(ctx, program)
 			return err == nil
 		}
--- a/test/simulation/main_test.go
+++ b/test/simulation/main_test.go
@@ -6,7 +6,7 @@
 	"stepseam.example/stepseam/internal/testseed"
 )
 
-// The search that CI repeats; a soak sets its own by the same flags.
+// Defaults of the search in CI; a soak overrides them with the same flags.
 const (
 	checksInCI = "24"
 	seedInCI   = "20261202"
--- a/test/simulation/models_test.go
+++ b/test/simulation/models_test.go
@@ -18,12 +18,12 @@
 
 const (
 	secondModel = "asesor-70b"
-	// placementTime is longer than it takes to load a model twice, one after the
-	// other, with a change of the acting node in between.
+	// placementTime is longer than loading a model twice in sequence with a change of the
+	// acting node in between.
 	placementTime = 3 * time.Minute
 )
 
-// modelLoads returns the engines that began to load model, once for each time.
+// modelLoads returns the engines that began to load model, one entry per load.
 func (s *site) modelLoads(model string) (zones []identity.Zone) {
 	for index, truth := range s.Engines() {
 		for _, record := range truth.Orders {
@@ -38,7 +38,7 @@
 // acting returns the index of the node that acts for the engines' service.
 func (s *site) acting() (index int, found bool) {
 	for index := range s.plan.nodes {
-		if alive := s.life(index); alive != nil {
+		if alive := s.incarnation(index); alive != nil {
 			for _, status := range alive.Node.Models().Status() {
 				if status.Acting && status.Service == engineService {
 					return index, true
@@ -49,10 +49,10 @@
 	return 0, false
 }
 
-// fencesSeen counts the engines whose reports show an acting node's fence to the
-// node at index.
+// fencesSeen counts the engines whose reports at the node at index contain an acting
+// node's fence.
 func (s *site) fencesSeen(index int) (count int) {
-	for _, seen := range s.life(index).Node.Board().Backends.Copy() {
+	for _, seen := range s.incarnation(index).Node.Board().Backends.Copy() {
 		if seen.Report.Fence > 0 {
 			count++
 		}
@@ -60,11 +60,11 @@
 	return count
 }
 
-// callSecondModel asks for an answer of the second model through the node at index.
+// callSecondModel calls the second model through the node at index.
 func (s *site) callSecondModel(index int, program identity.ProgramID) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	programs := s.life(index).Node.Programs()
+	programs := s.incarnation(index).Node.Programs()
 	_, err := programs.Create(ctx, serving.CreateRequest{ID: program, Tenant: "usfq", Class: className})
 	if err != nil {
 		return err
@@ -76,11 +76,10 @@
 	return err
 }
 
-// TestTheTableLoadsAModel adds a model to the table of a running site and kills
-// the node that acts for the engines while the first load is under way: each
-// replica is loaded once, in a zone of its own, and a caller that comes too early
-// is told when to come back.
-func TestTheTableLoadsAModel(t *testing.T) {
+// TestTableChangeLoadsModel adds a model to the table of a running site and kills the node
+// that acts for the engines during the first load. Each replica must be loaded once, in
+// its own zone, and an early caller gets a retry delay.
+func TestTableChangeLoadsModel(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,7 +87,7 @@
 		defer site.close()
 		time.Sleep(time.Minute)
 		for _, truth := range site.Engines() {
-			is.Equal(len(truth.Orders), 0) // nothing is asked for that is not there
+			is.Equal(len(truth.Orders), 0) // a model that is not in the table is not ordered
 		}
 		next := site.plan.firstTable()
 		next.Base = 1
@@ -123,15 +122,14 @@
 		next.Models[modelName] = first
 		site.publish(caller, next)
 		time.Sleep(2 * placementTime)
-		is.Equal(len(site.modelLoads(modelName)), site.plan.engines) // the version rolled over all, once
+		is.Equal(len(site.modelLoads(modelName)), site.plan.engines) // the new version is loaded once on each engine
 		is.Equal(len(site.modelLoads(secondModel)), 2)
 	})
 }
 
-// TestAStoppedNodeLoadsNothingLate stops the acting node between its look at the
-// lease and its order until another node has acted: the late order is refused by
-// the engine.
-func TestAStoppedNodeLoadsNothingLate(t *testing.T) {
+// TestEngineRejectsLateOrderOfFrozenNode freezes the acting node between its check of the lease
+// and its order until another node has acted: the engine must reject the late order.
+func TestEngineRejectsLateOrderOfFrozenNode(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -151,11 +149,11 @@
 		}
 		site.Stall(nodeName(stopped), true)
 		time.Sleep(3 * time.Second)
-		is.Equal(len(site.modelLoads(secondModel)), 0) // the order is on its way
-		site.life(stopped).Endpoint.Freeze()
+		is.Equal(len(site.modelLoads(secondModel)), 0) // the order is in flight
+		site.incarnation(stopped).Endpoint.Freeze()
 		time.Sleep(placementTime)
 		is.Equal(len(site.modelLoads(secondModel)), 1)
-		site.life(stopped).Endpoint.Thaw()
+		site.incarnation(stopped).Endpoint.Thaw()
 		site.Stall(nodeName(stopped), false)
 		time.Sleep(placementTime)
 		is.Equal(len(site.modelLoads(secondModel)), 1)
--- a/test/simulation/schedule_test.go
+++ b/test/simulation/schedule_test.go
@@ -15,10 +15,11 @@
 	"stepseam.example/stepseam/internal/emulator/network"
 )
 
-// faultKind is one kind of failure that a schedule brings about.
+// faultKind is one kind of failure that a schedule injects.
 type faultKind int
 
-// The kinds of failures. The targets of a step are taken modulo what there is.
+// The kinds of failures. A step's targets are taken modulo the number of nodes, zones or
+// back ends.
 const (
 	killNode faultKind = iota
 	freezeNode
@@ -49,7 +50,7 @@
 	"engine loses answers", "application loses answers", "application hangs", "application down", "back-end link cut", "drain node", "kill zone",
 }
 
-// step is one failure of a schedule: it begins after the step before it did, and
+// step is one failure of a schedule: it begins after the start of the step before it and
 // lasts for a while.
 type step struct {
 	after  time.Duration
@@ -63,7 +64,7 @@
 	return fmt.Sprintf("+%s %s %d/%d for %s", s.after, faultNames[s.kind], s.target, s.other, s.lasts)
 }
 
-// schedules draws schedules of steps; only lists the kinds drawn, all where empty.
+// schedules draws schedules of steps; only lists the kinds to draw, all if empty.
 func schedules(only ...faultKind) *rapid.Generator[[]step] {
 	kinds := only
 	if len(kinds) == 0 {
@@ -82,8 +83,8 @@
 	}), 4, 10)
 }
 
-// What steps are drawn from. Lists, because ranges favour their lower ends, and a
-// failure of a few milliseconds soon after the start is none.
+// Values from which steps are drawn. Lists, because generators favour the lower ends of
+// ranges, and failures of a few milliseconds have no effect.
 var (
 	gaps = []time.Duration{
 		0, 3 * time.Millisecond, 170 * time.Millisecond, 700 * time.Millisecond, 1300 * time.Millisecond,
@@ -96,8 +97,8 @@
 	targets = []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
 )
 
-// carryOut brings the schedule's failures about, overlapping as they come, and
-// returns when the last one has ended.
+// carryOut injects the schedule's failures, which may overlap, and returns when the last
+// one has ended.
 func (s *site) carryOut(schedule []step) {
 	var group sync.WaitGroup
 	for _, one := range schedule {
@@ -107,7 +108,7 @@
 	group.Wait()
 }
 
-// fail brings one failure about and ends it again.
+// fail injects one failure and ends it again.
 func (s *site) fail(one step) {
 	undo := s.begin(one)
 	if undo == nil {
@@ -117,7 +118,7 @@
 	undo()
 }
 
-// begin starts a failure and returns what ends it, nil where nothing does.
+// begin starts a failure and returns the function that ends it, or nil if none is needed.
 func (s *site) begin(one step) func() {
 	node, other := one.target%s.plan.nodes, one.other%s.plan.nodes
 	switch one.kind {
@@ -127,7 +128,7 @@
 	case killZone:
 		return s.killWholeZone(one.target)
 	case drainNode:
-		_ = s.drainNode(node) // a stop whose hand-over fails ends like a kill
+		_ = s.drainNode(node) // a stop whose handover fails ends like a kill
 		return func() { s.startNode(node) }
 	case freezeNode:
 		return s.freeze(node)
@@ -174,7 +175,7 @@
 	return func() { s.ThawNode(nodeName(index)) }
 }
 
-// cutZone cuts a zone off from the others, and for odd choices from the platform.
+// cutZone partitions a zone from the others and, for odd choices, from the platform.
 func (s *site) cutZone(one step) func() {
 	zone := s.zone(one.target)
 	s.CutZone(zone, one.other%2 == 1)
@@ -225,12 +226,12 @@
 	return func() { struckEngine.SetFaults(engine.Faults{}) }
 }
 
-// freeingTime is how long after the last program's end engines may still hold
-// memory: retries of releases, the audit, and the machine list's lag.
+// freeingTime is how long after the end of the last program engines may still use memory:
+// retries of releases, the audit, and the machine list's lag.
 const freeingTime = 3 * time.Minute
 
-// runSchedule runs programs under a schedule, heals, waits for all callers and
-// for memory to be freed, and returns what did not hold.
+// runSchedule runs programs under a schedule, heals, waits for all callers and for memory
+// to be freed, and returns the violations.
 func runSchedule(t *testing.T, plan plan, schedule []step) []violation {
 	var violations []violation
 	synctest.Test(t, func(t *testing.T) {
@@ -249,8 +250,8 @@
 	return violations
 }
 
-// TestSchedules searches for a schedule of failures under which a point of the
-// brief does not hold. `make soak` runs it for long.
+// TestSchedules searches for a schedule of failures that violates a requirement. `make
+// soak` runs a longer search.
 func TestSchedules(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
--- a/test/simulation/site_test.go
+++ b/test/simulation/site_test.go
@@ -1,7 +1,6 @@
-// Package simulation proves the points of the brief on whole sites in virtual
-// time (internal/lab/simulated), under seeded schedules of failures. Checkers
-// read what the back ends saw and what the callers got, never the nodes' own
-// books.
+// Package simulation tests the system's requirements on whole sites in virtual time
+// (internal/lab/simulated) under seeded schedules of failures. Checkers read the back
+// ends' records and the callers' results, never the nodes' own state.
 package simulation
 
 import (
@@ -28,13 +27,13 @@
 	engineService = "modelos-asesor"
 	portalService = "portal-matricula"
 	className     = "admission"
-	// machineListLag is how late the machine list shows a change.
+	// machineListLag is the lag of the machine list.
 	machineListLag = 10 * time.Second
-	// longestAnswer keeps answers short, so that many calls fit into a schedule.
+	// longestAnswer limits answers, so that many calls fit into a schedule.
 	longestAnswer = 40
 )
 
-// plan says what a simulated site consists of.
+// plan describes a simulated site.
 type plan struct {
 	seed           uint64
 	zones          []identity.Zone
@@ -47,28 +46,28 @@
 	budget         int64
 	// auditInterval is the time between two searches for orphaned memory.
 	auditInterval time.Duration
-	// programs run at once, with calls on the main branch and half as many beside
-	// it, and pauses of up to pause between two calls.
+	// programs run concurrently, with calls on the main branch and half as many on a
+	// second one, and pauses of up to pause between two calls.
 	programs int
 	calls    int
 	pause    time.Duration
-	// impatient callers give one refused call in four up at once, so that the
-	// checker can see that it never ran.
+	// impatient callers give up one rejected call in four at once, so that the checker
+	// can verify that it never ran.
 	impatient bool
-	// mainRepeatable leaves unrepeatable calls to the branch beside the main one.
+	// mainRepeatable limits unrepeatable calls to the second branch.
 	mainRepeatable bool
-	// vanishing callers break one connection in six before the answer, and ask
-	// again elsewhere.
+	// vanishing callers break one connection in six before the answer and retry through
+	// another node.
 	vanishing bool
-	// hooks replace rules of every node by wrong ones, for the checkers' own proof.
+	// hooks replace rules of every node by wrong ones, to test the checkers.
 	hooks serving.Hooks
-	// wrapLog replaces a node's log client, for the checkers' own proof.
+	// wrapLog replaces a node's log client, to test the checkers.
 	wrapLog func(siteservices.Log) siteservices.Log
-	// wrapDirectory replaces a node's back-end clients, for the checkers' own proof.
+	// wrapDirectory replaces a node's back-end clients, to test the checkers.
 	wrapDirectory func(backend.Directory) backend.Directory
 }
 
-// quito is a site at the size of Quito's first one.
+// quito is the plan of a site with the size of Quito's first one.
 func quito(seed uint64) plan {
 	return plan{
 		seed:  seed,
@@ -80,7 +79,7 @@
 	}
 }
 
-// haldane is a site at the size of Haldane Ridge's first one.
+// haldane is the plan of a site with the size of Haldane Ridge's first one.
 func haldane(seed uint64) plan {
 	plan := quito(seed)
 	plan.zones = []identity.Zone{"homebarn", "elevhut", "ridgeshelter", "countycage"}
@@ -88,8 +87,8 @@
 	return plan
 }
 
-// site is a running simulated site with its plan, whose nodes and back ends are
-// named by their index.
+// site is a running simulated site with its plan; its nodes and back ends are named by
+// their index.
 type site struct {
 	*simulated.Site
 	t    *testing.T
@@ -98,7 +97,7 @@
 
 func nodeName(index int) identity.NodeName { return identity.NodeName(fmt.Sprintf("node-%d", index)) }
 
-// simulatedPlan is the plan in the form of package simulated.
+// simulatedPlan converts the plan to that of package simulated.
 func (p plan) simulatedPlan() simulated.Plan {
 	whole := simulated.Plan{
 		Seed: p.seed, Zones: p.zones, Shards: p.shards,
@@ -146,15 +145,15 @@
 
 func (s *site) zone(index int) identity.Zone { return s.plan.zones[index%len(s.plan.zones)] }
 
-// life returns the present life of the node at index, or nil.
-func (s *site) life(index int) *simulated.Life { return s.Life(nodeName(index)) }
+// incarnation returns the current incarnation of the node at index, or nil.
+func (s *site) incarnation(index int) *simulated.Life { return s.Life(nodeName(index)) }
 
-// engine returns the engine at index, counted round.
+// engine returns the engine at index modulo their number.
 func (s *site) engine(index int) *engine.Engine {
 	return s.Engine(fmt.Sprintf("engine-%d", index%s.plan.engines))
 }
 
-// portal returns the application replica at index, counted round.
+// portal returns the application replica at index modulo their number.
 func (s *site) portal(index int) *application.Application {
 	return s.Application(fmt.Sprintf("portal-%d", index%s.plan.applications))
 }
@@ -162,16 +161,16 @@
 // killNode ends the node at index as SIGKILL would.
 func (s *site) killNode(index int) { s.KillNode(nodeName(index)) }
 
-// startNode begins a life of the node at index unless it runs.
+// startNode starts an incarnation of the node at index unless it runs.
 func (s *site) startNode(index int) { s.must(s.StartNode(nodeName(index))) }
 
-// drainNode stops the node at index as planned.
+// drainNode stops the node at index gracefully.
 func (s *site) drainNode(index int) error { return s.DrainNode(nodeName(index)) }
 
-// healAll undoes every failure and starts all nodes that do not run.
+// healAll ends every failure and starts all nodes that do not run.
 func (s *site) healAll() { s.must(s.HealAll()) }
 
-// close ends everything that runs in the bubble.
+// close stops everything that runs in the bubble.
 func (s *site) close() {
 	s.Close()
 	time.Sleep(simulated.Settle)
@@ -198,7 +197,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	content := table.Format(next)
-	entry, err := s.life(index).Node.Tables().Publish(ctx, tables.Publication{
+	entry, err := s.incarnation(index).Node.Tables().Publish(ctx, tables.Publication{
 		Base: next.Base, CSV: content, Author: "marta", Note: "first",
 	})
 	s.must(err)
--- a/test/simulation/smoke_test.go
+++ b/test/simulation/smoke_test.go
@@ -12,8 +12,8 @@
 	"stepseam.example/stepseam/internal/serving"
 )
 
-// TestProgramRunsThroughDifferentNodes runs one program, each step through
-// another node of a sound site.
+// TestProgramRunsThroughDifferentNodes runs one program, each step through another node
+// of a healthy site.
 func TestProgramRunsThroughDifferentNodes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -22,7 +22,7 @@
 		defer site.close()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Minute)
 		defer cancel()
-		at := func(index int) serving.Programs { return site.life(index % site.plan.nodes).Node.Programs() }
+		at := func(index int) serving.Programs { return site.incarnation(index % site.plan.nodes).Node.Programs() }
 
 		_, err := at(0).Create(ctx, serving.CreateRequest{ID: "program-1", Tenant: "usfq", Class: className})
 		is.NoErr(err)
@@ -33,7 +33,7 @@
 				Messages: []api.Message{{Role: "user", Content: "what is missing from my file?"}},
 			}}, func(_ int, text string) error { streamed += text; return nil })
 			is.NoErr(err)
-			is.Equal(streamed, answer.Text) // the streamed tokens are the answer
+			is.Equal(streamed, answer.Text) // the streamed tokens form the answer
 		}
 		answer, err := at(5).Call(ctx, serving.CallRequest{Program: "program-1", Call: api.CallRequest{
 			Sequence: 5, Kind: api.CallApplication, Application: portalService, Operation: "enrol",
--- a/test/simulation/stop_test.go
+++ b/test/simulation/stop_test.go
@@ -14,8 +14,8 @@
 	"stepseam.example/stepseam/internal/journal"
 )
 
-// busy is a site's plan with long chains and short pauses, so that calls are in
-// flight at any moment.
+// busy is a site's plan with long chains and short pauses, so that calls are always in
+// flight.
 func busy(seed uint64) plan {
 	plan := quito(seed)
 	plan.programs, plan.calls, plan.pause = 8, 25, 300*time.Millisecond
@@ -23,10 +23,10 @@
 	return plan
 }
 
-// TestAPlannedStopCutsNoRequest stops every node in turn and starts it again,
-// while callers run programs. A node that stops refuses new requests as not run;
-// everything else must be answered at the first attempt.
-func TestAPlannedStopCutsNoRequest(t *testing.T) {
+// TestPlannedStopBreaksNoRequest stops and restarts every node in turn under load. A
+// stopping node rejects new requests as not run; everything else must be answered at the
+// first attempt.
+func TestPlannedStopBreaksNoRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -48,18 +48,18 @@
 		for _, record := range records {
 			for _, outcome := range record.outcomes {
 				is.True(outcome.answer != nil)                          // every call was answered
-				is.Equal(outcome.attempts, 1+outcome.refusals[drained]) // and not cut off once
+				is.Equal(outcome.attempts, 1+outcome.refusals[drained]) // no attempt lost its connection
 			}
 		}
 	})
 }
 
-// drained is the refusal of a node that stops.
+// drained is the rejection code of a stopping node.
 const drained = api.CodeDraining
 
-// TestALeavingEngineGetsNoNewWork lets an engine announce that it leaves, while
-// the machine list shows it as live for ten seconds more.
-func TestALeavingEngineGetsNoNewWork(t *testing.T) {
+// TestLeavingEngineGetsNoNewWork lets an engine announce that it leaves while the
+// machine list still shows it as live for ten seconds.
+func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	const bound = 3 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -75,9 +75,9 @@
 		leaving.SetDraining(true)
 		left := time.Now()
 		callers.Wait()
-		is.True(time.Since(left) > 2*bound) // there was work to place after it
+		is.True(time.Since(left) > 2*bound) // work was placed after the bound
 		for _, arrival := range leaving.Truth().Arrivals {
-			is.True(arrival.Arrived.Before(left.Add(bound))) // nothing is even tried there
+			is.True(arrival.Arrived.Before(left.Add(bound))) // no attempt is made there after the bound
 			is.True(arrival.Arrived.Before(left) || arrival.Outcome == engine.OutcomeRefused)
 		}
 		time.Sleep(freeingTime)
@@ -85,11 +85,11 @@
 	})
 }
 
-// TestAnOutageOfTheLogForHours takes the log service away for three hours while
-// programs run. Model calls and repeatable calls go on as if nothing was; calls
-// that must run at most once are refused at once, as not run; the tails held in
-// memory stay bounded, and are gone soon after the log is back.
-func TestAnOutageOfTheLogForHours(t *testing.T) {
+// TestLogOutageForHours makes the log service unavailable for three hours under
+// load. Model calls and repeatable calls must continue unaffected; calls that must run at
+// most once are rejected at once as not run; in-memory tails stay bounded and are empty
+// soon after the log recovers.
+func TestLogOutageForHours(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -119,14 +119,14 @@
 			for _, outcome := range record.outcomes {
 				if !outcome.request.Unrepeatable {
 					is.True(outcome.answer != nil)
-					is.Equal(outcome.attempts, 1) // no call fails for the outage
+					is.Equal(outcome.attempts, 1) // the outage fails no call
 					continue
 				}
 				for code, count := range outcome.refusals {
 					is.Equal(code, api.CodeLogUnavailable)
 					refused += count
 				}
-				is.True(!outcome.everAmbiguous) // refused as not run, for certain
+				is.True(!outcome.everAmbiguous) // rejected as not run, without doubt
 			}
 		}
 		is.True(refused > 0)
@@ -134,20 +134,20 @@
 		t.Logf("largest total of tails in the outage: %d bytes; %d refusals of unrepeatable calls", largest, refused)
 		is.True(largest < tailBound)
 		time.Sleep(freeingTime)
-		is.Equal(site.journalStats().TailBytes, 0) // rejoining drains cleanly
+		is.Equal(site.journalStats().TailBytes, 0) // the tails drain after the log recovers
 		is.Equal(site.check(records), nil)
 	})
 }
 
-// tailBound is what all owners' tails together may hold: the live state of a few
-// programs and one snapshot's worth of records for each shard.
+// tailBound is the limit of all owners' tails together: the live state of a few programs
+// and one snapshot's worth of records for each shard.
 const tailBound = 16 * (256 << 10)
 
-// journalStats sums the journals of all live nodes.
+// journalStats adds up the journal statistics of all live nodes.
 func (s *site) journalStats() journal.Stats {
 	var sum journal.Stats
 	for index := range s.plan.nodes {
-		if alive := s.life(index); alive != nil {
+		if alive := s.incarnation(index); alive != nil {
 			stats := alive.Node.Journal().Stats()
 			sum.TailBytes += stats.TailBytes
 			sum.ReplicaBytes += stats.ReplicaBytes
--- a/test/simulation/table_test.go
+++ b/test/simulation/table_test.go
@@ -23,7 +23,7 @@
 	inForceTime = 5 * time.Second
 )
 
-// publication is one operator's attempt and what it was told.
+// publication is one operator's attempt to publish and its result.
 type publication struct {
 	id     string
 	base   table.Version
@@ -32,7 +32,7 @@
 	err    error
 }
 
-// operators publish tables on whatever version their node shows, two at a time,
+// operators publish tables based on whatever version their node shows, two at a time,
 // until ctx ends.
 func (s *site) operators(ctx context.Context) []publication {
 	var mutex sync.Mutex
@@ -56,7 +56,7 @@
 
 func (s *site) publishOnce(ctx context.Context, random *rand.Rand, author string, round int) publication {
 	one := publication{id: fmt.Sprintf("%s-%d", author, round), author: author, err: errConnection}
-	at := s.life(random.IntN(s.plan.nodes))
+	at := s.incarnation(random.IntN(s.plan.nodes))
 	if at == nil {
 		return one
 	}
@@ -80,14 +80,14 @@
 	return one
 }
 
-// watchVersions looks at the version in force on every node until ctx ends and
-// returns each step back that it saw.
+// watchVersions polls the version in force on every node until ctx ends and returns each
+// decrease.
 func (s *site) watchVersions(ctx context.Context) []violation {
 	var violations []violation
 	last := map[identity.Reference]table.Version{}
 	for ctx.Err() == nil {
 		for index := range s.plan.nodes {
-			alive := s.life(index)
+			alive := s.incarnation(index)
 			if alive == nil {
 				continue
 			}
@@ -106,13 +106,13 @@
 	return violations
 }
 
-// checkTable compares what operators were told with the log, and the versions in
-// force with the newest accepted one.
+// checkTable compares the operators' results with the log, and the versions in force with
+// the newest accepted one.
 func (s *site) checkTable(made []publication) []violation {
 	truth := table.NewVersionLog()
 	accepted := map[string]table.Entry{}
 	for _, record := range s.Log.Records(table.Stream) {
-		_ = truth.Apply(record) // what is damaged or lost the race is in the history
+		_ = truth.Apply(record) // damaged records and losers of a race are in the history too
 	}
 	for _, entry := range truth.History() {
 		if entry.Status == table.Accepted {
@@ -133,7 +133,7 @@
 		}
 	}
 	for index := range s.plan.nodes {
-		shown := s.life(index).Node.Board().Table.Load()
+		shown := s.incarnation(index).Node.Board().Table.Load()
 		if shown == nil || shown.Version != truth.Version() {
 			violations = append(violations, violation{pointTable, fmt.Sprintf("%s after healing: in force %v, accepted %d", nodeName(index), shown, truth.Version())})
 		}
@@ -141,7 +141,8 @@
 	return violations
 }
 
-// TestRacingOperators publishes from two sides under schedules of failures.
+// TestRacingOperators publishes concurrently from two operators under schedules of
+// failures.
 func TestRacingOperators(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
--- a/test/simulation/variants_test.go
+++ b/test/simulation/variants_test.go
@@ -9,14 +9,14 @@
 	"stepseam.example/stepseam/internal/journal"
 )
 
-// variant is a site in which one rule is replaced by a wrong one, and the point
-// that the checker must then find broken under some schedule of these failures.
+// variant is a site with one wrong rule, and the requirement whose violation the checker
+// must find under some schedule of these failures.
 type variant struct {
 	name   string
 	point  string
 	change func(*plan)
 	faults []faultKind
-	// tries bounds the schedules searched; the seeds are fixed.
+	// tries bounds the number of schedules; the seeds are fixed.
 	tries int
 }
 
@@ -80,15 +80,14 @@
 	}
 }
 
-// wrongly makes every node's back-end clients wrong in the way of prototype.
+// wrongly gives every node back-end clients with the fault of prototype.
 func wrongly(prototype *wrongDirectory) func(backend.Directory) backend.Directory {
 	return func(inner backend.Directory) backend.Directory {
 		return &wrongDirectory{Directory: inner, forget: prototype.forget, mixUp: prototype.mixUp, certain: prototype.certain}
 	}
 }
 
-// TestCheckerFindsWrongVariants shows that the checker can fail: each wrong
-// variant is caught.
+// TestCheckerFindsWrongVariants verifies that the checker detects each wrong variant.
 func TestCheckerFindsWrongVariants(t *testing.T) {
 	t.Parallel()
 	for _, wrong := range variants() {
--- a/test/simulation/wrong_test.go
+++ b/test/simulation/wrong_test.go
@@ -10,15 +10,14 @@
 	"stepseam.example/stepseam/internal/backend"
 )
 
-// wrongDirectory gives back-end clients that are wrong in one way, for the proof
-// that the checker notices.
+// wrongDirectory returns back-end clients with one injected fault, to test the checker.
 type wrongDirectory struct {
 	backend.Directory
 	// forget drops the oldest turn of every longer conversation.
 	forget bool
-	// mixUp answers with the text of the answer before.
+	// mixUp answers with the text of the previous answer.
 	mixUp bool
-	// certain calls every failure one that did not reach the back end.
+	// certain reports every failure as not delivered.
 	certain bool
 
 	mutex  sync.Mutex
@@ -33,7 +32,7 @@
 	return &wrongApplication{Application: d.Directory.Application(address), wrong: d}
 }
 
-// exchange returns the text of the answer before and keeps this one.
+// exchange returns the text of the previous answer and stores this one.
 func (d *wrongDirectory) exchange(text string) string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -75,7 +74,7 @@
 	return answer, a.wrong.judge(err)
 }
 
-// Load hands on what the replica reports.
+// Load returns the replica's report.
 func (a *wrongApplication) Load(ctx context.Context) (backend.LoadReport, error) {
 	return backend.LoadOf(ctx, a.Application)
 }
