--- a/internal/emulator/network/call.go
+++ b/internal/emulator/network/call.go
@@ -15,7 +15,7 @@
 const partWindow = 64
 
 // errCallerCancelled is what sendPart returns once the caller no longer waits.
-var errCallerCancelled = errors.New("network: the caller is gone")
+var errCallerCancelled = errors.New("network: the caller cancelled the call")
 
 // frame is one encoded message in transit.
 type frame struct {
--- a/test/process/caller_test.go
+++ b/test/process/caller_test.go
@@ -63,7 +63,7 @@
 		return fmt.Errorf("model call %d of %s: %w", sequence, c.id, err)
 	}
 	if answer.Text != streamed.String() || answer.Usage.CompletionTokens != answerTokens {
-		return fmt.Errorf("model call %d of %s: the answer is not whole: %d tokens", sequence, c.id, answer.Usage.CompletionTokens)
+		return fmt.Errorf("model call %d of %s: the answer is incomplete: %d tokens", sequence, c.id, answer.Usage.CompletionTokens)
 	}
 	c.answers = append(c.answers, answer)
 	return nil
--- a/test/process/checker_test.go
+++ b/test/process/checker_test.go
@@ -69,17 +69,17 @@
 	var faults []error
 	for _, key := range c.ran {
 		if executions[key] != 1 {
-			faults = append(faults, fmt.Errorf("%s was answered and ran %d times", key, executions[key]))
+			faults = append(faults, fmt.Errorf("%s was answered but ran %d times", key, executions[key]))
 		}
 	}
 	for _, key := range c.doubtful {
 		if executions[key] > 1 {
-			faults = append(faults, fmt.Errorf("%s has an unknown outcome and ran %d times", key, executions[key]))
+			faults = append(faults, fmt.Errorf("%s has an unknown outcome but ran %d times", key, executions[key]))
 		}
 	}
 	for _, key := range c.refused {
 		if executions[key] != 0 && !slices.Contains(c.ran, key) && !slices.Contains(c.doubtful, key) {
-			faults = append(faults, fmt.Errorf("%s was refused as not run and ran %d times", key, executions[key]))
+			faults = append(faults, fmt.Errorf("%s was rejected as not run but ran %d times", key, executions[key]))
 		}
 	}
 	return faults
--- a/test/process/failure_test.go
+++ b/test/process/failure_test.go
@@ -29,7 +29,7 @@
 		}
 	})
 	if !disturbed {
-		return errors.Join(err, errors.New("the call ended before it was disturbed"))
+		return errors.Join(err, errors.New("the call ended before the fault was injected"))
 	}
 	return err
 }
--- a/test/replay/mutate_test.go
+++ b/test/replay/mutate_test.go
@@ -21,12 +21,12 @@
 			mutated.Events = slices.Clone(played.Events)
 			mutated.Events[index] = wrong
 			if !detected(wrong, replay.Compare(&mutated, found)) {
-				t.Errorf("%s:%d: the wrong form %+v is not noticed", played.File, wrong.Line, wrong.Body)
+				t.Errorf("%s:%d: the wrong form %+v is not detected", played.File, wrong.Line, wrong.Body)
 			}
 		}
 	}
 	if tried == 0 {
-		t.Errorf("%s states no outcome", played.File)
+		t.Errorf("%s has no expected outcome", played.File)
 	}
 }
 
--- a/test/replay/variants_test.go
+++ b/test/replay/variants_test.go
@@ -51,25 +51,25 @@
 	}}
 	ignoresTables := simulated.Wrong{Log: func(log siteservices.Log) siteservices.Log { return firstTableLog{Log: log} }}
 	return []variant{
-		{trace: "quito-deadline-night", name: "the oldest turn is forgotten", shows: conversation, wrong: forgets},
-		{trace: "quito-deadline-night", name: "engines are not told to release", shows: memory, wrong: keepsMemory},
+		{trace: "quito-deadline-night", name: "the oldest turn is dropped", shows: conversation, wrong: forgets},
+		{trace: "quito-deadline-night", name: "engines get no release requests", shows: memory, wrong: keepsMemory},
 		{trace: "quito-owner-killed-mid-enrolment", name: "unrepeatable calls run again", shows: executions, wrong: runsAgain},
 		{trace: "quito-fee-answer-lost", name: "unrepeatable calls run again", shows: executions, wrong: runsAgain},
 		{trace: "quito-operator-race", name: "new versions are not read", shows: "expect_version", wrong: ignoresTables},
-		{trace: "quito-zone-cut", name: "the oldest turn is forgotten", shows: conversation, wrong: forgets},
-		{trace: "quito-zone-cut", name: "engines are not told to release", shows: memory, wrong: keepsMemory},
+		{trace: "quito-zone-cut", name: "the oldest turn is dropped", shows: conversation, wrong: forgets},
+		{trace: "quito-zone-cut", name: "engines get no release requests", shows: memory, wrong: keepsMemory},
 		{trace: "quito-owner-frozen-past-its-lease", name: "unrepeatable calls run again", shows: executions, wrong: runsAgain},
 		{trace: "quito-budget", name: "no reservation", shows: "expect_spent", wrong: noReservation},
 		{trace: "quito-frozen-owner-sends-late", name: "lost streams are not cancelled", shows: "expect_order", wrong: noFence},
 		{trace: "quito-planned-stops", name: "nodes are killed in place of stopped", shows: call, change: killInPlaceOfDrain},
-		{trace: "haldane-long-conversation", name: "the oldest turn is forgotten", shows: conversation, wrong: forgets},
+		{trace: "haldane-long-conversation", name: "the oldest turn is dropped", shows: conversation, wrong: forgets},
 		{trace: "haldane-doubled-ticket", name: "requests are sent twice", shows: executions, wrong: sendsTwice},
 		{trace: "haldane-technician-while-a-zone-is-cut", name: "the lease is not looked at", shows: call, wrong: noLease},
 		{trace: "haldane-log-outage-of-an-hour", name: "unrepeatable calls are not made durable", shows: call, wrong: notDurable},
 		{trace: "haldane-engine-leaving", name: "leaving engines look live", shows: "expect_no_new_work", wrong: hidesLeaving},
-		{trace: "haldane-endless-loop", name: "engines are not told to release", shows: memory, wrong: keepsMemory},
+		{trace: "haldane-endless-loop", name: "engines get no release requests", shows: memory, wrong: keepsMemory},
 		{trace: "haldane-hung-tool", name: "unrepeatable calls run again", shows: executions, wrong: runsAgain},
-		{trace: "haldane-cancelled-program", name: "engines are not told to release", shows: memory, wrong: keepsMemory},
+		{trace: "haldane-cancelled-program", name: "engines get no release requests", shows: memory, wrong: keepsMemory},
 	}
 }
 
--- a/test/simulation/checker_test.go
+++ b/test/simulation/checker_test.go
@@ -194,7 +194,7 @@
 				outcome.id, outcome.streamed, outcome.answer.Text)})
 		}
 		if !ranToEnd(found, outcome.id) {
-			violations = append(violations, violation{pointAnswer, fmt.Sprintf("%s was answered and no engine finished it", outcome.id)})
+			violations = append(violations, violation{pointAnswer, fmt.Sprintf("%s was answered but no engine finished it", outcome.id)})
 		}
 	}
 	return violations
@@ -212,7 +212,7 @@
 		return execution.Stream.Call == outcome.id
 	})
 	if !ran || len(outcome.answer.Output) == 0 {
-		return []violation{{pointAnswer, fmt.Sprintf("%s was answered %q and no application ran it", outcome.id, outcome.answer.Output)}}
+		return []violation{{pointAnswer, fmt.Sprintf("%s was answered %q but no application ran it", outcome.id, outcome.answer.Output)}}
 	}
 	return nil
 }
@@ -226,12 +226,12 @@
 		}
 		for _, arrival := range found.arrivals {
 			if arrival.Stream.Call == outcome.id {
-				violations = append(violations, violation{pointNotRun, fmt.Sprintf("%s was refused (%s) and reached %s", outcome.id, outcome.problem.Code, arrival.engine)})
+				violations = append(violations, violation{pointNotRun, fmt.Sprintf("%s was rejected (%s) but reached %s", outcome.id, outcome.problem.Code, arrival.engine)})
 			}
 		}
 		for _, execution := range found.executions {
 			if execution.Stream.Call == outcome.id {
-				violations = append(violations, violation{pointNotRun, fmt.Sprintf("%s was refused (%s) and ran at %s", outcome.id, outcome.problem.Code, execution.Replica)})
+				violations = append(violations, violation{pointNotRun, fmt.Sprintf("%s was rejected (%s) but ran at %s", outcome.id, outcome.problem.Code, execution.Replica)})
 			}
 		}
 	}
@@ -241,7 +241,7 @@
 // checkMemory: no engine has memory in use for a program that has ended.
 func checkMemory(found evidence, record *programRecord) []violation {
 	if holders := found.held[record.id]; record.ended && len(holders) > 0 {
-		return []violation{{pointMemory, fmt.Sprintf("%s has ended and %v still hold its prefixes", record.id, holders)}}
+		return []violation{{pointMemory, fmt.Sprintf("%s has ended but %v still cache its prefixes", record.id, holders)}}
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 	for _, outcome := range record.outcomes {
 		stuck := outcome.answer == nil && (outcome.problem == nil || (!isFinal(outcome.problem) && outcome.everAmbiguous))
 		if stuck {
-			violations = append(violations, violation{pointProgress, fmt.Sprintf("%s has no outcome after %d attempts, the last refusal is %v", outcome.id, outcome.attempts, outcome.problem)})
+			violations = append(violations, violation{pointProgress, fmt.Sprintf("%s has no outcome after %d attempts, the last rejection is %v", outcome.id, outcome.attempts, outcome.problem)})
 		}
 	}
 	if !record.ended {
--- a/test/simulation/interim_test.go
+++ b/test/simulation/interim_test.go
@@ -54,7 +54,7 @@
 			time.Sleep(killInterval)
 			owned := site.incarnation(victim).Node.Journal().Owned()
 			site.killNode(victim)
-			t.Logf("%s died as the owner of %d shards; the slowest of their programs went on after %s",
+			t.Logf("%s died as the owner of %d shards; the slowest of their programs recovered after %s",
 				nodeName(victim), len(owned), site.longestUnavailability(t, owned))
 			time.Sleep(time.Minute)
 			site.startNode(victim)
@@ -126,7 +126,7 @@
 		}
 		for !s.answers(program) {
 			if time.Since(died) > maxUnavailability {
-				t.Errorf("%s cannot be reached %s after its owner's death", program, maxUnavailability)
+				t.Errorf("%s is still unreachable %s after its owner's death", program, maxUnavailability)
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/test/simulation/table_test.go
+++ b/test/simulation/table_test.go
@@ -19,7 +19,7 @@
 
 const (
 	pointTable  = "an accepted table is in force everywhere and never reverts"
-	pointRaces  = "one of two racing tables wins and both operators are told"
+	pointRaces  = "one of two racing tables wins and both operators get their true result"
 	inForceTime = 5 * time.Second
 )
 
@@ -125,11 +125,11 @@
 		var lost *tables.ConflictError
 		switch {
 		case one.err == nil && (!won || entry.Version != one.entry.Version):
-			violations = append(violations, violation{pointRaces, fmt.Sprintf("%s was told version %d and the log says %v", one.id, one.entry.Version, entry)})
+			violations = append(violations, violation{pointRaces, fmt.Sprintf("%s was reported as version %d but the log contains %v", one.id, one.entry.Version, entry)})
 		case errors.As(one.err, &lost) && won:
-			violations = append(violations, violation{pointRaces, fmt.Sprintf("%s was told that it lost and is version %d", one.id, entry.Version)})
+			violations = append(violations, violation{pointRaces, fmt.Sprintf("%s was reported as lost but is version %d", one.id, entry.Version)})
 		case errors.Is(one.err, tables.ErrNotPublished) && won:
-			violations = append(violations, violation{pointRaces, fmt.Sprintf("%s was told that it is not published and is version %d", one.id, entry.Version)})
+			violations = append(violations, violation{pointRaces, fmt.Sprintf("%s was reported as not published but is version %d", one.id, entry.Version)})
 		}
 	}
 	for index := range s.plan.nodes {
--- a/test/simulation/variants_test.go
+++ b/test/simulation/variants_test.go
@@ -104,7 +104,7 @@
 					}
 				}
 			}
-			t.Errorf("no schedule of %d broke %q", wrong.tries, wrong.point)
+			t.Errorf("none of %d schedules violated %q", wrong.tries, wrong.point)
 		})
 	}
 }
