--- a/internal/emulator/engine/http_test.go
+++ b/internal/emulator/engine/http_test.go
@@ -96,15 +96,15 @@
 func TestStreamContinuesAfterCallerDisconnects(t *testing.T) {
 	overPipes(t, nil, func(t *testing.T, e *engine.Engine, client backend.Engine) {
 		is := is.New(t)
-		gone := errors.New("gone")
-		_, err := client.Generate(t.Context(), request("p", 1), func(backend.Token) error { return gone })
-		is.True(errors.Is(err, gone))
+		disconnected := errors.New("gone")
+		_, err := client.Generate(t.Context(), request("p", 1), func(backend.Token) error { return disconnected })
+		is.True(errors.Is(err, disconnected))
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		is.Equal(e.Truth().Arrivals[0].Outcome, engine.OutcomeFinished)
 
-		_, err = client.Generate(t.Context(), request("q", 1), func(backend.Token) error { return gone })
-		is.True(errors.Is(err, gone))
+		_, err = client.Generate(t.Context(), request("q", 1), func(backend.Token) error { return disconnected })
+		is.True(errors.Is(err, disconnected))
 		is.NoErr(client.Cancel(t.Context(), streamID("q", 1, 1)))
 		is.Equal(e.Truth().Arrivals[1].Outcome, engine.OutcomeCancelled)
 	})
--- a/internal/emulator/network/network_test.go
+++ b/internal/emulator/network/network_test.go
@@ -64,8 +64,8 @@
 // "wait" blocks until the caller stops waiting.
 func (s *site) handle(ctx context.Context, request peer.Message, sendPart func(peer.Message) error) (peer.Message, error) {
 	s.handled.Add(1)
-	asked := request.(*text).value
-	switch asked {
+	requested := request.(*text).value
+	switch requested {
 	case "parts":
 		for i := range 3 {
 			if err := sendPart(&text{fmt.Sprint(i)}); err != nil {
@@ -80,7 +80,7 @@
 	case "fail":
 		return nil, errors.New("refused")
 	}
-	return &text{"echo " + asked}, nil
+	return &text{"echo " + requested}, nil
 }
 
 func (s *site) call(ctx context.Context, from, to identity.NodeName, value string, onPart func(peer.Message) error) (string, error) {
