--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,5 +1,4 @@
-// Package examples_test holds the examples and the operators' reference against
-// the code, so that neither goes stale.
+// Package examples_test checks that the examples and the operators' reference match the code.
 package examples_test
 
 import (
@@ -39,7 +38,7 @@
 	return string(content)
 }
 
-func TestReferenceNamesEveryColumn(t *testing.T) {
+func TestReferenceDocumentsEveryColumn(t *testing.T) {
 	page := reference(t)
 	for _, column := range table.Columns() {
 		standard := "`" + column.Default + "`"
@@ -52,12 +51,12 @@
 		kinds := strings.Trim(strings.ReplaceAll(fmt.Sprint(column.Kinds), " ", ", "), "[]")
 		row := fmt.Sprintf("| `%s` | %s | %s | %s | %s |", column.Name, kinds, standard, column.Values, column.Meaning)
 		if !strings.Contains(page, row) {
-			t.Errorf("docs/OPERATIONS.md lacks: %s", row)
+			t.Errorf("docs/OPERATIONS.md has no row: %s", row)
 		}
 	}
 }
 
-func TestReferenceNamesEverySetting(t *testing.T) {
+func TestReferenceDocumentsEverySetting(t *testing.T) {
 	page := reference(t)
 	settingsOf("", reflect.ValueOf(settings.Default()), func(field string, value reflect.Value) {
 		start := fmt.Sprintf("| `%s` | ", field)
@@ -65,12 +64,12 @@
 			start += fmt.Sprintf("%v |", value.Interface())
 		}
 		if !strings.Contains(page, start) {
-			t.Errorf("docs/OPERATIONS.md lacks a row that starts: %s", start)
+			t.Errorf("docs/OPERATIONS.md has no row that starts with: %s", start)
 		}
 	})
 }
 
-// settingsOf visits every single setting with its path.
+// settingsOf calls visit for each setting with its path.
 func settingsOf(path string, group reflect.Value, visit func(field string, value reflect.Value)) {
 	for i := range group.NumField() {
 		field, value := group.Type().Field(i), group.Field(i)
--- a/internal/emulator/application/application_test.go
+++ b/internal/emulator/application/application_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestWhatIsRefusedDidNotRun(t *testing.T) {
+func TestRejectedOperationDidNotRun(t *testing.T) {
 	inBubble(t, func(t *testing.T, a *application.Application) {
 		is := is.New(t)
 		a.SetFaults(application.Faults{Refuse: true})
@@ -58,24 +58,24 @@
 	})
 }
 
-func TestALostAnswerLeavesItsEffect(t *testing.T) {
+func TestLostResponseKeepsEffect(t *testing.T) {
 	inBubble(t, func(t *testing.T, a *application.Application) {
 		is := is.New(t)
 		a.SetFaults(application.Faults{LoseNext: 1})
 		_, err := a.Invoke(t.Context(), enrol("k"))
-		is.True(errors.Is(err, backend.ErrBroken))
+		is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 		is.Equal(a.Ledger().Executions("enrol", "k"), 1)
 	})
 }
 
-func TestAHungOperationRunsAfterItsCallerGaveUp(t *testing.T) {
+func TestBlockedOperationRunsAfterCallerGivesUp(t *testing.T) {
 	inBubble(t, func(t *testing.T, a *application.Application) {
 		is := is.New(t)
 		a.SetFaults(application.Faults{HangBefore: true})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		_, err := a.Invoke(ctx, enrol("k"))
-		is.True(errors.Is(err, backend.ErrBroken))
+		is.True(errors.Is(err, backend.ErrOutcomeUnknown))
 		is.Equal(a.Ledger().Executions("enrol", "k"), 0)
 		a.SetFaults(application.Faults{})
 		time.Sleep(time.Second)
--- a/internal/routednode/aggregators.go
+++ b/internal/routednode/aggregators.go
@@ -27,10 +27,10 @@
 func provideAggregator(injector do.Injector) (*aggregator.Service, error) {
 	cfg := do.MustInvoke[settings.Routed](injector)
 	others, err := do.Invoke[*peers](injector)
-	if err != nil || others == nil || !cfg.Addresses.Keepers.IsValid() {
+	if err != nil || others == nil || !cfg.Addresses.Aggregators.IsValid() {
 		return nil, err
 	}
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.Addresses.Keepers))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(cfg.Addresses.Aggregators))
 	if err != nil {
 		return nil, fmt.Errorf("routednode: addresses.keepers: %w", err)
 	}
--- a/internal/routednode/readers.go
+++ b/internal/routednode/readers.go
@@ -50,9 +50,9 @@
 	lease := cfg.Keys.Lease()
 	switch {
 	case lease == 0:
-		return cfg.Follow.Wait
+		return cfg.Watch.Wait
 	case r.selected.Load():
-		return min(cfg.Follow.Wait, lease/frequentReadsPerLease)
+		return min(cfg.Watch.Wait, lease/frequentReadsPerLease)
 	}
-	return min(cfg.Follow.Wait, lease/readsPerLease)
+	return min(cfg.Watch.Wait, lease/readsPerLease)
 }
--- a/internal/routednode/run.go
+++ b/internal/routednode/run.go
@@ -59,7 +59,7 @@
 	}
 	logger.Info("started", "host", hostname(), "clients", cfg.Addresses.Clients, "store", cfg.Store.Address,
 		"partitions", cfg.Store.Partitions, "memory_mebibytes", cfg.Machine.MemoryMebibytes, "grace", cfg.Stop.Grace.String(),
-		"key_lease", cfg.Keys.Lease().String(), "limits_way", cfg.Limits.Way, "limits_window", cfg.Limits.Window.String(),
+		"key_lease", cfg.Keys.Lease().String(), "limits_way", cfg.Limits.Strategy, "limits_window", cfg.Limits.Window.String(),
 		"limits_overage", cfg.Limits.Overage, "limits_slack", cfg.Limits.Slack)
 	built.waitForStop(ctx, stops, reloads, &reloader{file: file, content: string(content), node: built})
 	built.stop(cancel)
--- a/internal/siteservices/client_test.go
+++ b/internal/siteservices/client_test.go
@@ -41,7 +41,7 @@
 	check.Equal(result, siteservices.ReadResult{Records: [][]byte{{255}}, From: 1, End: 2})
 }
 
-func TestLogClientTellsTheFaultsApart(t *testing.T) {
+func TestLogClientDistinguishesFaults(t *testing.T) {
 	service := logservice.New(1)
 	client := siteservices.NewLogClient(serve(t, logservice.NewServer(service)))
 	defer client.Close()
@@ -51,8 +51,8 @@
 		stored  int
 	}{
 		"refused":      {logservice.RefuseAppend, siteservices.ErrUnavailable, 0},
-		"request lost": {logservice.LoseRequest, siteservices.ErrAnswerLost, 0},
-		"answer lost":  {logservice.LoseAnswer, siteservices.ErrAnswerLost, 1},
+		"request lost": {logservice.LoseRequest, siteservices.ErrOutcomeUnknown, 0},
+		"answer lost":  {logservice.LoseAnswer, siteservices.ErrOutcomeUnknown, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -65,16 +65,16 @@
 	}
 }
 
-func TestClientErrorsOfForeignAnswers(t *testing.T) {
+func TestClientErrorsOfInvalidResponses(t *testing.T) {
 	cases := map[string]struct {
 		handler http.HandlerFunc
 		want    error
 	}{
-		"503 that is not the service's own word": {
+		"503 without the effect header": {
 			func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
-		"503 with the service's word": {
+		"503 with the effect header": {
 			func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set(siteservices.EffectHeader, siteservices.EffectNone)
 				w.WriteHeader(http.StatusServiceUnavailable)
@@ -83,24 +83,24 @@
 		},
 		"connection broken": {
 			func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
-		"answer cut short": {
+		"truncated response": {
 			func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Content-Length", "100")
 				_, _ = w.Write([]byte(`{"offset":1`))
 			},
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
-		"answer is no JSON": {
+		"response is not JSON": {
 			func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) },
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
-		"answer too large": {
+		"response too large": {
 			func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write([]byte(strings.Repeat(" ", siteservices.MaxBodyBytes+1)))
 			},
-			siteservices.ErrAnswerLost,
+			siteservices.ErrOutcomeUnknown,
 		},
 	}
 	for name, c := range cases {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestClientDialFailureHadNoEffect(t *testing.T) {
+func TestClientDialFailureIsUnavailable(t *testing.T) {
 	check := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	check.NoErr(err)
@@ -124,7 +124,7 @@
 	check.True(errors.Is(err, siteservices.ErrUnavailable))
 }
 
-func TestClientGivesUpOnASilentService(t *testing.T) {
+func TestClientTimesOutWithoutAResponse(t *testing.T) {
 	check := is.New(t)
 	release := make(chan struct{})
 	options := serve(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
@@ -132,11 +132,11 @@
 	client := siteservices.NewLogClient(options)
 	_, err := client.Append(t.Context(), "a", [][]byte{{1}})
 	close(release)
-	check.True(errors.Is(err, siteservices.ErrAnswerLost))
+	check.True(errors.Is(err, siteservices.ErrOutcomeUnknown))
 	check.True(errors.Is(err, context.DeadlineExceeded))
 }
 
-func TestClientRefusesAnOversizedRequest(t *testing.T) {
+func TestClientRejectsAnOversizedRequest(t *testing.T) {
 	check := is.New(t)
 	service := logservice.New(1)
 	client := siteservices.NewLogClient(serve(t, logservice.NewServer(service)))
@@ -173,7 +173,7 @@
 	check.Equal(wait, time.Duration(0))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	check.True(errors.Is(store.Fetch(ctx, "org/model", "1"), siteservices.ErrAnswerLost))
+	check.True(errors.Is(store.Fetch(ctx, "org/model", "1"), siteservices.ErrOutcomeUnknown))
 	wait, err = client.Wait(t.Context(), "org/model", "1")
 	check.NoErr(err)
 	check.True(wait > 500*time.Second && wait <= 1000*time.Second)
