--- a/internal/emulator/engine/faults.go
+++ b/internal/emulator/engine/faults.go
@@ -19,7 +19,7 @@
 	// Slow multiplies the time of all work; 0 and 1 have no effect.
 	Slow float64 `json:"slow,omitempty" minimum:"0" maximum:"10000"`
 	// LoseAnswers is the fraction of requests whose effect takes place and whose response
-	// is lost (ErrBroken); LoseNext is the number of next responses that are lost.
+	// is lost (ErrOutcomeUnknown); LoseNext is the number of next responses that are lost.
 	LoseAnswers float64 `json:"lose_answers,omitempty" minimum:"0" maximum:"1"`
 	LoseNext    int     `json:"lose_next,omitempty" minimum:"0"`
 }
@@ -156,7 +156,7 @@
 	return err
 }
 
-// afterSending replaces ErrNotDelivered by ErrBroken in the later part of a request whose
+// afterSending replaces ErrNotDelivered by ErrOutcomeUnknown in the later part of a request whose
 // first part was sent.
 func afterSending(err error) error {
 	if errors.Is(err, backend.ErrNotDelivered) {
--- a/internal/emulator/logservice/faults.go
+++ b/internal/emulator/logservice/faults.go
@@ -15,7 +15,7 @@
 	// Refuse is the probability that a request is rejected without effect.
 	Refuse float64 `yaml:"refuse" json:"refuse" validate:"gte=0,lte=1"`
 	// LoseBefore is the probability that an append is lost before its effect; the caller
-	// gets siteservices.ErrAnswerLost.
+	// gets siteservices.ErrOutcomeUnknown.
 	LoseBefore float64 `yaml:"lose_before" json:"lose_before" validate:"gte=0,lte=1"`
 	// LoseAfter is the probability that a response is lost after the effect. It applies
 	// to reads too, which have no effect.
@@ -31,9 +31,9 @@
 	Succeed Outcome = iota
 	// RefuseAppend rejects it without effect: siteservices.ErrUnavailable.
 	RefuseAppend
-	// LoseRequest drops it before its effect: siteservices.ErrAnswerLost.
+	// LoseRequest drops it before its effect: siteservices.ErrOutcomeUnknown.
 	LoseRequest
-	// LoseAnswer drops the response after the effect: siteservices.ErrAnswerLost.
+	// LoseAnswer drops the response after the effect: siteservices.ErrOutcomeUnknown.
 	LoseAnswer
 )
 
--- a/internal/emulator/logservice/view.go
+++ b/internal/emulator/logservice/view.go
@@ -81,7 +81,7 @@
 
 // Append implements siteservices.Log. An accepted request takes effect after half the
 // delay even if the caller has given up by then; the caller gets
-// siteservices.ErrAnswerLost.
+// siteservices.ErrOutcomeUnknown.
 func (v *View) Append(ctx context.Context, stream string, records [][]byte) (siteservices.Offset, error) {
 	if ctx.Err() != nil {
 		return 0, unavailable("append " + stream + ": " + ctx.Err().Error())
